--- a/src/wire/cbor_messages.cpp
+++ b/src/wire/cbor_messages.cpp
@@ -195,19 +195,32 @@
     return answer;
 }
 
-std::string encode_cancellation_query(std::uint64_t since) {
+namespace {
+
+// An array of one number.
+std::string encode_number(std::uint64_t number) {
     Encoder e;
     e.array(1);
-    e.uint(since);
+    e.uint(number);
     return e.take();
 }
 
-std::optional<std::uint64_t> decode_cancellation_query(std::string_view bytes) {
+std::optional<std::uint64_t> decode_number(std::string_view bytes) {
     const auto item = load(bytes);
     Entries in(item.get());
-    const auto since = in.uint();
+    const auto number = in.uint();
     if (!in.good()) return std::nullopt;
-    return since;
+    return number;
+}
+
+}  // namespace
+
+std::string encode_version(std::uint64_t version) { return encode_number(version); }
+std::optional<std::uint64_t> decode_version(std::string_view bytes) { return decode_number(bytes); }
+
+std::string encode_cancellation_query(std::uint64_t since) { return encode_number(since); }
+std::optional<std::uint64_t> decode_cancellation_query(std::string_view bytes) {
+    return decode_number(bytes);
 }
 
 std::string encode_cancellation_news(const CancellationNews& news) {
--- a/src/wire/cbor_messages.h
+++ b/src/wire/cbor_messages.h
@@ -56,6 +56,12 @@
     std::string body;
 };
 
+// What a controller knows of formats and messages. Controllers of versions before standing services
+// have no such number and do not know the question for it.
+inline constexpr std::uint64_t kProtocolVersion = 1;
+
+std::string encode_version(std::uint64_t version);
+std::optional<std::uint64_t> decode_version(std::string_view bytes);
 std::string encode_passed_request(const PassedRequest& request);
 std::optional<PassedRequest> decode_passed_request(std::string_view bytes);
 std::string encode_passed_answer(const PassedAnswer& answer);
--- a/src/wire/json_messages.cpp
+++ b/src/wire/json_messages.cpp
@@ -785,6 +785,19 @@
     return text_of(b);
 }
 
+std::string over_value_within(bool aborted, const core::JobText& job, std::size_t most_bytes) {
+    auto value = over_value(aborted, &job);
+    if (value.size() <= most_bytes) return value;
+    auto short_job = job;
+    short_job.types.reset();
+    short_job.zone.reset();
+    short_job.image.clear();
+    value = over_value(aborted, &short_job);
+    if (value.size() <= most_bytes) return value;
+    short_job.cls.clear();
+    return over_value(aborted, &short_job);
+}
+
 std::optional<Over> parse_over_value(std::string_view id, std::string_view value) {
     rapidjson::Document doc;
     std::string state;
--- a/src/wire/json_messages.h
+++ b/src/wire/json_messages.h
@@ -82,6 +82,9 @@
     std::optional<core::JobText> job;
 };
 std::string over_value(bool aborted, const core::JobText* job);
+// The same within a limit: of a description that is too long, what its tasks need while they are
+// still on machines, without the lists of where it might have run.
+std::string over_value_within(bool aborted, const core::JobText& job, std::size_t most_bytes);
 std::optional<Over> parse_over_value(std::string_view id, std::string_view value);
 struct LeaderMark {
     std::string member;
--- /dev/null
+++ b/tests/compatibility_test.cpp
@@ -0,0 +1,131 @@
+// What the version in production stored and sent, against what this one reads and writes. Both
+// serve together during an upgrade, and either may lead; see tests/fixtures/production/README.md.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+
+#include "core/record_layout.h"
+#include "fixtures/samples.h"
+
+namespace lichendrift {
+namespace {
+
+const std::filesystem::path kFolder = LICHENDRIFT_FIXTURES;
+
+std::string production_bytes(const std::string& name) {
+    std::ifstream file(kFolder / name, std::ios::binary);
+    std::ostringstream bytes;
+    bytes << file.rdbuf();
+    return bytes.str();
+}
+
+// An added field would be dropped by the older version when it writes the value again, and an added
+// entry of a message between controllers would be refused by it.
+TEST(Compatibility, WritesTheBytesThatProductionWrote) {
+    const auto samples = fixtures::encoded_samples();
+    std::size_t files = 0;
+    for (const auto& entry : std::filesystem::directory_iterator(kFolder)) {
+        files += entry.path().extension() == ".md" ? 0 : 1;
+    }
+    EXPECT_EQ(files, samples.size());
+    for (const auto& [name, bytes] : samples) {
+        EXPECT_EQ(bytes, production_bytes(name)) << name;
+    }
+}
+
+TEST(Compatibility, ReadsStoredValuesOfProduction) {
+    const auto gang = wire::parse_job_value("job-000412", production_bytes("open-gang.json"));
+    ASSERT_TRUE(gang);
+    EXPECT_TRUE(gang->gang);
+    EXPECT_EQ(wire::job_value(*gang), production_bytes("open-gang.json"));
+    const auto service = wire::parse_job_value("job-000500", production_bytes("open-service.json"));
+    ASSERT_TRUE(service);
+    EXPECT_TRUE(service->service);
+    EXPECT_EQ(wire::job_value(*service), production_bytes("open-service.json"));
+    for (const auto* name : {"place.json", "place-empty.json"}) {
+        const auto record = wire::parse_place_value(production_bytes(name));
+        ASSERT_TRUE(record) << name;
+        EXPECT_EQ(wire::place_value(*record), production_bytes(name));
+    }
+    const auto done = wire::parse_over_value("job-000412", production_bytes("over-done.json"));
+    ASSERT_TRUE(done);
+    EXPECT_FALSE(done->aborted);
+    EXPECT_FALSE(done->job);
+    const auto aborted =
+        wire::parse_over_value("job-000412", production_bytes("over-aborted.json"));
+    ASSERT_TRUE(aborted && aborted->job);
+    EXPECT_TRUE(aborted->aborted);
+    EXPECT_EQ(aborted->job->count, 16U);
+    const auto mark = wire::parse_leader_value(production_bytes("leader.json"));
+    ASSERT_TRUE(mark);
+    EXPECT_EQ(mark->token, 3'000'000U);
+    const auto hints = wire::parse_image_hints_value(production_bytes("images.json"));
+    ASSERT_TRUE(hints);
+    EXPECT_EQ(hints->size(), 2U);
+}
+
+TEST(Compatibility, ReadsMessagesOfProduction) {
+    for (const auto* name : {"peer-beat.cbor", "peer-beat-quiet.cbor"}) {
+        const auto report = wire::decode_report(production_bytes(name));
+        ASSERT_TRUE(report) << name;
+        EXPECT_EQ(wire::encode_report(*report), production_bytes(name));
+    }
+    const auto answer = wire::decode_beat_answer(production_bytes("peer-beat-answer.cbor"));
+    ASSERT_TRUE(answer);
+    EXPECT_EQ(wire::encode_beat_answer(*answer), production_bytes("peer-beat-answer.cbor"));
+    const auto announcement = wire::decode_announcement(production_bytes("peer-leader.cbor"));
+    ASSERT_TRUE(announcement);
+    EXPECT_EQ(announcement->counts.size(), 2U);
+    const auto request = wire::decode_passed_request(production_bytes("peer-user.cbor"));
+    ASSERT_TRUE(request);
+    EXPECT_EQ(request->target, "/v2/runs/job-000412/cancel");
+    const auto passed = wire::decode_passed_answer(production_bytes("peer-user-answer.cbor"));
+    ASSERT_TRUE(passed);
+    EXPECT_EQ(passed->status, 503);
+    const auto news = wire::decode_cancellation_news(production_bytes("peer-cancelled.cbor"));
+    ASSERT_TRUE(news);
+    EXPECT_EQ(news->cancelled.size(), 2U);
+    EXPECT_EQ(wire::decode_cancellation_query(production_bytes("peer-cancellations.cbor")), 431U);
+}
+
+// The division of tasks into records is a part of the format: with another one, a record would
+// leave out tasks that the other version had there.
+TEST(Compatibility, NumbersOfRecordsStayAsTheyAre) {
+    EXPECT_EQ(core::record_number(0, 0, 102), 0U);
+    EXPECT_EQ(core::record_number(0, 101, 102), 0U);
+    EXPECT_EQ(core::record_number(0, 102, 102), 1U);
+    EXPECT_EQ(core::record_number(1, 99'999, 102), 1'004'166U);
+    EXPECT_EQ(core::record_number(2, 17, 102), 2'000'002U);
+    EXPECT_EQ(core::record_number(3, 17, 102), 3'000'017U);
+    // Those of layout 0 never reach those of the finer ones: at least 8 tasks are in each.
+    EXPECT_LT(core::record_number(0, 99'999, 8), core::kNumbersOfALayout);
+    for (std::uint32_t layout = 0; layout <= core::kFinestLayout; ++layout) {
+        for (std::uint32_t task : {0U, 7U, 8U, 23U, 24U, 500U, 99'999U}) {
+            const auto number = core::record_number(layout, task, 102);
+            EXPECT_EQ(core::layout_of(number), layout);
+            const auto first = core::first_task(number, 102);
+            EXPECT_LE(first, task);
+            EXPECT_LT(task, first + core::span_of(layout, 102));
+        }
+    }
+}
+
+// A terminal state that keeps the description has to fit as well, or its job could never end.
+TEST(Compatibility, TerminalStatesFitSmallerLimits) {
+    auto job = fixtures::sample_gang();
+    job.types.emplace();
+    for (int i = 0; i < 64; ++i) job.types->push_back(std::string(100, 'x') + std::to_string(i));
+    ASSERT_GT(wire::over_value(true, &job).size(), 2048U);
+    const auto value = wire::over_value_within(true, job, 2048);
+    EXPECT_LE(value.size(), 2048U);
+    const auto over = wire::parse_over_value(job.id, value);
+    ASSERT_TRUE(over && over->job);
+    EXPECT_EQ(over->job->count, job.count);
+    EXPECT_EQ(over->job->team, job.team);
+    EXPECT_EQ(over->job->cpus, job.cpus);
+}
+
+}  // namespace
+}  // namespace lichendrift
