--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -52,6 +52,7 @@
         {"job.team", Type::Text, "its team"},
         {"job.priority", Type::Text, "low, normal, high or critical"},
         {"job.gang", Type::Boolean, "all its tasks run at once"},
+        {"job.service", Type::Boolean, "its tasks run until it is cancelled"},
         {"job.starts_soon", Type::Boolean, "its class has an aim on starting"},
         {"job.spot", Type::Boolean, "it may use spot machines"},
         {"job.guaranteed", Type::Boolean, "it fits into its team's guarantee"},
@@ -227,10 +228,10 @@
 
 const std::vector<Value>& OperatorPolicy::of(const core::JobFacts& job) {
     values_.assign({text(job.cls), text(job.team), text(priority_name(job.priority)),
-                    flag(job.gang), flag(job.soon), flag(job.spot), flag(job.guaranteed),
-                    number(job.tasks), number(job.waiting), number(job.failures),
-                    seconds(job.estimate_s), seconds(job.checkpoint_s), seconds(job.slack_s),
-                    seconds(job.waited_s), seconds(job.age_s)});
+                    flag(job.gang), flag(job.service), flag(job.soon), flag(job.spot),
+                    flag(job.guaranteed), number(job.tasks), number(job.waiting),
+                    number(job.failures), seconds(job.estimate_s), seconds(job.checkpoint_s),
+                    seconds(job.slack_s), seconds(job.waited_s), seconds(job.age_s)});
     return values_;
 }
 
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -87,7 +87,8 @@
             if (aim.kind == Aim::Kind::Finish) aims.finish_within_s.push_back(aim.within_s);
         }
     }
-    spec.soon = !class_aims_[spec.cls].start_within_s.empty();
+    // A replica that is not up is a loss for as long as it is not.
+    spec.soon = spec.service || !class_aims_[spec.cls].start_within_s.empty();
     spec.starving_ms = spec.gang ? 60000 : 120000;
     if (settings_.policy) {
         const auto about = facts(job);
@@ -255,6 +256,10 @@
             const Hold& h = holds_[hix];
             if (h.job == kNone) continue;
             const JobSpec& spec = jobs_[h.job].spec;
+            if (spec.service) {
+                stop_hold(hix, 0, now);
+                continue;
+            }
             if (spec.checkpoint_s <= 0 || h.phase != TaskPhase::Running) continue;
             if (spec.estimate_s * 1000 - static_cast<double>(now - h.running_since) < 60000)
                 continue;
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -227,8 +227,10 @@
                 auto found = job_ids_.find(task.job);
                 if (found != job_ids_.end() && task.why == ExitWhy::Done) {
                     const Job& job = jobs_[found->second];
-                    // The result has to be durable before the worker may forget it.
-                    if (!job.over && task.task < job.spec.count && job.done_flags[task.task] != 2) {
+                    // The result has to be durable before the worker may forget it. A replica has
+                    // none: it runs again.
+                    if (!job.over && !job.spec.service && task.task < job.spec.count &&
+                        job.done_flags[task.task] != 2) {
                         continue;
                     }
                 }
--- a/src/core/holds.cpp
+++ b/src/core/holds.cpp
@@ -3,6 +3,15 @@
 
 namespace lichendrift::core {
 
+namespace {
+
+constexpr Millis kReplicaRanWell = 30'000;  // an end after that long is no failure in a row
+constexpr std::uint32_t kFailuresOfMachines = 2;
+constexpr Millis kFirstReplicaPause = 1000;  // after the second end in a row, then doubled
+constexpr Millis kLongestReplicaPause = 30'000;
+
+}  // namespace
+
 HoldIx Cluster::new_hold(const Hold& h) {
     HoldIx ix;
     if (free_holds_.empty()) {
@@ -84,6 +93,8 @@
 
 void Cluster::mark_done(JobIx ix, std::uint32_t task, Millis now) {
     Job& job = jobs_[ix];
+    // A replica of a service that has ended runs again.
+    if (job.spec.service) return;
     auto one = [&](std::uint32_t t) {
         if (job.done_flags[t] != 0) return;
         job.done_flags[t] = 1;
@@ -149,6 +160,10 @@
     const Hold h = holds_[ix];
     Job& job = jobs_[h.job];
     Machine& machine = machines_[h.machine];
+    if (job.spec.service && (task.why == ExitWhy::Done || task.why == ExitWhy::Error)) {
+        note_replica_exit(ix, task.why == ExitWhy::Error, now);
+        return;
+    }
     switch (task.why) {
         case ExitWhy::Done:
             machine.failed_jobs.clear();
@@ -172,6 +187,49 @@
     release(ix, true, now);
 }
 
+// A replica that ended runs again at once. One that ends again and again within a short time backs
+// off by itself, so that it holds up none of the others and uses no starts that they need.
+void Cluster::note_replica_exit(HoldIx ix, bool failed, Millis now) {
+    const Hold h = holds_[ix];
+    Job& job = jobs_[h.job];
+    const bool ran_long = h.running_since > 0 && now - h.running_since >= kReplicaRanWell;
+    auto& failures = job.replica_failures[h.task];
+    failures = ran_long ? 0 : failures + 1;
+    // The first failures in a row are most likely the machines' fault, later ones its own.
+    if (failed && failures <= kFailuresOfMachines) note_machine_failure(job, h.machine, now);
+    if (!failed) machines_[h.machine].failed_jobs.clear();
+    const auto failures_in_a_row = failures;
+    const auto task = h.task;
+    const auto jix = h.job;
+    release(ix, true, now);
+    const auto found = jobs_.find(jix);
+    if (failures_in_a_row <= 1 || found == jobs_.end()) return;
+    if (found->second.again.erase(task) == 0) return;
+    const auto pause = std::min<Millis>(kFirstReplicaPause << std::min(failures_in_a_row - 2, 10U),
+                                        kLongestReplicaPause);
+    resting_.emplace(now + pause, jix, task);
+}
+
+void Cluster::wake_replicas(Millis now) {
+    while (!resting_.empty() && std::get<0>(*resting_.begin()) <= now) {
+        const auto [due, jix, task] = *resting_.begin();
+        resting_.erase(resting_.begin());
+        const auto found = jobs_.find(jix);
+        if (found == jobs_.end() || found->second.holds.contains(task)) continue;
+        found->second.again.insert(task);
+    }
+}
+
+// From a machine that is going to be given up, the replicas are moved before it goes: they would
+// keep it for ever, as they never end by themselves, or be lost with it.
+void Cluster::stop_replicas(MachineIx mix, Millis now) {
+    const auto held = machines_[mix].holds;
+    for (auto hix : held) {
+        const Hold& h = holds_[hix];
+        if (h.job != kNone && !h.stop && jobs_[h.job].spec.service) stop_hold(hix, 0, now);
+    }
+}
+
 std::uint32_t Cluster::waiting(const Job& job) const {
     if (job.over || job.finishing || job.spec.team == kNone) return 0;
     if (job.spec.gang) return job.holds.empty() && job.done == 0 ? job.spec.count : 0;
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -19,6 +19,9 @@
 // Between two tries of a job that fails everywhere. With the fetch of its image a try has to come
 // well within the 90 s for which no job may be left waiting beside capacity that fits.
 constexpr double kLongestBackoffSeconds = 30;
+constexpr Millis kReplicaRunsWell = 10'000;
+constexpr std::size_t kMostFailedOn = 16;  // machines that a service keeps off
+constexpr Millis kFailedPause = 3000;  // for which a machine on which a task failed gets no work
 
 }  // namespace
 
@@ -75,12 +78,9 @@
 }
 
 void Cluster::note_failure(Job& job, MachineIx mix, Millis now) {
-    Machine& machine = machines_[mix];
     job.failures++;
-    job.failed_on.insert(mix);
-    // A job of which a task has completed has no mistake in it: its failures are the machines', and
-    // the rest of it must not wait for them.
-    const bool sound = job.done > 0;
+    note_machine_failure(job, mix, now);
+    const bool sound = has_run_well(job, now);
     // The first failure is mostly the machine's; a job that fails everywhere waits longer.
     if (!sound && job.failed_on.size() >= 2) {
         const double backoff_s = settings_.policy
@@ -88,13 +88,32 @@
                                      : std::min(std::exp2(job.failures), kLongestBackoffSeconds);
         job.retry_at = now + static_cast<Millis>(backoff_s * 1000);
     }
-    if (sound || job.failed_on.size() <= 2) {
-        machine.failed_jobs.insert(static_cast<JobIx>(job_ids_[job.id]));
-        machine.quarantine_until = now + 3000;
-        if (machine.failed_jobs.size() >= 2) {
-            machine.drain = true;
-            machine.condemned = true;
-        }
+}
+
+// A job of which a task has completed has no mistake in it: its failures are the machines', and the
+// rest of it must not wait for them. Of a service, a replica that goes on running says the same.
+bool Cluster::has_run_well(const Job& job, Millis now) const {
+    if (!job.spec.service) return job.done > 0;
+    return std::any_of(job.holds.begin(), job.holds.end(), [&](const auto& held) {
+        const Hold& hold = holds_[held.second];
+        return hold.phase == TaskPhase::Running && hold.running_since > 0 &&
+               now - hold.running_since >= kReplicaRunsWell;
+    });
+}
+
+// What fails for several jobs in a row is faulty: it gets no new work and is given up.
+void Cluster::note_machine_failure(Job& job, MachineIx mix, Millis now) {
+    // A service lives for long: what failed for it long ago says nothing any more.
+    if (job.spec.service && job.failed_on.size() >= kMostFailedOn) job.failed_on.clear();
+    job.failed_on.insert(mix);
+    if (job.failed_on.size() > 2 && !has_run_well(job, now)) return;
+    Machine& machine = machines_[mix];
+    machine.failed_jobs.insert(static_cast<JobIx>(job_ids_[job.id]));
+    machine.quarantine_until = now + kFailedPause;
+    if (machine.failed_jobs.size() >= 2) {
+        machine.drain = true;
+        machine.condemned = true;
+        stop_replicas(mix, now);
     }
 }
 
@@ -107,7 +126,8 @@
         if (h.job == kNone || h.stop) continue;
         const auto& spec = jobs_[h.job].spec;
         const double ran_s = h.running_since > 0 ? (now - h.running_since) / 1000.0 : 0;
-        if (h.phase == TaskPhase::Running && spec.estimate_s - ran_s < notice_s * 0.7) continue;
+        const bool ends_before = spec.estimate_s - ran_s < notice_s * 0.7;
+        if (h.phase == TaskPhase::Running && ends_before && !spec.service) continue;
         stop_with_gang(hix, spec.checkpoint_s > 0 ? std::min(notice_s, spec.save_s) : 0, now);
     }
 }
@@ -307,6 +327,10 @@
                 machine.lost_leases = 0;
             }
             if (machine.drain && machine.holds.empty()) machine.life = Machine::Life::Returning;
+            // Replicas never end by themselves and would keep it for ever.
+            if (machine.drain && only_replicas(machine)) {
+                stop_replicas(static_cast<MachineIx>(&machine - machines_.data()), now);
+            }
             // Taken as announced: its place can be rented again before its silence would show.
             if (machine.taken_at && now > *machine.taken_at + kTakenMargin &&
                 machine.heard_at < *machine.taken_at) {
@@ -355,6 +379,12 @@
     return lines;
 }
 
+bool Cluster::only_replicas(const Machine& machine) const {
+    return !machine.holds.empty() &&
+           std::all_of(machine.holds.begin(), machine.holds.end(),
+                       [&](HoldIx hix) { return jobs_.at(holds_[hix].job).spec.service; });
+}
+
 bool Cluster::holds_cancelled(const Machine& machine) const {
     return std::any_of(machine.holds.begin(), machine.holds.end(),
                        [&](HoldIx hix) { return jobs_.at(holds_[hix].job).aborted; });
--- a/src/core/picture.cpp
+++ b/src/core/picture.cpp
@@ -9,6 +9,7 @@
 
 constexpr Millis kWarmFor = 600'000;
 constexpr std::size_t kMachinesThatProveAMistake = 3;
+constexpr double kReplicaSlack = 2;  // seconds
 
 // Seconds left until the next aim that can still be met is lost. What has lost them all waits like
 // something with moderate time left, and less the longer it waits: it neither goes before what can
@@ -63,6 +64,7 @@
     about.team = job.text.team;
     about.priority = job.spec.priority;
     about.gang = job.spec.gang;
+    about.service = job.spec.service;
     about.soon = job.spec.soon;
     about.spot = job.spec.spot;
     about.guaranteed = job.in_guarantee;
@@ -88,6 +90,7 @@
 }
 
 Snapshot Cluster::snapshot(Millis now, std::int64_t wall_ms) {
+    wake_replicas(now);
     fill_guarantees(now);
     Snapshot s;
     s.now = now;
@@ -219,6 +222,8 @@
                                 fetch_rate > 0 ? job.spec.image_gb / fetch_rate : 0,
                                 job.in_guarantee ? guarantee_s_ : 0,
                                 static_cast<double>(item.waited_ms) / 1000.0);
+        // A replica that waits is lost time, however long its service has been up.
+        if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlack);
         item.order_s = item.slack_s;
         item.rent_patience_s = std::clamp(item.slack_s * 0.5, 3.0, 20.0);
         item.dear_patience_s = std::clamp(item.slack_s * 0.6, item.rent_patience_s, 60.0);
@@ -234,13 +239,14 @@
         }
         // What fails everywhere has a mistake: to keep it off ever more machines would rent a new
         // one for each try, and leave it waiting beside capacity that fits.
-        if (job.done > 0 || job.failed_on.size() < kMachinesThatProveAMistake) {
+        if (has_run_well(job, now) || job.failed_on.size() < kMachinesThatProveAMistake) {
             item.avoid.assign(job.failed_on.begin(), job.failed_on.end());
         }
-        if (!job.spec.one_zone && !job.spec.apart) continue;
+        if (!job.spec.one_zone && !job.spec.apart && !job.spec.service) continue;
         item.zone_counts.resize(zones_.size());
         for (const auto& [task, hix] : job.holds) {
             const auto zone = machines_[holds_[hix].machine].zone;
+            if (job.spec.service) item.replicas_on.push_back(holds_[hix].machine);
             if (zone == kNone) continue;
             item.zone = zone;
             ++item.zone_counts[zone];
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -301,6 +301,7 @@
         double score = 0;
         std::size_t at = 0;
         Room room;
+        double crowding = 0;  // taken off the score already
         bool operator<(const Candidate& o) const {
             return score != o.score ? score < o.score : at > o.at;
         }
@@ -317,7 +318,7 @@
             const Room r = room_in(i, pass);
             if (!r.holds(sp.need) || !fits_place(item, sp, zone, i)) continue;
             reach += r.fits(sp.need);
-            candidates_.push_back({node_score(sp, i, r), i, r});
+            candidates_.push_back({node_score(sp, i, r), i, r, 0});
         }
         Choice choice;
         if (candidates_.empty() || (!partial && reach < count)) return choice;
@@ -334,11 +335,22 @@
                 candidates_.pop_back();
                 continue;
             }
+            if (sp.service) {
+                // Its score fell since it was computed, with what was placed in its zone.
+                const auto crowd = crowding(item, best.at, zones, choice.machines);
+                if (crowd > best.crowding) {
+                    best.score -= crowd - best.crowding;
+                    best.crowding = crowd;
+                    std::push_heap(candidates_.begin(), candidates_.end());
+                    continue;
+                }
+            }
             ++zones[in_zone];
             score += best.score;
             choice.machines.push_back(best.at);
             best.room -= sp.need;
             if (best.room.holds(sp.need)) {
+                best.crowding = 0;
                 best.score = node_score(sp, best.at, best.room);
                 std::push_heap(candidates_.begin(), candidates_.end());
             } else {
@@ -351,6 +363,19 @@
         return choice;
     }
 
+    // How many replicas of the service a machine and a zone have already, taken off the score: one
+    // machine or zone that is lost should take few of them with it.
+    double crowding(const ItemView& item, std::size_t i, const std::vector<std::uint32_t>& zones,
+                    const std::vector<std::size_t>& chosen) const {
+        const auto there =
+            std::count(item.replicas_on.begin(), item.replicas_on.end(), machines_[i].ix) +
+            std::count(chosen.begin(), chosen.end(), i);
+        const auto zone = machines_[i].zone;
+        const auto in_zone = zone < zones.size() ? zones[zone] : 0;
+        return kMachineCrowding * static_cast<double>(there) +
+               kZoneCrowding * static_cast<double>(in_zone);
+    }
+
     std::vector<ZoneIx> candidates(const JobSpec& sp) const {
         std::vector<ZoneIx> zones;
         if (sp.zone != kNone) {
@@ -454,7 +479,7 @@
                 if (claimed_[i] || !allows(warm.spec, m) || !free_[i].holds(warm.spec.need)) {
                     continue;
                 }
-                candidates_.push_back({node_score(warm.spec, i, free_[i]), i, free_[i]});
+                candidates_.push_back({node_score(warm.spec, i, free_[i]), i, free_[i], 0});
             }
             std::make_heap(candidates_.begin(), candidates_.end());
             while (left > 0 && !candidates_.empty()) {
@@ -849,14 +874,17 @@
                 continue;
             }
             std::vector<ZoneIx> zones{item->zone};
-            if (sp.gang && sp.one_zone && item->zone == kNone) zones = zones_by_room(sp);
+            if (sp.gang && sp.one_zone && item->zone == kNone) {
+                zones = zones_by_room(sp);
+                if (!zones.empty()) keep_for(sp, zones.front());
+            }
             left = wait_for_places(sp, left, item->rent_patience_s);
             for (auto zone : zones) left = rent_for(sp, zone, left, true);
             left = wait_for_places(sp, left, item->dear_patience_s);
             for (auto zone : zones) left = rent_for(sp, zone, left, false);
         }
         // Room to keep warm is rented only where it is cheap.
-        for (auto [sp, count] : warm_demands_) rent_for(*sp, kNone, count, true);
+        for (auto [sp, count] : warm_demands_) rent_for(*sp, kNone, count, sp->spot);
         std::map<std::tuple<TypeIx, ZoneIx, bool>, std::uint32_t> sum;
         for (const auto& v : virtual_) ++sum[{v.type, v.zone, v.spot}];
         for (const auto& [kind, number] : sum) {
@@ -865,6 +893,17 @@
         }
     }
 
+    // What a gang has in its zone already is kept until the rest has come. Where the cloud has few
+    // machines to give they come one by one, and each was idle for long enough to be released
+    // before the next one was there.
+    void keep_for(const JobSpec& sp, ZoneIx zone) {
+        for (const auto i : list_of(Pass::Booting)) {
+            ++plan_.steps;
+            const auto& m = machines_[i];
+            if (m.zone == zone && allows(sp, m) && free_[i].holds(sp.need)) reserved_[i] = true;
+        }
+    }
+
     // The zones it may use, the one with most room first, what is being rented included.
     std::vector<ZoneIx> zones_by_room(const JobSpec& sp) {
         if (sp.zone != kNone) return {sp.zone};
@@ -969,8 +1008,11 @@
             const auto& view = s_.holds[holds_list_[k]];
             const auto& sp = hold_job_[holds_list_[k]]->spec;
             if (view.left_s < 40) continue;
-            const bool moves = sp.checkpoint_s > 0 && sp.spot && sp.save_s < 10 && !sp.apart &&
-                               view.ran_ms > s_.tuning.drain_after_ms && view.left_s > 60;
+            // A replica keeps its zone, so that what has to be apart stays so.
+            const bool replica_moves = sp.service && view.ran_ms > kReplicaSettled;
+            const bool moves =
+                replica_moves || (sp.checkpoint_s > 0 && sp.spot && sp.save_s < 10 && !sp.apart &&
+                                  view.ran_ms > s_.tuning.drain_after_ms && view.left_s > 60);
             if (!moves) return give_back();
             const auto to = place_to_move(i, sp, view.left_s);
             if (to == machines_.size()) return give_back();
@@ -990,7 +1032,8 @@
             if (!free_[o].holds(sp.need) || o == i || !other.usable || claimed_[o]) continue;
             if (emptied_[o] || !allows(sp, other) || hourly(o) > hourly(i)) continue;
             // The rest of its gang stays where it is.
-            if (sp.one_zone && sp.count > 1 && other.zone != machines_[i].zone) continue;
+            const bool bound = (sp.one_zone && sp.count > 1) || sp.service;
+            if (bound && other.zone != machines_[i].zone) continue;
             // A fetch there has to be small beside what is left to run.
             if (fetch_s(sp, o) > left_s * kFetchToMove) continue;
             if (hourly(o) < hourly(i)) return o;
@@ -1057,6 +1100,10 @@
     static constexpr std::size_t kMostRented = 200;
     static constexpr std::size_t kMostDrainTried = 16;
     static constexpr double kFetchToMove = 0.12;
+    static constexpr double kMachineCrowding = 2.5;  // less than what the image being there counts
+    static constexpr double kZoneCrowding = 0.5;
+    static constexpr Millis kReplicaSettled =
+        600'000;  // moved to release a machine after that long
 
     const Snapshot& s_;
     const std::vector<MachineView>& machines_;
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -13,7 +13,7 @@
     ClassIx cls = kNone;
     TeamIx team = kNone;
     bool gang = false;
-    bool service = false;
+    bool service = false;  // replicas run until the job is cancelled
     Priority priority = Priority::Normal;
     std::uint32_t count = 1;
     Room need;
@@ -89,7 +89,8 @@
     double rent_patience_s = 20;             // a place that is free that soon needs no new machine
     double dear_patience_s = 60;             // the same before an ordinary machine is rented
     ZoneIx zone = kNone;                     // where its other tasks are, with one_zone
-    std::vector<std::uint32_t> zone_counts;  // with apart; may be empty
+    std::vector<std::uint32_t> zone_counts;  // with apart and for services; may be empty
+    std::vector<MachineIx> replicas_on;      // of a service: where its other replicas are
     std::vector<MachineIx> avoid;
 };
 
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -13,7 +13,8 @@
     std::string_view team;
     Priority priority = Priority::Normal;
     bool gang = false;
-    bool soon = false;  // its class has an aim on starting
+    bool service = false;  // its tasks run until it is cancelled
+    bool soon = false;     // its class has an aim on starting
     bool spot = false;
     bool guaranteed = false;
     double tasks = 0;
