--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -869,15 +869,13 @@
             // multiple of spot ones, so work that has time waits longer before it gets one.
             // A gang of one zone needs its machines together; where the cloud refuses, the next
             // zone is asked for the rest.
+            if (sp.gang && !kept_for_gang_) keep_what_came(*item);
             if (sp.apart && !sp.one_zone && sp.zone == kNone) {
                 rent_apart(*item, left);
                 continue;
             }
             std::vector<ZoneIx> zones{item->zone};
-            if (sp.gang && sp.one_zone && item->zone == kNone) {
-                zones = zones_by_room(sp);
-                if (!zones.empty()) keep_for(sp, zones.front());
-            }
+            if (sp.gang && sp.one_zone && item->zone == kNone) zones = zones_by_room(*item);
             left = wait_for_places(sp, left, item->rent_patience_s);
             for (auto zone : zones) left = rent_for(sp, zone, left, true);
             left = wait_for_places(sp, left, item->dear_patience_s);
@@ -885,32 +883,56 @@
         }
         // Room to keep warm is rented only where it is cheap.
         for (auto [sp, count] : warm_demands_) rent_for(*sp, kNone, count, sp->spot);
-        std::map<std::tuple<TypeIx, ZoneIx, bool>, std::uint32_t> sum;
-        for (const auto& v : virtual_) ++sum[{v.type, v.zone, v.spot}];
-        for (const auto& [kind, number] : sum) {
-            plan_.rents.push_back(
-                {std::get<0>(kind), std::get<1>(kind), std::get<2>(kind), number});
+        // In the order of what waits: where the cloud has few machines left, the first gets them.
+        for (const auto& v : virtual_) {
+            const auto same =
+                std::find_if(plan_.rents.begin(), plan_.rents.end(), [&](const Rent& rent) {
+                    return rent.type == v.type && rent.zone == v.zone && rent.spot == v.spot;
+                });
+            if (same != plan_.rents.end()) {
+                ++same->number;
+            } else {
+                plan_.rents.push_back({v.type, v.zone, v.spot, 1});
+            }
         }
     }
 
-    // What a gang has in its zone already is kept until the rest has come. Where the cloud has few
-    // machines to give they come one by one, and each was idle for long enough to be released
-    // before the next one was there.
-    void keep_for(const JobSpec& sp, ZoneIx zone) {
+    // What the first of the waiting gangs could use already is kept until the rest has come. Where
+    // the cloud has few machines to give they come one by one, and each was idle for long enough to
+    // be released before the next one was there; kept for several gangs, none ever got enough.
+    void keep_what_came(const ItemView& item) {
+        const JobSpec& sp = spec(item);
+        kept_for_gang_ = true;
+        if (sp.apart && !sp.one_zone && sp.zone == kNone) {
+            for (ZoneIx z = 0; z < s_.zones; ++z) keep_for(item, z, (sp.count + 1) / 2);
+        } else if (sp.one_zone && sp.zone == kNone) {
+            const auto zones = zones_by_room(item);
+            if (!zones.empty()) keep_for(item, zones.front(), sp.count);
+        } else {
+            keep_for(item, sp.zone, sp.count);
+        }
+    }
+
+    void keep_for(const ItemView& item, ZoneIx zone, std::int64_t count) {
+        const JobSpec& sp = spec(item);
         for (const auto i : list_of(Pass::Booting)) {
             ++plan_.steps;
-            const auto& m = machines_[i];
-            if (m.zone == zone && allows(sp, m) && free_[i].holds(sp.need)) reserved_[i] = true;
+            if (count <= 0 || !fits_place(item, sp, zone, i)) continue;
+            const auto fits = free_[i].fits(sp.need);
+            if (fits > 0) reserved_[i] = true;
+            count -= fits;
         }
     }
 
     // The zones it may use, the one with most room first, what is being rented included.
-    std::vector<ZoneIx> zones_by_room(const JobSpec& sp) {
+    std::vector<ZoneIx> zones_by_room(const ItemView& item) {
+        const JobSpec& sp = spec(item);
         if (sp.zone != kNone) return {sp.zone};
         std::vector<std::int64_t> fit(s_.zones);
         for (const auto i : list_of(Pass::Booting)) {
             ++plan_.steps;
-            if (allows(sp, machines_[i])) fit[machines_[i].zone] += free_[i].fits(sp.need);
+            if (!fits_place(item, sp, kNone, i)) continue;
+            fit[machines_[i].zone] += free_[i].fits(sp.need);
         }
         for (const auto k : open_virtual_) fit[virtual_[k].zone] += virtual_[k].free.fits(sp.need);
         std::vector<ZoneIx> zones(s_.zones);
@@ -952,7 +974,9 @@
         std::vector<std::int64_t> fit(s_.zones);
         for (const auto i : list_of(Pass::Booting)) {
             ++plan_.steps;
-            if (allows(sp, machines_[i])) fit[machines_[i].zone] += free_[i].fits(sp.need);
+            // What it keeps off, since it failed there, is no room for it.
+            if (!fits_place(item, sp, kNone, i)) continue;
+            fit[machines_[i].zone] += free_[i].fits(sp.need);
         }
         std::vector<std::uint32_t> open(s_.zones);  // how many more each zone may take
         for (ZoneIx z = 0; z < s_.zones; ++z) {
@@ -1092,7 +1116,8 @@
         }
         std::stable_sort(idle.begin(), idle.end(),
                          [&](auto a, auto b) { return hourly(a) > hourly(b); });
-        auto spare = s_.tuning.spare_machines;
+        // A spare one may be what the cloud has no second of for those that wait.
+        const auto spare = demands_.empty() ? s_.tuning.spare_machines : 0;
         for (std::size_t k = 0; k + spare < idle.size(); ++k) {
             if (kept_for_guarantees(idle[k])) continue;
             returning_ += machines_[idle[k]].room;
@@ -1146,6 +1171,7 @@
     std::vector<std::int64_t> in_zone_;
     std::vector<std::pair<const JobSpec*, std::uint32_t>> warm_demands_;
     bool warm_reserved_ = false;
+    bool kept_for_gang_ = false;
     double longest_patience_ = 0;
     double most_hourly_ = 1;
     Plan plan_;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -80,6 +80,61 @@
     EXPECT_TRUE(make_plan(s).rents.empty());
 }
 
+// A gang waited for ever: the machines that it kept off after failures there counted as room for
+// it, so nothing was rented.
+TEST_F(PlannerTest, RentsBesideMachinesThatAJobKeepsOff) {
+    const auto failed = machine(0, 8000);
+    machine(1, 8000);
+    const auto j = job(2, 8000, true);
+    s.jobs[j].spec.apart = true;
+    s.items[0].avoid = {failed};
+    const auto plan = make_plan(s);
+    EXPECT_TRUE(plan.starts.empty());
+    ASSERT_EQ(plan.rents.size(), 1U);
+    EXPECT_EQ(plan.rents[0].zone, 0U);
+}
+
+// The rest of an array was rented in the zone in which its last task was, where it may not go.
+TEST_F(PlannerTest, RentsForTheRestOfAnArrayThatHasToBeApart) {
+    const auto j = job(4, 8000, false);
+    s.jobs[j].spec.apart = true;
+    s.items[0].waiting = 2;
+    s.items[0].begun = true;
+    s.items[0].zone_counts = {0, 2};
+    const auto plan = make_plan(s);
+    ASSERT_EQ(plan.rents.size(), 1U);
+    EXPECT_EQ(plan.rents[0].zone, 0U);
+    EXPECT_EQ(plan.rents[0].number, 2U);
+}
+
+// Two gangs of different zones each had a part of the few machines that the cloud gave. What the
+// first could use is kept, what only the second could use is released.
+TEST_F(PlannerTest, KeepsWhatCameForTheFirstWaitingGangAlone) {
+    const auto first = machine(0, 8000);
+    const auto second = machine(1, 8000);
+    for (auto& m : s.machines) {
+        m.idle_ms = 100'000;
+        m.age_ms = 100'000;
+    }
+    for (ZoneIx zone : {0U, 1U}) s.jobs[job(2, 8000, true)].spec.zone = zone;
+    s.items[0].order_s = 1;
+    s.items[1].order_s = 2;
+    s.refused = {{0, 0, false}, {0, 0, true}, {0, 1, false}, {0, 1, true}};
+    const auto plan = make_plan(s);
+    EXPECT_EQ(plan.returns, std::vector<MachineIx>{second}) << first;
+}
+
+TEST_F(PlannerTest, ReplicasAreSpreadUnlessTheImageIsInOnePlaceOnly) {
+    for (int n = 0; n < 4; ++n) machine(static_cast<ZoneIx>(n % 2), 8000);
+    const auto j = job(4, 1000, false, Priority::Critical);
+    s.jobs[j].spec.service = true;
+    auto plan = make_plan(s);
+    ASSERT_EQ(plan.starts.size(), 1U);
+    auto on = plan.starts[0].machines;
+    std::sort(on.begin(), on.end());
+    EXPECT_EQ(std::unique(on.begin(), on.end()), on.end());
+}
+
 TEST_F(PlannerTest, OneZoneGangTakesTheTightestZoneThatFitsItWhole) {
     machine(0, 8000);
     machine(0, 8000);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -94,6 +94,15 @@
         {"cpus = 1.5", "cpus = 1.5\ncpus_max = 1.0", "settings.teams[0].cpus: expected no more"},
         {"size = 2", "size = 1", "settings.size: expected at least 2"},
         {"127.0.0.1:8081", "127.0.0.1:8080", "peer_bind: expected another address"},
+        {"[settings.cloud]", "[settings.state.next]\ntxn_ops = 1\n[settings.cloud]",
+         "settings.state.next.txn_ops: expected a whole number of at least 2"},
+        {"[settings.cloud]", "[settings.state.next]\nvalue_kb = 0.5\n[settings.cloud]",
+         "settings.state.next.value_kb: expected a number of at least 1"},
+        {"[settings.cloud]", "[settings.state.next]\nwrite_rps = \"x\"\n[settings.cloud]",
+         "settings.state.next.write_rps: expected a number"},
+        {"[settings.cloud]", "[settings.state.next]\nrps = 0\n[settings.cloud]",
+         "settings.state.next.rps: expected a number of at least 1"},
+        {"txn_ops = 12", "txn_ops = 12\nnext = 3", "settings.state.next: expected a table"},
         {"[settings.cloud]", "[settings.resources]\nmax_connections = 10\n[settings.cloud]",
          "settings.resources.max_connections: expected at least"},
     };
@@ -104,6 +113,17 @@
     }
 }
 
+// Each limit to come may be there or not.
+TEST_F(SettingsFile, LimitsToComeMayBeLeftOut) {
+    std::string text = kGood;
+    text.replace(text.find("[settings.cloud]"), 0, "[settings.state.next]\nvalue_kb = 2.0\n");
+    const auto loaded = load(text);
+    ASSERT_TRUE(std::holds_alternative<control::Settings>(loaded));
+    const auto& next = std::get<control::Settings>(loaded).state_next;
+    EXPECT_EQ(next.value_kb, 2.0);
+    EXPECT_FALSE(next.txn_ops || next.write_rps || next.rps);
+}
+
 TEST_F(SettingsFile, BrokenTomlNamesTheLine) {
     auto loaded = load("member = \n");
     const auto& problems = std::get<Problems>(loaded);
