--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -313,6 +313,7 @@
     void note_machine_failure(Job& job, MachineIx machine, Millis now);
     [[nodiscard]] bool has_run_well(const Job& job, Millis now) const;
     [[nodiscard]] bool only_replicas(const Machine& machine) const;
+    [[nodiscard]] bool holds_replicas(const Machine& machine) const;
     [[nodiscard]] JobFacts facts(const Job& job) const;
     [[nodiscard]] FleetFacts fleet_facts() const;
     [[nodiscard]] bool raise(Machine& machine) const;
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -269,6 +269,7 @@
         patience = std::max(patience, settings_.report_ms * 5 / 4 + 1000);
     }
     const auto cut_patience = std::max(patience, settings_.lease_ms * kCutPatience);
+    const auto lease_over = settings_.lease_ms + settings_.report_ms * 5 / 4 + 1000;
     for (auto& machine : machines_) {
         if (machine.life == Machine::Life::Gone) {
             // Its place is used again once no late report or list is to be expected; without that
@@ -292,7 +293,11 @@
             const auto silent =
                 now - (most_silent ? silent_since : std::max(silent_since, most_silent_at_));
             // Many silent at once is a cut of ours rather than their fault.
-            const auto bound = in_cut_zone(machine) ? cut_patience : patience;
+            // Without an answer its lease has ended by then, and its replicas are down: they run
+            // elsewhere as soon as its release proves them gone.
+            const auto bound = !in_cut_zone(machine)     ? patience
+                               : holds_replicas(machine) ? std::max(patience, lease_over)
+                                                         : cut_patience;
             // For ever it is not: a fleet that had shrunk to one hanging machine kept its tasks.
             const bool many = most_silent && silent <= std::max(cut_patience, kManySilent);
             if (silent > bound && !many) {
@@ -379,6 +384,11 @@
     return lines;
 }
 
+bool Cluster::holds_replicas(const Machine& machine) const {
+    return std::any_of(machine.holds.begin(), machine.holds.end(),
+                       [&](HoldIx hix) { return jobs_.at(holds_[hix].job).spec.service; });
+}
+
 bool Cluster::only_replicas(const Machine& machine) const {
     return !machine.holds.empty() &&
            std::all_of(machine.holds.begin(), machine.holds.end(),
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -160,6 +160,26 @@
     }
 }
 
+// A zone that is cut off keeps its machines for three leases; its replicas are down after one, so
+// machines that hold some are given up then.
+TEST(Services, ReplicasOfAZoneThatIsCutOffRunElsewhereOnceItsLeasesAreOver) {
+    auto options = services_day(30);
+    options.machines = 20;
+    World world(options);
+    world.set_capacity(30);
+    world.jobs().push_back(service("job-000001", 6, 6000));
+    world.jobs()[0].apart = false;
+    // The controller of the zone must not lead, or it would keep its workers.
+    world.at(8000, [&world] {
+        if (world.leader() == std::optional<std::size_t>(0)) world.crash(0, 2000);
+    });
+    world.at(20'000, [&world] { world.cut_zone("a", "", 22'000, false); });
+    world.advance(38'000);
+    EXPECT_EQ(running(world, "job-000001"), 6);
+    EXPECT_EQ(world.broken(), "");
+    EXPECT_EQ(world.run(), "");
+}
+
 // Random days with services among the other jobs; every rule is checked after each step.
 class ServicesDay : public ::testing::TestWithParam<int> {};
 
