--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -7,7 +7,10 @@
 namespace {
 
 constexpr Millis kTimeout = 4000;
-constexpr std::size_t kMostListed = 20'000;
+constexpr std::size_t kMostListed = 100'000;  // only bounds the memory that a broken list takes
+constexpr std::size_t kPageMachines = 500;    // the protocol's limit
+constexpr int kMostPageTries = 40;
+constexpr Millis kPagePause = 250;
 
 Answer answer_of(const net::HttpReply& reply) {
     if (reply.status == 200) return Answer::Ok;
@@ -62,31 +65,42 @@
          [done = std::move(done)](const net::HttpReply& reply) { done(answer_of(reply)); });
 }
 
-void CloudClient::list(OnListing done) { list_from("", {}, std::move(done)); }
+void CloudClient::list(OnListing done) {
+    auto listing = std::make_shared<Listing>();
+    listing->done = std::move(done);
+    listing->tries_left = kMostPageTries;
+    list_page(listing);
+}
 
-void CloudClient::list_from(const std::string& since, std::vector<core::ListedMachine> so_far,
-                            OnListing done) {
-    std::string target = "/rentals?limit=500";
+void CloudClient::list_page(const std::shared_ptr<Listing>& listing) {
+    std::string target = "/rentals?limit=" + std::to_string(kPageMachines);
+    const auto since = listing->machines.empty() ? "" : listing->machines.back().name;
     if (!since.empty()) target += "&since=" + since;
     call({"GET", std::move(target), ""}, kTimeout,
-         [this, so_far = std::move(so_far), done = std::move(done), since,
+         [this, listing, since,
           alive = std::weak_ptr<bool>(alive_)](const net::HttpReply& reply) mutable {
              if (alive.expired()) return;
+             // A large fleet has more pages than the pace allows at once.
+             const bool paced = reply.status == 429 || (reply.status == 0 && !reply.sent);
+             if (paced && listing->tries_left-- > 0) {
+                 port_.after(kPagePause, [this, listing, alive] {
+                     if (!alive.expired()) list_page(listing);
+                 });
+                 return;
+             }
              auto page =
                  answer_of(reply) == Answer::Ok ? wire::parse_listing(reply.body) : std::nullopt;
              if (!page && reply.status == 200) malformed_.note(port_.now());
-             if (!page) return done(Answer::Trouble, std::move(so_far), {});
-             const bool go_on = page->more && !page->machines.empty() &&
-                                page->machines.back().name > since && so_far.size() < kMostListed;
-             for (auto& m : page->machines) so_far.push_back(std::move(m));
-             if (go_on) {
-                 const auto next = so_far.back().name;
-                 list_from(next, std::move(so_far), std::move(done));
-                 return;
-             }
+             if (!page) return listing->done(Answer::Trouble, std::move(listing->machines), {});
+             const bool go_on =
+                 page->more && !page->machines.empty() && page->machines.back().name > since;
+             for (auto& m : page->machines) listing->machines.push_back(std::move(m));
+             if (go_on && listing->machines.size() < kMostListed) return list_page(listing);
+             // Cut short, it says nothing of those that it lacks.
+             if (go_on) return listing->done(Answer::Trouble, std::move(listing->machines), {});
              std::set<std::string> names;
-             for (const auto& m : so_far) names.insert(m.name);
-             done(Answer::Ok, std::move(so_far), std::move(names));
+             for (const auto& m : listing->machines) names.insert(m.name);
+             listing->done(Answer::Ok, std::move(listing->machines), std::move(names));
          });
 }
 
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -38,8 +38,13 @@
 
   private:
     void call(net::HttpRequest request, Millis deadline, net::OnReply done);
-    void list_from(const std::string& since, std::vector<core::ListedMachine> so_far,
-                   OnListing done);
+    // A list that is being read page by page.
+    struct Listing {
+        std::vector<core::ListedMachine> machines;
+        OnListing done;
+        int tries_left = 0;
+    };
+    void list_page(const std::shared_ptr<Listing>& listing);
     net::Port& port_;
     std::string address_;
     double rps_;
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -15,7 +15,9 @@
 // The grant is counted from when its renewal was sent; drift and rounding are taken off.
 constexpr Millis kGrantMargin = 150;
 constexpr Millis kForwardDeadline = 2500;
-constexpr int kMostForwards = 300;
+// Of the sockets, for reports under way to the leader. Each machine has one report in flight, and
+// an answer takes milliseconds, so this stands for thousands of machines unless nobody answers.
+constexpr std::size_t kForwardSockets = 5;  // one of so many
 constexpr int kMostPassed = 100;
 constexpr Millis kPassDeadline = 1800;
 constexpr Millis kAloneFor = 2500;
@@ -354,6 +356,11 @@
     respond({200, wire::orders_body(answer->token, answer->orders)});
 }
 
+int Controller::most_forwards() const {
+    constexpr std::size_t kLeast = 100;
+    return static_cast<int>(std::max(kLeast, settings_.max_connections / kForwardSockets));
+}
+
 const Sibling* Controller::sibling(const std::string& member) const {
     for (const auto& s : settings_.siblings) {
         if (s.member == member) return &s;
@@ -368,7 +375,7 @@
 void Controller::forward(const core::Report& report, net::Respond respond, bool may_retry) {
     const auto* leader = sibling(known_.member);
     if (leader == nullptr) return respond({503, wire::error_body("no leader is known"), 1});
-    if (forwarding_ >= kMostForwards) {
+    if (forwarding_ >= most_forwards()) {
         return respond({503, wire::error_body("too many reports under way"), 1});
     }
     // A leader that has gone quiet is not worth waiting for at each report: its answer would come
@@ -440,7 +447,7 @@
 // all, so that it can't go round in circles.
 void Controller::pass_relayed(const core::Report& report, const net::Respond& respond) {
     const auto* leader = sibling(known_.member);
-    if (leader == nullptr || leader_is_quiet() || forwarding_ >= kMostForwards) {
+    if (leader == nullptr || leader_is_quiet() || forwarding_ >= most_forwards()) {
         return respond({503, "", 0, false, true});
     }
     send_report(*leader, "/peer/beat", report, kRelayDeadline,
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -61,6 +61,7 @@
 
     void beat(const std::string& body, net::Respond respond);
     [[nodiscard]] bool leader_is_good() const;
+    [[nodiscard]] int most_forwards() const;
     void pass_on(const net::HttpRequest& request, net::Respond respond);
     // Here if this controller leads, or else by the leader. `may_retry`: once more if the leader
     // changes.
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -15,7 +15,8 @@
 constexpr Millis kPlanPause = 3;  // times as long as the last plan took
 constexpr int kCountsFull = 10;   // every so many tellings of counts, all are told
 constexpr Millis kHintsEvery = 8000;
-constexpr std::size_t kHintMachines = 80;  // of each record of images
+constexpr Millis kHintPause = 500;      // between two records of images
+constexpr std::size_t kHintBytes = 90;  // of a machine in such a record
 constexpr Millis kListWait = 6000;
 constexpr Millis kRentSpacing = 700;
 constexpr Millis kRentTrouble = 1500;
@@ -219,16 +220,17 @@
 void Leader::write_hints() {
     // In several records, as one would hold no more than a hundred machines; one at a time, each
     // every 8 s, and only if it changed.
-    const auto parts = with([](core::Cluster& c) { return 1 + c.machine_count() / kHintMachines; });
+    const auto value_bytes = store_.lasting_value_bytes() * 3 / 4;
+    const auto parts = with([&](core::Cluster& c) {
+        return 1 + c.machine_count() / std::max<std::size_t>(1, value_bytes / kHintBytes);
+    });
     const auto now = port_.now();
-    if (now - hints_at_ < kHintsEvery / static_cast<Millis>(parts) || !store_.has_room_for(1)) {
-        return;
-    }
+    const auto pause = std::max(kHintPause, kHintsEvery / static_cast<Millis>(parts));
+    if (now - hints_at_ < pause || !store_.has_room_for(1)) return;
     hints_at_ = now;
     hint_part_ = (hint_part_ + 1) % parts;
     auto value = wire::image_hints_value(
-        with([&](core::Cluster& c) { return c.image_hints(hint_part_, parts); }),
-        store_.lasting_value_bytes() * 3 / 4);
+        with([&](core::Cluster& c) { return c.image_hints(hint_part_, parts); }), value_bytes);
     if (value == hints_[hint_part_]) return;
     hints_[hint_part_] = value;
     store_.txn(store::Lane::Read, {mine()},
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -117,7 +117,7 @@
     Fleet small(32, 1.5);
     Fleet fast(328, 1.5);
     Fleet large(1200, 5);
-    Fleet largest(2000, 5);
+    Fleet largest(4000, 5);
     const auto base = small.work_of_beats(2000);
     EXPECT_LE(fast.work_of_beats(2000), base + base / 10);
     EXPECT_LE(large.work_of_beats(2000), base + base / 10);
@@ -135,7 +135,7 @@
     const auto base = small.steps_with_waiting_jobs(100);
     const auto grown = large.steps_with_waiting_jobs(100);
     EXPECT_LE(grown, base + base / 4 + 200) << base;
-    Fleet largest(2000, 5);
+    Fleet largest(4000, 5);
     EXPECT_LE(largest.steps_with_waiting_jobs(100), base + base / 4 + 200) << base;
     // Twice as much that waits costs at most about twice as much.
     Fleet more(1200, 5);
@@ -146,7 +146,7 @@
 // all that are open.
 TEST(Scale, ChangedJobCostsTheSameHoweverManyAreOpen) {
     const auto work = [](std::size_t jobs) {
-        Fleet fleet(2000, 5);
+        Fleet fleet(4000, 5);
         fleet.steps_with_waiting_jobs(jobs);
         const auto before = fleet.cluster().work();
         for (int i = 0; i < 500; ++i) {
@@ -202,7 +202,45 @@
         return cluster.work();
     };
     const auto base = work(200);
-    EXPECT_LE(work(2000), base * 12);
+    EXPECT_LE(work(4000), base * 24);
+}
+
+// After an end of all controllers 4,000 machines report to a leader that knows records of them all.
+TEST(Scale, TakeOverOfFullRecordsCostsTheSameForEachMachine) {
+    const auto work = [](std::size_t machines) {
+        Names types;
+        Names zones;
+        ClusterSettings settings;
+        settings.teams = {{"core", {}, {}}};
+        settings.token = 2 * kTokensOfALead;
+        Cluster cluster(settings, types, zones);
+        cluster.records_to_come();
+        cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
+        for (std::uint32_t first = 0; first < machines; first += settings.chunk_tasks) {
+            PlaceRecord record;
+            const auto end = std::min<std::size_t>(first + settings.chunk_tasks, machines);
+            for (auto task = first; task < end; ++task) {
+                record.placed.push_back({task, 77, Fleet::name(task), 1});
+            }
+            cluster.load_record("job-100001", first / settings.chunk_tasks, record, 5, 1000);
+        }
+        cluster.records_loaded();
+        for (std::size_t m = 0; m < machines; ++m) {
+            Report report;
+            report.machine = Fleet::name(m);
+            report.endpoint = "10.0.0.1:1";
+            report.type = "box";
+            report.zone = "a";
+            report.session = 1;
+            report.seq = 9;
+            report.token = settings.token;
+            report.tasks = {{"job-100001", static_cast<std::uint32_t>(m), 77}};
+            EXPECT_TRUE(cluster.on_report(report, true, 2000).fresh);
+        }
+        return cluster.work();
+    };
+    const auto base = work(400);
+    EXPECT_LE(work(4000), base * 11);
 }
 
 TEST(Scale, PlanForAnEmptyFleetScoresEachMachineOnceForAJob) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,8 +1,9 @@
-// The client of the state service and its pace.
+// The clients of the state service and of the cloud, and their pace.
 #include <gtest/gtest.h>
 
 #include <map>
 
+#include "cloud/cloud_client.h"
 #include "store/store_client.h"
 
 namespace lichendrift::store {
@@ -42,6 +43,52 @@
     std::multimap<core::Millis, std::function<void()>> timers_;
 };
 
+// A cloud that lists its machines in pages.
+class ListingCloud : public Prompt {
+  public:
+    explicit ListingCloud(std::size_t machines) : machines_(machines) {}
+    void call(const std::string&, net::HttpRequest request, core::Millis,
+              net::OnReply on_reply) override {
+        const auto at = request.target.find("since=host-");
+        const auto first =
+            at == std::string::npos ? 0 : std::stoul(request.target.substr(at + 11)) - 100'000 + 1;
+        const auto last = std::min(first + 500, machines_);
+        std::string items;
+        for (auto m = first; m < last; ++m) {
+            items += (items.empty() ? "" : ",") + std::string(R"({"nameId":"host-)") +
+                     std::to_string(100'000 + m) +
+                     R"(","endpoint":"10.0.0.1:1","modello":"g8","sede":"a","inPrestito":true,)" +
+                     R"("stato":"running","ageS":5.0})";
+        }
+        const auto body = R"({"banchi":[)" + items +
+                          (last < machines_ ? R"(],"more":true})" : R"(],"more":false})");
+        ++pages_;
+        after(80, [on_reply = std::move(on_reply), body] { on_reply({200, body}); });
+    }
+    [[nodiscard]] std::size_t pages() const { return pages_; }
+
+  private:
+    std::size_t machines_;
+    std::size_t pages_ = 0;
+};
+
+// The pages of a large fleet are more than the pace allows at once: the list came to an end at the
+// page that it refused, and so never, and nothing was rented on it.
+TEST(Cloud, ListOfFourThousandMachinesWaitsForThePace) {
+    ListingCloud port(4000);
+    cloud::CloudClient client(port, "cloud:1", 5);
+    client.set_share(0.3);
+    std::size_t listed = 0;
+    client.list([&](cloud::Answer answer, const auto& machines, const auto& names) {
+        EXPECT_EQ(answer, cloud::Answer::Ok);
+        EXPECT_EQ(machines.size(), names.size());
+        listed = names.size();
+    });
+    port.advance(20'000);
+    EXPECT_EQ(listed, 4000U);
+    EXPECT_EQ(port.pages(), 8U);
+}
+
 // Thousands of short tasks use up all changes that a leader may make. Its reads waited behind the
 // changes and expired, and each question that came to it was refused for more than a minute.
 TEST(Store, ReadsGoOnWhileChangesWaitForThePace) {
