--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -359,5 +359,101 @@
     EXPECT_TRUE(cluster_.snapshot(6750, 0).refused.empty());
 }
 
+// With few changes a second, the records of replicas waited behind those of older jobs, were not
+// durable when their leader ended, and were all placed anew by the next.
+TEST_F(ClusterTest, RecordsOfServicesAreWrittenFirst) {
+    beat("host-1", 1, 1000);
+    JobText array;
+    array.id = "job-000001";
+    array.team = "core";
+    array.count = 2;
+    array.cpus = 1;
+    JobText service = array;
+    service.id = "job-000002";
+    service.service = true;
+    cluster_.add_job(array, 1, 1000);
+    cluster_.add_job(service, 2, 1000);
+    Plan plan;
+    plan.starts.push_back({0, {0, 0}, 0, {}});
+    plan.starts.push_back({1, {0, 0}, 0, {}});
+    ASSERT_EQ(cluster_.apply(plan, 1100).starts, 2U);
+    Cluster::RecordLimits urgent;
+    urgent.urgent_only = true;
+    const auto first = cluster_.next_chunk_writes(urgent, false, 1200);
+    ASSERT_EQ(first.size(), 1U);
+    EXPECT_EQ(first[0].job_id, "job-000002");
+    EXPECT_TRUE(first[0].urgent);
+    EXPECT_TRUE(cluster_.next_chunk_writes(urgent, false, 1200).empty());
+    const auto rest = cluster_.next_chunk_writes({}, false, 1200);
+    ASSERT_EQ(rest.size(), 1U);
+    EXPECT_EQ(rest[0].job_id, "job-000001");
+}
+
+// A record that exceeds the limit is divided; the earlier one goes only once the finer ones are
+// durable, and nothing is placed anew for it.
+TEST_F(ClusterTest, RecordThatExceedsTheLimitIsDividedInAFinerLayout) {
+    beat("host-1", 1, 1000);
+    JobText job;
+    job.id = "job-000001";
+    job.team = "core";
+    job.count = 60;
+    job.cpus = 0.1;
+    start_recorded(job, std::vector<MachineIx>(40, 0));
+    Plan plan;
+    plan.starts.push_back({0, std::vector<MachineIx>(10, 0), 0, {}});
+    ASSERT_EQ(cluster_.apply(plan, 1400).starts, 1U);
+    Cluster::RecordLimits limits;
+    limits.value_bytes = 1000;
+    // While a peer may be of an older version the layout stays, whatever the limit.
+    const auto coarse = cluster_.next_chunk_writes(limits, false, 1500);
+    ASSERT_EQ(coarse.size(), 1U);
+    EXPECT_EQ(coarse[0].chunk, 0U);
+    cluster_.chunk_refused(coarse[0], false, 1600);
+    limits.may_refine = true;
+    const auto fine = cluster_.next_chunk_writes(limits, false, 1700);
+    ASSERT_EQ(fine.size(), 3U);
+    std::size_t placed = 0;
+    for (const auto& write : fine) {
+        EXPECT_GE(write.chunk, 1'000'000U);
+        placed += write.record.placed.size();
+    }
+    EXPECT_EQ(placed, 50U);
+    for (const auto& write : fine) {
+        EXPECT_TRUE(cluster_.next_orphans(8).empty());
+        cluster_.chunk_written(write, true, 9, 1800);
+    }
+    EXPECT_EQ(cluster_.next_orphans(8), std::vector<std::string>{"place/job-000001/0"});
+}
+
+// A leader that ended between the two layouts left records of both.
+TEST_F(ClusterTest, RecordsOfBothLayoutsNameEachAttemptOnce) {
+    JobText job;
+    job.id = "job-000001";
+    job.team = "core";
+    job.count = 60;
+    job.cpus = 0.1;
+    cluster_.records_to_come();
+    cluster_.add_job(job, 1, 1000);
+    PlaceRecord earlier;
+    earlier.placed = {{0, 77, "host-1", 1}, {30, 78, "host-1", 1}};
+    earlier.done = {{1, 2}};
+    PlaceRecord finer;
+    finer.placed = {{0, 77, "host-1", 1}, {1, 79, "host-1", 1}};
+    cluster_.load_record("job-000001", 0, earlier, 5, 1000);
+    cluster_.load_record("job-000001", 1'000'000, finer, 6, 1000);
+    cluster_.records_loaded();
+    const auto& loaded = cluster_.jobs().at(0);
+    EXPECT_EQ(loaded.holds.count(0), 1U);
+    EXPECT_EQ(loaded.done, 2U);
+    Cluster::RecordLimits limits;
+    limits.may_refine = true;
+    const auto writes = cluster_.next_chunk_writes(limits, false, 1100);
+    ASSERT_EQ(writes.size(), 2U);
+    EXPECT_EQ(writes[0].chunk, 1'000'000U);
+    EXPECT_EQ(writes[1].chunk, 1'000'001U);
+    for (const auto& write : writes) cluster_.chunk_written(write, true, 9, 1200);
+    EXPECT_EQ(cluster_.next_orphans(8), std::vector<std::string>{"place/job-000001/0"});
+}
+
 }  // namespace
 }  // namespace lichendrift::core
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -225,6 +225,8 @@
     // Requests to the state service so far.
     [[nodiscard]] std::size_t state_requests() const { return state_requests_; }
     void set_capacity(int most) { capacity_ = most; }
+    // As in the protocol, what the cloud has is counted zone by zone.
+    void set_zone_capacity(int most) { zone_capacity_ = most; }
     // By a node of the load balancer's choice, or by the one named first.
     void cancel(Job& job, std::optional<std::size_t> node = std::nullopt);
     // Users call off that many jobs that run, within a fifth of a second; some machines hang.
@@ -378,6 +380,7 @@
     double write_budget_ = 0;
     Millis write_budget_at_ = 0;
     int capacity_ = 12;
+    int zone_capacity_ = 1000;
     std::vector<Job> jobs_;
     std::map<std::string, std::size_t> job_index_;
 };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -132,5 +132,12 @@
     }
 }
 
+TEST(PeerMessages, DamagedVersionsAreRefused) {
+    EXPECT_EQ(decode_version(encode_version(kProtocolVersion)), kProtocolVersion);
+    for (const auto* bytes : {"", "\x80", "\x81\x61x", "\xff", "\x9b\xff\xff\xff\xff"}) {
+        EXPECT_FALSE(decode_version(bytes));
+    }
+}
+
 }  // namespace
 }  // namespace lichendrift::wire
