--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -75,6 +75,14 @@
                      Millis deadline, std::function<void(std::optional<wire::BeatAnswer>)> done);
     void relay(const core::Report& report, net::Respond respond, std::size_t tries);
     void pass_relayed(const core::Report& report, const net::Respond& respond);
+    // Messages of the other controllers.
+    void on_peer_report(const std::string& body, const net::Respond& respond, bool relayed);
+    void on_passed_request(const std::string& body, net::Respond respond);
+    void on_cancellations(const std::string& body, const net::Respond& respond);
+    void on_cancellation_query(const std::string& body, const net::Respond& respond);
+    void on_announcement(const std::string& body, const net::Respond& respond);
+    void on_version(const std::string& body, const net::Respond& respond);
+    void refuse_malformed(const net::Respond& respond);
     void fetch_types();
     void ask_versions();
     [[nodiscard]] bool peers_are_current() const override;
--- /dev/null
+++ b/src/control/leader_records.cpp
@@ -0,0 +1,216 @@
+// What the leader writes to the state service: placement records, terminal states, image hints.
+#include <algorithm>
+
+#include "control/leader.h"
+
+namespace lichendrift::control {
+
+namespace {
+
+constexpr Millis kHintsEvery = 8000;
+constexpr Millis kHintPause = 500;      // between two records of images
+constexpr std::size_t kHintBytes = 90;  // of a machine in such a record
+constexpr std::size_t kRecordBytes = 40'000;
+constexpr int kMostChunkWrites = 2;   // transactions under way
+constexpr int kMostUrgentWrites = 2;  // beyond these, of records that starts of replicas wait for
+
+}  // namespace
+
+bool Leader::lost(const store::TxnResult& result) {
+    if (result.outcome != store::Outcome::Conflict) return false;
+    if (std::find(result.failed.begin(), result.failed.end(), "leader") == result.failed.end()) {
+        return false;
+    }
+    host_.step_down("another leader has won");
+    return true;
+}
+
+void Leader::write() {
+    if (!ready_ || !host_.may_start()) return;
+    write_finals();
+    write_chunks();
+    write_orphans();
+}
+
+// The limits that hold later count as soon as no controller can come that would not understand what
+// is written within them, and at once when the state service shows that they hold.
+core::Cluster::RecordLimits Leader::record_limits() const {
+    const bool may_refine =
+        settings_.guards.current_version && (host_.peers_are_current() || store_.limits_fell());
+    return {store_.txn_ops(), kRecordBytes,
+            may_refine ? store_.lasting_value_bytes() : store_.value_bytes(), may_refine,
+            chunk_writes_ >= kMostChunkWrites};
+}
+
+void Leader::write_chunks() {
+    if (chunk_writes_ >= kMostChunkWrites + kMostUrgentWrites) return;
+    const auto now = port_.now();
+    const bool lazy = store_.has_room_for(store_.txn_ops());
+    auto writes =
+        with([&](core::Cluster& c) { return c.next_chunk_writes(record_limits(), lazy, now); });
+    if (writes.empty()) return;
+    // What waits for its pace must not hold up the start of a replica.
+    const auto lane = writes.front().urgent ? store::Lane::Submit : store::Lane::Place;
+    std::vector<wire::Condition> when{mine()};
+    std::vector<wire::Change> then;
+    for (const auto& w : writes) {
+        const auto key = "place/" + w.job_id + "/" + std::to_string(w.chunk);
+        when.push_back({key, w.rev});
+        // A record that becomes durable after its job is over, late or from a copy that lags, would
+        // be followed by starts.
+        if (settings_.guards.record_of_open) when.push_back({"open/" + w.job_id, w.open_rev});
+        then.push_back({key, wire::place_value(w.record), 0});
+    }
+    ++chunk_writes_;
+    store_.txn(
+        lane, when, then,
+        [self = shared_from_this(), writes = std::move(writes)](const store::TxnResult& result) {
+            --self->chunk_writes_;
+            if (self->stopped_ || self->lost(result)) return;
+            const auto at = self->port_.now();
+            for (const auto& w : writes) {
+                const auto key = "place/" + w.job_id + "/" + std::to_string(w.chunk);
+                const bool clash = result.outcome == store::Outcome::Unknown ||
+                                   std::find(result.failed.begin(), result.failed.end(), key) !=
+                                       result.failed.end();
+                if (clash) {
+                    // In doubt, or an earlier write in doubt came late: read back first.
+                    self->reread(w);
+                    continue;
+                }
+                const bool over = std::find(result.failed.begin(), result.failed.end(),
+                                            "open/" + w.job_id) != result.failed.end();
+                self->with([&](core::Cluster& c) {
+                    if (result.outcome == store::Outcome::Conflict) {
+                        return c.chunk_refused(w, over, at);
+                    }
+                    c.chunk_written(w, result.outcome == store::Outcome::Ok, result.revision, at);
+                });
+                // Which final word it is comes with the next read.
+                if (over) self->feed_.barrier([](bool) {});
+            }
+            self->write();
+            self->dispatch();
+        });
+}
+
+void Leader::reread(const core::ChunkWrite& write) {
+    store_.get(store::Lane::Place, "place/" + write.job_id + "/" + std::to_string(write.chunk),
+               [self = shared_from_this(), write](store::Outcome outcome, const wire::Item& item) {
+                   if (self->stopped_) return;
+                   const auto now = self->port_.now();
+                   if (outcome == store::Outcome::Missing) {
+                       self->with([&](core::Cluster& c) { c.chunk_reread(write, 0, 0, now); });
+                   } else if (auto record = outcome == store::Outcome::Ok
+                                                ? wire::parse_place_value(item.value)
+                                                : std::nullopt) {
+                       self->with([&](core::Cluster& c) {
+                           c.chunk_reread(write, item.rev, record->nonce, now);
+                       });
+                   } else {
+                       self->port_.after(300, [self, write] {
+                           if (!self->stopped_) self->reread(write);
+                       });
+                       return;
+                   }
+                   self->write();
+                   self->dispatch();
+               });
+}
+
+void Leader::write_finals() {
+    while (final_writes_ < 3) {
+        const auto now = port_.now();
+        core::JobText text;
+        auto write = with([&](core::Cluster& c) {
+            auto w = c.next_final_write(store_.txn_ops() - 2, now);
+            if (w && w->with_job) text = c.jobs().at(w->job).text;
+            return w;
+        });
+        if (!write) return;
+        std::vector<wire::Condition> when{
+            mine(), {"open/" + write->job_id, write->open_rev}, {"over/" + write->job_id, 0}};
+        std::vector<wire::Change> then{
+            {"open/" + write->job_id, "", 0},
+            {"over/" + write->job_id,
+             write->with_job ? wire::over_value_within(false, text, store_.lasting_value_bytes())
+                             : wire::over_value(false, nullptr),
+             0}};
+        for (auto chunk : write->chunks) {
+            then.push_back({"place/" + write->job_id + "/" + std::to_string(chunk), "", 0});
+        }
+        ++final_writes_;
+        store_.txn(store::Lane::Place, when, then,
+                   [self = shared_from_this(), write = *write](const store::TxnResult& result) {
+                       --self->final_writes_;
+                       if (self->stopped_ || self->lost(result)) return;
+                       const bool ok = result.outcome == store::Outcome::Ok;
+                       self->with([&](core::Cluster& c) {
+                           c.final_written(write, ok, self->port_.now());
+                       });
+                       if (ok) {
+                           self->host_.log_info("job " + write.job_id + " done");
+                           self->feed_.wrote_final(write.job_id, false, result.revision);
+                       }
+                       self->write();
+                   });
+    }
+}
+
+void Leader::write_orphans() {
+    if (orphan_write_) return;
+    auto keys = with([&](core::Cluster& c) { return c.next_orphans(store_.txn_ops()); });
+    if (keys.empty()) return;
+    std::vector<wire::Change> then;
+    then.reserve(keys.size());
+    for (const auto& key : keys) then.push_back({key, "", 0});
+    orphan_write_ = true;
+    store_.txn(store::Lane::Read, {mine()}, then,
+               [self = shared_from_this(), keys](const store::TxnResult& result) {
+                   self->orphan_write_ = false;
+                   if (self->stopped_ || self->lost(result)) return;
+                   self->with([&](core::Cluster& c) {
+                       c.orphans_removed(keys, result.outcome == store::Outcome::Ok);
+                   });
+               });
+}
+
+void Leader::load_hints() {
+    // Without them a new leader would fetch again what is there, and late starts follow.
+    store_.list(store::Lane::Place, "images/", "",
+                [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& page) {
+                    if (self->stopped_ || outcome != store::Outcome::Ok) return;
+                    for (const auto& item : page.items) {
+                        const auto hints = wire::parse_image_hints_value(item.value);
+                        if (!hints) continue;
+                        self->with([&](core::Cluster& c) {
+                            c.load_image_hints(*hints, self->port_.now());
+                        });
+                    }
+                });
+}
+
+void Leader::write_hints() {
+    // In several records, as one would hold no more than a hundred machines; one at a time, each
+    // every 8 s, and only if it changed.
+    const auto value_bytes = store_.lasting_value_bytes() * 3 / 4;
+    const auto parts = with([&](core::Cluster& c) {
+        return 1 + c.machine_count() / std::max<std::size_t>(1, value_bytes / kHintBytes);
+    });
+    const auto now = port_.now();
+    const auto pause = std::max(kHintPause, kHintsEvery / static_cast<Millis>(parts));
+    if (now - hints_at_ < pause || !store_.has_room_for(1)) return;
+    hints_at_ = now;
+    hint_part_ = (hint_part_ + 1) % parts;
+    auto value = wire::image_hints_value(
+        with([&](core::Cluster& c) { return c.image_hints(hint_part_, parts); }), value_bytes);
+    if (value == hints_[hint_part_]) return;
+    hints_[hint_part_] = value;
+    store_.txn(store::Lane::Read, {mine()},
+               {{"images/" + std::to_string(hint_part_), std::move(value), 0}},
+               [self = shared_from_this()](const store::TxnResult& result) {
+                   if (!self->stopped_) self->lost(result);
+               });
+}
+
+}  // namespace lichendrift::control
--- /dev/null
+++ b/src/control/leader_takeover.cpp
@@ -0,0 +1,131 @@
+// How a new leader reads what its predecessors left.
+#include <charconv>
+
+#include "control/leader.h"
+
+namespace lichendrift::control {
+
+void Leader::load_jobs() {
+    feed_.barrier([self = shared_from_this()](bool ok) {
+        if (self->stopped_) return;
+        if (!ok) {
+            self->port_.after(200, [self] {
+                if (!self->stopped_) self->load_jobs();
+            });
+            return;
+        }
+        self->jobs_read_ = true;
+        const auto now = self->port_.now();
+        self->with([&](core::Cluster& c) {
+            c.records_to_come();
+            for (const auto& [id, job] : self->feed_.all_open()) {
+                c.add_job(job.text, job.rev, now, false, self->age_of(job.text));
+            }
+        });
+        self->feed_.follow(
+            {[self](const core::JobText& text, std::uint64_t rev) {
+                 if (self->stopped_) return;
+                 self->with([&](core::Cluster& c) {
+                     c.add_job(text, rev, self->port_.now(), false, self->age_of(text));
+                 });
+                 self->host_.log_info("job " + text.id + " (" + text.cls + ") is open, " +
+                                      std::to_string(text.count) + " tasks");
+                 self->changed();
+             },
+             [self](const std::string& id, bool aborted) {
+                 if (self->stopped_) return;
+                 self->with([&](core::Cluster& c) { c.job_over(id, aborted, self->port_.now()); });
+                 self->changed();
+             }});
+        self->load_places("");
+    });
+}
+
+void Leader::load_places(const std::string& since) {
+    store_.list(
+        store::Lane::Leadership, "place/", since,
+        [self = shared_from_this(), since](store::Outcome outcome, const wire::ItemPage& page) {
+            if (self->stopped_) return;
+            if (outcome != store::Outcome::Ok) {
+                self->port_.after(200, [self, since] {
+                    if (!self->stopped_) self->load_places(since);
+                });
+                return;
+            }
+            std::string last;
+            for (const auto& item : page.items) {
+                last = item.key;
+                const auto slash = item.key.rfind('/');
+                Place place;
+                place.job = item.key.substr(6, slash - 6);
+                const char* end = item.key.data() + item.key.size();
+                const auto number = std::from_chars(item.key.data() + slash + 1, end, place.chunk);
+                auto record = wire::parse_place_value(item.value);
+                if (!record || number.ptr != end) {
+                    self->host_.log_info("record " + item.key + " is not readable");
+                    continue;
+                }
+                place.record = std::move(*record);
+                place.rev = item.rev;
+                self->places_.push_back(std::move(place));
+            }
+            if (page.more && !last.empty()) return self->load_places(last);
+            for (const auto& place : self->places_) {
+                const bool known =
+                    self->with([&](core::Cluster& c) { return c.has_job(place.job); });
+                if (!known && (self->closed_.empty() || self->closed_.back() != place.job)) {
+                    self->closed_.push_back(place.job);
+                }
+            }
+            self->load_over(0);
+        });
+}
+
+void Leader::load_over(std::size_t at) {
+    if (at >= closed_.size()) return loaded();
+    const auto id = closed_[at];
+    store_.get(store::Lane::Leadership, "over/" + id,
+               [self = shared_from_this(), id, at](store::Outcome outcome, const wire::Item& item) {
+                   if (self->stopped_) return;
+                   if (outcome == store::Outcome::Ok) {
+                       auto over = wire::parse_over_value(id, item.value);
+                       if (over && over->job) {
+                           self->with([&](core::Cluster& c) {
+                               c.add_job(*over->job, 0, self->port_.now(), true);
+                           });
+                       }
+                   } else if (outcome != store::Outcome::Missing) {
+                       self->port_.after(200, [self, at] {
+                           if (!self->stopped_) self->load_over(at);
+                       });
+                       return;
+                   }
+                   self->load_over(at + 1);
+               });
+}
+
+void Leader::loaded() {
+    const auto now = port_.now();
+    with([&](core::Cluster& c) {
+        for (const auto& place : places_) {
+            if (c.has_job(place.job)) {
+                c.load_record(place.job, place.chunk, place.record, place.rev, now);
+            } else {
+                // All its tasks are done, or it was never accepted: nothing can be on a machine.
+                c.add_orphan("place/" + place.job + "/" + std::to_string(place.chunk));
+            }
+        }
+        c.records_loaded();
+    });
+    host_.log_info("take-over complete: " + std::to_string(feed_.all_open().size()) +
+                   " open jobs, " + std::to_string(places_.size()) + " records");
+    places_.clear();
+    places_.shrink_to_fit();
+    load_hints();
+    ready_ = true;
+    hints_at_ = now;
+    ready_at_ = now;
+    tick();
+}
+
+}  // namespace lichendrift::control
