--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kMost = 1e9;  // of any amount; more can only be a slip, and would overflow later
 constexpr std::size_t kLeastNextOperations = 2;
-constexpr std::size_t kLeastSockets = 40;  // what the process itself, its siblings and region need
+constexpr std::size_t kLeastSockets = 40;  // what the process itself, its peers and region need
 
 class Reader {
   public:
@@ -167,14 +167,14 @@
     in.address(file, "", "peer_bind", s.peer_bind);
     std::set<std::string> members{s.member};
     for (const auto& [t, at] : in.tables(file, "", "siblings")) {
-        control::Sibling sibling;
-        in.text(*t, at, "member", sibling.member);
-        in.text(*t, at, "location", sibling.location);
-        in.address(*t, at, "peer_addr", sibling.address);
-        if (!members.insert(sibling.member).second) {
-            in.bad(at, "member", "'" + sibling.member + "' is there twice");
+        control::Peer peer;
+        in.text(*t, at, "member", peer.member);
+        in.text(*t, at, "location", peer.location);
+        in.address(*t, at, "peer_addr", peer.address);
+        if (!members.insert(peer.member).second) {
+            in.bad(at, "member", "'" + peer.member + "' is there twice");
         }
-        s.siblings.push_back(std::move(sibling));
+        s.peers.push_back(std::move(peer));
     }
     if (const auto* external = in.table(file, "", "external")) {
         in.address(*external, "external", "cloud", s.cloud);
@@ -183,13 +183,13 @@
     if (!s.listen.empty() && s.listen == s.peer_bind) {
         in.bad("", "peer_bind", "expected another address than listen");
     }
-    s.size = s.siblings.size() + 1;
+    s.size = s.peers.size() + 1;
     if (const auto* t = in.table(file, "", "settings")) {
         if (t->contains("size")) in.count(*t, "settings", "size", s.size);
-        if (s.size < s.siblings.size() + 1) {
+        if (s.size < s.peers.size() + 1) {
             in.bad("settings", "size",
-                   "expected at least " + std::to_string(s.siblings.size() + 1) +
-                       ", this controller and its siblings");
+                   "expected at least " + std::to_string(s.peers.size() + 1) +
+                       ", this controller and its peers");
         }
         if (t->contains("skew_ms")) in.number(*t, "settings", "skew_ms", 0, s.skew_ms);
         const auto* zones = t->get_as<toml::array>("zones");
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -33,12 +33,12 @@
       settings_(std::move(settings)),
       store_(port, store_settings(settings_)),
       cloud_(port, settings_.cloud, settings_.cloud_rps),
-      feed_(port, store_),
-      users_(port, settings_, store_, feed_) {
+      job_watcher_(port, store_),
+      users_(port, settings_, store_, job_watcher_) {
     store_.set_share(follower_share(settings_));
-    outboxes_.resize(settings_.siblings.size());
-    peer_is_current_.resize(settings_.siblings.size());
-    feed_.on_cancelled([this](const wire::Cancellation& word) { tell_cancelled(word); });
+    outboxes_.resize(settings_.peers.size());
+    peer_is_current_.resize(settings_.peers.size());
+    job_watcher_.on_cancelled([this](const wire::Cancellation& word) { tell_cancelled(word); });
 }
 
 Controller::~Controller() {
@@ -52,7 +52,7 @@
             "lease_s leaves no time below cancel_s: cut off for long, a leader may keep work "
             "that was cancelled elsewhere for longer than cancel_s");
     }
-    feed_.start();
+    job_watcher_.start();
     look();
     fetch_types();
     if (settings_.guards.current_version) ask_versions();
@@ -90,7 +90,7 @@
         // A node that can pass requests on serves users as well as any other: being taken out of
         // turn would cost them more. One that reaches neither state service nor leader must go,
         // or users would be refused here for as long as the cut lasts.
-        if (!feed_.ever_loaded() && !leader_is_good()) {
+        if (!job_watcher_.ever_loaded() && !leader_is_good()) {
             return respond({503, wire::error_body("not ready")});
         }
         const bool deaf = known_.heard_at > 0 && port_.now() - known_.heard_at > kLeaderFresh;
@@ -108,7 +108,7 @@
 }
 
 void Controller::pass_on(const net::HttpRequest& request, net::Respond respond) {
-    const auto* leader = sibling(known_.member);
+    const auto* leader = peer(known_.member);
     if (leader == nullptr || passing_ >= kMostPassed) {
         return respond({503, wire::error_body("the state service does not answer"), 1});
     }
@@ -132,8 +132,8 @@
     return !leader_ && known_.store_good && port_.now() - known_.heard_at < kLeaderFresh;
 }
 
-const Sibling* Controller::sibling(const std::string& member) const {
-    for (const auto& s : settings_.siblings) {
+const Peer* Controller::peer(const std::string& member) const {
+    for (const auto& s : settings_.peers) {
         if (s.member == member) return &s;
     }
     return nullptr;
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -8,7 +8,7 @@
 
 namespace lichendrift::control {
 
-// One controller node: election, the users' interface, beats and the link to its siblings.
+// One controller node: election, the users' interface, beats and the link to its peers.
 // Everything it does to the world goes through the port.
 class Controller : private LeaderHost {
   public:
@@ -20,7 +20,7 @@
     void handle(const net::HttpRequest& request, net::Respond respond);
     // Requests of the other controllers.
     void handle_peer(const net::HttpRequest& request, net::Respond respond);
-    // Users' requests, here or passed on, wait for reports, health checks and siblings.
+    // Users' requests, here or passed on, wait for reports, health checks and peers.
     static bool can_wait(const net::HttpRequest& request);
 
     [[nodiscard]] bool leading() const { return leader_ != nullptr; }
@@ -69,10 +69,11 @@
     void forward(const core::Report& report, net::Respond respond, bool may_retry);
     void unanswered(const net::Respond& respond) const;
     // For a worker that would try the silent leader next: the controller behind it.
-    [[nodiscard]] const Sibling* past_silent_leader() const;
+    [[nodiscard]] const Peer* past_silent_leader() const;
     [[nodiscard]] bool leader_is_quiet() const;
-    void send_report(const Sibling& to, const char* target, const core::Report& report,
-                     Millis deadline, std::function<void(std::optional<wire::BeatAnswer>)> done);
+    void send_report(const Peer& to, const char* target, const core::Report& report,
+                     Millis deadline,
+                     std::function<void(std::optional<wire::HeartbeatAnswer>)> done);
     void relay(const core::Report& report, net::Respond respond, std::size_t tries);
     void pass_relayed(const core::Report& report, const net::Respond& respond);
     // Messages of the other controllers.
@@ -89,22 +90,22 @@
     void announce(const std::vector<wire::JobCounts>& counts, bool all);
     // Cancellations that the state service does not tell this node of.
     void tell_cancelled(const wire::Cancellation& word);
-    void send_cancelled(std::size_t sibling);
+    void send_cancelled(std::size_t peer);
     // Up to when this node surely knows every cancellation that any node has told.
     [[nodiscard]] Millis cancellations_known_at() const {
-        return std::max(feed_.read_at(), siblings_know_at_);
+        return std::max(job_watcher_.read_at(), peers_know_at_);
     }
     void watch_over_cancellations();
     void ask_for_cancellations();
     void hear_cancelled(const wire::CancellationNews& news);
-    [[nodiscard]] const Sibling* sibling(const std::string& member) const;
+    [[nodiscard]] const Peer* peer(const std::string& member) const;
     [[nodiscard]] std::string prefix() const;
 
     net::Port& port_;
     Settings settings_;
     store::StoreClient store_;
     cloud::CloudClient cloud_;
-    Feed feed_;
+    JobWatcher job_watcher_;
     UserApi users_;
     std::shared_ptr<Leader> leader_;
     std::uint64_t grant_ = 0;
@@ -118,18 +119,18 @@
     int forwarding_ = 0;
     Millis forward_tried_ = -100000;
     Millis relay_failed_at_ = -100000;
-    std::size_t relay_at_ = 0;  // the sibling that worked last
+    std::size_t relay_at_ = 0;  // the peer that worked last
     int passing_ = 0;
-    struct Outbox {  // of cancellations, for one sibling
+    struct Outbox {  // of cancellations, for one peer
         std::vector<wire::Cancellation> waiting;
         int under_way = 0;
     };
     std::vector<Outbox> outboxes_;
     std::vector<bool> peer_is_current_;  // told its version, and it is not older than this one
-    Millis siblings_know_at_ = 0;        // up to when all siblings together vouch for cancellations
+    Millis peers_know_at_ = 0;           // up to when all peers together vouch for cancellations
     bool renewals_held_ = false;
     net::Malformed malformed_workers_{"a worker"};
-    net::Malformed malformed_siblings_{"a sibling"};
+    net::Malformed malformed_peers_{"a peer"};
     bool asking_types_ = false;
 };
 
--- a/src/control/controller_election.cpp
+++ b/src/control/controller_election.cpp
@@ -93,7 +93,7 @@
                                campaigning_ = false;
                                return looked(store::Outcome::Unknown, {});
                            }
-                           // The next block of tokens; the key holds the last one of a block.
+                           // The next block of tokens; the key allocations the last one of a block.
                            const auto highest = std::max(token, highest_token_);
                            stand(grant, sent, leader_rev,
                                  (highest / core::kTokensOfALead + 1) * core::kTokensOfALead, rev);
@@ -131,10 +131,10 @@
     store_.set_share(kLeaderShare);
     cloud_.set_share(0.8);
     valid_until_ = sent + kLeaderLease - kLeaderLeaseMargin;
-    leader_ = std::make_shared<Leader>(port_, settings_, store_, cloud_, feed_,
+    leader_ = std::make_shared<Leader>(port_, settings_, store_, cloud_, job_watcher_,
                                        static_cast<LeaderHost&>(*this), token, rev);
     log_info("won the election");
-    siblings_know_at_ = 0;
+    peers_know_at_ = 0;
     renewals_held_ = false;
     leader_->start(users_.types());
     announce({}, false);
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr int kMostTellings = 4;  // of cancellations under way to one sibling
+constexpr int kMostTellings = 4;  // of cancellations under way to one peer
 constexpr std::size_t kMostToTell = 1000;
 constexpr Millis kTellDeadline = 1500;
-constexpr Millis kAskEvery = 500;  // the siblings for cancellations, while the copy is old
+constexpr Millis kAskEvery = 500;  // the peers for cancellations, while the copy is old
 constexpr Millis kCopyIsOld = 1200;
 constexpr Millis kRunOnCopy = 1200;           // no run is sent on a copy that is older
 constexpr std::size_t kMostCancelled = 2000;  // in one answer
@@ -43,7 +43,7 @@
 }
 
 void Controller::refuse_malformed(const net::Respond& respond) {
-    malformed_siblings_.note(port_.now());
+    malformed_peers_.note(port_.now());
     respond(peer_answer(400));
 }
 
@@ -56,7 +56,7 @@
     if (!leader_) return respond(peer_answer(503));
     const auto answer = leader_->beat(*report);
     if (!answer) return respond(peer_answer(503));
-    respond(peer_answer(200, wire::encode_beat_answer(*answer)));
+    respond(peer_answer(200, wire::encode_heartbeat_answer(*answer)));
 }
 
 // A user's request that its controller can't answer, as the state service refuses it alone. It is
@@ -82,8 +82,8 @@
 void Controller::on_cancellation_query(const std::string& body, const net::Respond& respond) {
     const auto since = wire::decode_cancellation_query(body);
     if (!since) return refuse_malformed(respond);
-    wire::CancellationNews news{feed_.cancellations_from(),
-                                feed_.cancelled_after(*since, kMostCancelled)};
+    wire::CancellationNews news{job_watcher_.cancellations_from(),
+                                job_watcher_.cancelled_after(*since, kMostCancelled)};
     // Cut short, it says nothing of the rest.
     if (news.cancelled.size() >= kMostCancelled) {
         news.from = std::numeric_limits<std::uint64_t>::max();
@@ -118,7 +118,7 @@
     announced_at_ = port_.now();
     const auto body = wire::encode_announcement(
         {settings_.member, leader_->token(), store_.responsive() && may_start(), all, counts});
-    for (const auto& s : settings_.siblings) {
+    for (const auto& s : settings_.peers) {
         port_.call(s.address, {"POST", "/peer/leader", body}, 1500, [](const net::HttpReply&) {});
     }
 }
@@ -130,12 +130,12 @@
 void Controller::ask_versions() {
     for (std::size_t i = 0; i < peer_is_current_.size(); ++i) {
         if (peer_is_current_[i]) continue;
-        port_.call(settings_.siblings[i].address,
+        port_.call(settings_.peers[i].address,
                    {"POST", "/peer/version", wire::encode_version(wire::kProtocolVersion)},
                    kVersionDeadline, [this, i](const net::HttpReply& reply) {
                        if (reply.status != 200 || peer_is_current_[i]) return;
                        const auto version = wire::decode_version(reply.body);
-                       if (!version) return malformed_siblings_.note(port_.now());
+                       if (!version) return malformed_peers_.note(port_.now());
                        if (*version < wire::kProtocolVersion) return;
                        peer_is_current_[i] = true;
                        if (peers_are_current()) log_info("all controllers are of this version");
@@ -164,22 +164,22 @@
     }
 }
 
-void Controller::send_cancelled(std::size_t sibling) {
-    auto& box = outboxes_[sibling];
+void Controller::send_cancelled(std::size_t peer) {
+    auto& box = outboxes_[peer];
     if (box.waiting.empty() || box.under_way >= kMostTellings) return;
     ++box.under_way;
-    port_.call(settings_.siblings[sibling].address,
+    port_.call(settings_.peers[peer].address,
                {"POST", "/peer/cancelled",
                 wire::encode_cancellation_news({0, std::exchange(box.waiting, {})})},
-               kTellDeadline, [this, sibling](const net::HttpReply&) {
-                   --outboxes_[sibling].under_way;
-                   send_cancelled(sibling);
+               kTellDeadline, [this, peer](const net::HttpReply&) {
+                   --outboxes_[peer].under_way;
+                   send_cancelled(peer);
                });
 }
 
 void Controller::hear_cancelled(const wire::CancellationNews& news) {
     for (const auto& word : news.cancelled) {
-        if (wire::valid_job_id(word.id)) feed_.heard_cancelled(word);
+        if (wire::valid_job_id(word.id)) job_watcher_.heard_cancelled(word);
     }
 }
 
@@ -188,31 +188,31 @@
     port_.after(kAskEvery, [this, number] {
         if (number != election_ || !leader_) return;
         watch_over_cancellations();
-        const auto age = port_.read_clock() - feed_.read_at();
+        const auto age = port_.read_clock() - job_watcher_.read_at();
         // Without users nothing else brings the copy up in time.
-        if (age > kAskEvery) feed_.barrier([](bool) {});
+        if (age > kAskEvery) job_watcher_.barrier([](bool) {});
         if (age > kCopyIsOld) ask_for_cancellations();
     });
 }
 
 void Controller::ask_for_cancellations() {
     if (!settings_.guards.cancels_told) return;
-    // What a sibling tells later than now has cancel_s from then on; so once all have answered,
+    // What a peer tells later than now has cancel_s from then on; so once all have answered,
     // everything told before now is known. One that has forgotten, or is not there, covers nothing.
     const auto sent = port_.read_clock();
-    const auto since = feed_.revision();
-    auto left = std::make_shared<std::size_t>(settings_.siblings.size());
-    if (settings_.siblings.empty()) siblings_know_at_ = sent;
-    for (const auto& s : settings_.siblings) {
+    const auto since = job_watcher_.revision();
+    auto left = std::make_shared<std::size_t>(settings_.peers.size());
+    if (settings_.peers.empty()) peers_know_at_ = sent;
+    for (const auto& s : settings_.peers) {
         port_.call(s.address,
                    {"POST", "/peer/cancellations", wire::encode_cancellation_query(since)},
                    kTellDeadline, [this, sent, since, left](const net::HttpReply& reply) {
                        if (reply.status != 200) return;
                        const auto news = wire::decode_cancellation_news(reply.body);
-                       if (!news) return malformed_siblings_.note(port_.now());
+                       if (!news) return malformed_peers_.note(port_.now());
                        hear_cancelled(*news);
                        if (news->from > since || --*left > 0) return;
-                       siblings_know_at_ = std::max(siblings_know_at_, sent);
+                       peers_know_at_ = std::max(peers_know_at_, sent);
                    });
     }
 }
--- a/src/control/controller_reports.cpp
+++ b/src/control/controller_reports.cpp
@@ -33,7 +33,7 @@
     if (!leader_) return forward(report, std::move(respond), may_retry);
     auto answer = leader_->beat(report);
     if (!answer) return respond({503, wire::error_body("not the leader"), 1});
-    respond({200, wire::orders_body(answer->token, answer->orders)});
+    respond({200, wire::commands_body(answer->token, answer->commands)});
 }
 
 int Controller::most_forwards() const {
@@ -46,7 +46,7 @@
 }
 
 void Controller::forward(const core::Report& report, net::Respond respond, bool may_retry) {
-    const auto* leader = sibling(known_.member);
+    const auto* leader = peer(known_.member);
     if (leader == nullptr) return respond({503, wire::error_body("no leader is known"), 1});
     if (forwarding_ >= most_forwards()) {
         return respond({503, wire::error_body("too many reports under way"), 1});
@@ -61,9 +61,9 @@
     const bool short_of_time = quiet || !may_retry;
     send_report(*leader, "/peer/beat", report, short_of_time ? kRelayDeadline : kForwardDeadline,
                 [this, report, respond, asked = known_.token,
-                 may_retry](std::optional<wire::BeatAnswer> answer) mutable {
+                 may_retry](std::optional<wire::HeartbeatAnswer> answer) mutable {
                     if (answer) {
-                        return respond({200, wire::orders_body(answer->token, answer->orders)});
+                        return respond({200, wire::commands_body(answer->token, answer->commands)});
                     }
                     // Another leader has come while the old one was waited for.
                     if (may_retry && (leader_ || known_.token != asked)) {
@@ -75,16 +75,16 @@
                 });
 }
 
-void Controller::send_report(const Sibling& to, const char* target, const core::Report& report,
+void Controller::send_report(const Peer& to, const char* target, const core::Report& report,
                              Millis deadline,
-                             std::function<void(std::optional<wire::BeatAnswer>)> done) {
+                             std::function<void(std::optional<wire::HeartbeatAnswer>)> done) {
     ++forwarding_;
     port_.call(to.address, {"POST", target, wire::encode_report(report)}, deadline,
                [this, token = report.token, done = std::move(done)](const net::HttpReply& reply) {
                    --forwarding_;
-                   auto answer =
-                       reply.status == 200 ? wire::decode_beat_answer(reply.body) : std::nullopt;
-                   if (reply.status == 200 && !answer) malformed_siblings_.note(port_.now());
+                   auto answer = reply.status == 200 ? wire::decode_heartbeat_answer(reply.body)
+                                                     : std::nullopt;
+                   if (reply.status == 200 && !answer) malformed_peers_.note(port_.now());
                    // An answer with a lower token would be dropped and keep the worker here.
                    if (answer && answer->token < token) answer.reset();
                    done(std::move(answer));
@@ -92,10 +92,10 @@
 }
 
 // The way to the leader may be closed from here and open from another node, as when two zones can't
-// reach each other: the report goes round by a sibling.
+// reach each other: the report goes round by a peer.
 void Controller::relay(const core::Report& report, net::Respond respond, std::size_t tries) {
-    std::vector<const Sibling*> others;
-    for (const auto& s : settings_.siblings) {
+    std::vector<const Peer*> others;
+    for (const auto& s : settings_.peers) {
         if (s.member != known_.member) others.push_back(&s);
     }
     // While nobody leads each report would otherwise ask all the others.
@@ -108,25 +108,26 @@
         return unanswered(respond);
     }
     const auto at = (relay_at_ + tries) % others.size();
-    send_report(*others[at], "/peer/relay", report, quiet ? kRelayDeadline : kRelayDeadline / 2,
-                [this, report, respond, tries, at](std::optional<wire::BeatAnswer> answer) mutable {
-                    if (!answer) return relay(report, std::move(respond), tries + 1);
-                    relay_at_ = at;
-                    respond({200, wire::orders_body(answer->token, answer->orders)});
-                });
+    send_report(
+        *others[at], "/peer/relay", report, quiet ? kRelayDeadline : kRelayDeadline / 2,
+        [this, report, respond, tries, at](std::optional<wire::HeartbeatAnswer> answer) mutable {
+            if (!answer) return relay(report, std::move(respond), tries + 1);
+            relay_at_ = at;
+            respond({200, wire::commands_body(answer->token, answer->commands)});
+        });
 }
 
 // Another node's report that could not reach the leader; it goes to the leader from here or not at
 // all, so that it can't go round in circles.
 void Controller::pass_relayed(const core::Report& report, const net::Respond& respond) {
-    const auto* leader = sibling(known_.member);
+    const auto* leader = peer(known_.member);
     if (leader == nullptr || leader_is_quiet() || forwarding_ >= most_forwards()) {
         return respond({503, "", 0, false, true});
     }
     send_report(*leader, "/peer/beat", report, kRelayDeadline,
-                [respond](std::optional<wire::BeatAnswer> answer) {
+                [respond](std::optional<wire::HeartbeatAnswer> answer) {
                     if (!answer) return respond({503, "", 0, false, true});
-                    respond({200, wire::encode_beat_answer(*answer), 0, false, true});
+                    respond({200, wire::encode_heartbeat_answer(*answer), 0, false, true});
                 });
 }
 
@@ -135,7 +136,7 @@
     // that has ended must not be named, as its worker would lose seconds of its lease there: one
     // that is quiet for longer than its grant lasts, while the state service still shows it, is up.
     const auto quiet = port_.now() - std::max(known_.heard_at, known_.seen_at);
-    if (store_.responsive() && quiet > kLeaderLease + 1000 && sibling(known_.member) != nullptr) {
+    if (store_.responsive() && quiet > kLeaderLease + 1000 && peer(known_.member) != nullptr) {
         return respond({421, wire::redirect_body(known_.member), 1});
     }
     if (const auto* next = past_silent_leader()) {
@@ -147,16 +148,16 @@
 // After a 503 a worker tries the next controller. If that is the silent leader, it waits there
 // until its deadline, and with the time spent here its lease ends just after the next leader has
 // come. So it is sent on to the controller behind.
-const Sibling* Controller::past_silent_leader() const {
+const Peer* Controller::past_silent_leader() const {
     std::vector<std::string> ring{settings_.member};
-    for (const auto& peer : settings_.siblings) ring.push_back(peer.member);
+    for (const auto& peer : settings_.peers) ring.push_back(peer.member);
     std::sort(ring.begin(), ring.end());
     const auto self = std::find(ring.begin(), ring.end(), settings_.member) - ring.begin();
     const auto after = [&](std::ptrdiff_t steps) {
         return ring[static_cast<std::size_t>(self + steps) % ring.size()];
     };
     if (ring.size() < 3 || !leader_is_quiet() || after(1) != known_.member) return nullptr;
-    return sibling(after(2));
+    return peer(after(2));
 }
 
 }  // namespace lichendrift::control
--- a/src/control/feed.cpp
+++ b/src/control/job_watcher.cpp
@@ -1,4 +1,4 @@
-#include "control/feed.h"
+#include "control/job_watcher.h"
 
 #include <utility>
 
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-Feed::Feed(net::Port& port, store::StoreClient& store) : port_(port), store_(store) {}
+JobWatcher::JobWatcher(net::Port& port, store::StoreClient& store) : port_(port), store_(store) {}
 
-void Feed::start() {
+void JobWatcher::start() {
     load("", {}, 0);
     keep_up();
 }
 
-void Feed::keep_up() {
+void JobWatcher::keep_up() {
     // Without users the copy would fall behind what the state service keeps of changes.
     port_.after(3000, [this] {
         if (loaded_ && !asking_ && waiting_.empty() && port_.now() - asked_at_ > 2500) {
@@ -32,8 +32,8 @@
     });
 }
 
-void Feed::load(const std::string& since, std::map<std::string, Open> so_far,
-                std::uint64_t revision) {
+void JobWatcher::load(const std::string& since, std::map<std::string, Open> so_far,
+                      std::uint64_t revision) {
     loading_ = true;
     if (revision == 0) load_sent_ = port_.now();
     store_.list(store::Lane::Place, std::string(kOpen), since,
@@ -62,7 +62,7 @@
                 });
 }
 
-void Feed::loaded_at(std::map<std::string, Open> jobs, std::uint64_t revision) {
+void JobWatcher::loaded_at(std::map<std::string, Open> jobs, std::uint64_t revision) {
     const auto before = std::move(open_);
     open_ = std::move(jobs);
     // Read page by page, a job may have ended since its page; a final word never changes.
@@ -84,18 +84,18 @@
     ask();
 }
 
-const Feed::Open* Feed::open(const std::string& id) const {
+const JobWatcher::Open* JobWatcher::open(const std::string& id) const {
     auto it = open_.find(id);
     return it == open_.end() ? nullptr : &it->second;
 }
 
-std::optional<bool> Feed::final_word(const std::string& id) const {
+std::optional<bool> JobWatcher::final_word(const std::string& id) const {
     auto it = finals_.find(id);
     if (it == finals_.end()) return std::nullopt;
     return it->second;
 }
 
-void Feed::remember_final(const std::string& id, bool aborted, std::uint64_t rev) {
+void JobWatcher::remember_final(const std::string& id, bool aborted, std::uint64_t rev) {
     if (!finals_.emplace(id, aborted).second) return;
     final_order_.push_back(id);
     if (aborted) {
@@ -111,21 +111,21 @@
     }
 }
 
-void Feed::wrote_open(const core::JobText& text, std::uint64_t rev) {
+void JobWatcher::wrote_open(const core::JobText& text, std::uint64_t rev) {
     // The watch may have told of this, and of what came after, already.
     if (rev <= revision_ || finals_.contains(text.id)) return;
     open_[text.id] = {text, rev};
     if (listener_) listener_->on_open(text, rev);
 }
 
-void Feed::wrote_final(const std::string& id, bool aborted, std::uint64_t rev) {
+void JobWatcher::wrote_final(const std::string& id, bool aborted, std::uint64_t rev) {
     remember_final(id, aborted, rev);
     open_.erase(id);
     if (listener_) listener_->on_over(id, aborted);
     if (aborted && tell_cancelled_) tell_cancelled_({rev, id});
 }
 
-Feed::Cancellations Feed::cancelled_after(std::uint64_t rev, std::size_t most) const {
+JobWatcher::Cancellations JobWatcher::cancelled_after(std::uint64_t rev, std::size_t most) const {
     Cancellations out;
     for (auto it = cancellations_.rbegin(); it != cancellations_.rend() && out.size() < most;
          ++it) {
@@ -134,7 +134,7 @@
     return out;
 }
 
-void Feed::heard_cancelled(const wire::Cancellation& word) {
+void JobWatcher::heard_cancelled(const wire::Cancellation& word) {
     // A final word never changes, so it can be believed whoever passes it on.
     if (finals_.contains(word.id)) return;
     remember_final(word.id, true, word.rev);
@@ -142,7 +142,7 @@
     if (listener_) listener_->on_over(word.id, true);
 }
 
-void Feed::apply(const wire::ItemPage& page) {
+void JobWatcher::apply(const wire::ItemPage& page) {
     for (const auto& item : page.items) {
         if (item.rev <= revision_) continue;
         if (item.key.starts_with(kOpen)) {
@@ -169,7 +169,7 @@
     revision_ = std::max(revision_, page.revision);
 }
 
-void Feed::barrier(std::function<void(bool)> done) {
+void JobWatcher::barrier(std::function<void(bool)> done) {
     if (!store_.responsive() || waiting_.size() >= kMostWaiting) {
         port_.after(0, [done = std::move(done)] { done(false); });
         return;
@@ -178,7 +178,7 @@
     ask();
 }
 
-void Feed::ask() {
+void JobWatcher::ask() {
     if (!loaded_ || asking_ || ask_timer_ || waiting_.empty()) {
         if (!loaded_ && !waiting_.empty()) answer(std::exchange(waiting_, {}), false);
         return;
@@ -195,7 +195,7 @@
     issue();
 }
 
-void Feed::issue() {
+void JobWatcher::issue() {
     asking_ = true;
     asked_at_ = port_.now();
     auto waiting = std::move(waiting_);
@@ -217,12 +217,12 @@
                  });
 }
 
-void Feed::answer(const std::vector<std::function<void(bool)>>& waiting, bool ok) {
+void JobWatcher::answer(const std::vector<std::function<void(bool)>>& waiting, bool ok) {
     for (auto& done : waiting) done(ok);
 }
 
-void Feed::lookup_final(const std::string& id,
-                        std::function<void(store::Outcome, std::optional<bool>)> done) {
+void JobWatcher::lookup_final(const std::string& id,
+                              std::function<void(store::Outcome, std::optional<bool>)> done) {
     auto [it, fresh] = lookups_.try_emplace(id);
     it->second.push_back(std::move(done));
     if (!fresh) return;
@@ -242,18 +242,18 @@
                });
 }
 
-void Feed::follow(Listener listener) {
+void JobWatcher::follow(Listener listener) {
     listener_ = std::move(listener);
     ++follow_number_;
     long_watch();
 }
 
-void Feed::unfollow() {
+void JobWatcher::unfollow() {
     listener_.reset();
     ++follow_number_;
 }
 
-void Feed::long_watch() {
+void JobWatcher::long_watch() {
     const auto number = follow_number_;
     const auto sent = port_.now();
     store_.watch(store::Lane::Place, "o", revision_, 8000,
--- a/src/control/feed.h
+++ b/src/control/job_watcher.h
@@ -18,7 +18,7 @@
 
 // This node's copy of the open jobs and of final words. The copy may be old; barrier() brings it
 // up to a moment after its call, so that no user gets an answer older than one given before.
-class Feed {
+class JobWatcher {
   public:
     struct Open {
         core::JobText text;
@@ -29,7 +29,7 @@
         std::function<void(const std::string&, bool aborted)> on_over;
     };
 
-    Feed(net::Port& port, store::StoreClient& store);
+    JobWatcher(net::Port& port, store::StoreClient& store);
     void start();
 
     // Calls back with true once everything that the state service had applied at the time of the
@@ -46,7 +46,7 @@
     void wrote_final(const std::string& id, bool aborted, std::uint64_t rev);
 
     // The cancellations that this node has learned of, so that one that can't read the state
-    // service learns of them from its siblings.
+    // service learns of them from its peers.
     using Cancellations = std::vector<wire::Cancellation>;
     [[nodiscard]] Cancellations cancelled_after(std::uint64_t rev, std::size_t most) const;
     // No cancellation of a later revision that any run of this node may have told is missing above.
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -23,13 +23,13 @@
 }  // namespace
 
 Leader::Leader(net::Port& port, const Settings& settings, store::StoreClient& store,
-               cloud::CloudClient& cloud, Feed& feed, LeaderHost& host, std::uint64_t token,
-               std::uint64_t leader_rev)
+               cloud::CloudClient& cloud, JobWatcher& job_watcher, LeaderHost& host,
+               std::uint64_t token, std::uint64_t leader_rev)
     : port_(port),
       settings_(settings),
       store_(store),
       cloud_(cloud),
-      feed_(feed),
+      job_watcher_(job_watcher),
       host_(host),
       token_(token),
       leader_rev_(leader_rev) {
@@ -69,7 +69,7 @@
 
 void Leader::stop() {
     stopped_ = true;
-    feed_.unfollow();
+    job_watcher_.unfollow();
 }
 
 void Leader::tick() {
@@ -111,23 +111,23 @@
     ask_plan();
 }
 
-std::optional<wire::BeatAnswer> Leader::beat(const core::Report& report) {
+std::optional<wire::HeartbeatAnswer> Leader::beat(const core::Report& report) {
     if (report.token >= token_ + core::kTokensOfALead) {
         host_.step_down("a worker has seen token " + std::to_string(report.token));
         return std::nullopt;
     }
-    if (!ready_) return beat_before_ready(report);
+    if (!ready_) return heartbeat_before_ready(report);
     const auto now = port_.now();
     // A lease that nobody can vouch for ends: work on that machine may have been called off.
     const bool may_renew = host_.may_renew_leases();
     const bool may_start = host_.may_run();
-    core::BeatOutcome outcome;
-    wire::BeatAnswer answer{token_, {}};
+    core::ReportOutcome outcome;
+    wire::HeartbeatAnswer answer{token_, {}};
     with([&](core::Cluster& c) {
         outcome = c.on_report(report, true, now);
-        // A late copy gets no orders: nobody waits for its answer.
+        // A late copy gets no commands: nobody waits for its answer.
         if (may_renew && outcome.fresh && !c.calling(report.machine)) {
-            answer.orders = c.beat_orders(report.machine, report.seq, may_start, now);
+            answer.commands = c.heartbeat_commands(report.machine, report.seq, may_start, now);
         }
         answer.token = c.token_for(report.machine);
     });
@@ -139,15 +139,18 @@
 // Before the records are read nothing may be concluded; the answer raises the token. Yet a state
 // service that goes out now would keep this leader from reading them, and it would renew leases
 // under work that was called off: what is known to be over is stopped by name.
-std::optional<wire::BeatAnswer> Leader::beat_before_ready(const core::Report& report) const {
+std::optional<wire::HeartbeatAnswer> Leader::heartbeat_before_ready(
+    const core::Report& report) const {
     if (!host_.may_renew_leases()) return std::nullopt;
-    wire::BeatAnswer answer{token_, {}};
+    wire::HeartbeatAnswer answer{token_, {}};
     if (!settings_.guards.cancels_known) return answer;
     for (const auto& task : report.tasks) {
-        if (task.phase == core::TaskPhase::Exited || feed_.open(task.job) != nullptr) continue;
-        // Read since this lead began, the copy holds every job that an earlier one started.
-        if (!jobs_read_ && !feed_.final_word(task.job)) return std::nullopt;
-        answer.orders.push_back({core::Order::Kind::Halt, task.job, task.task, task.attempt, 0});
+        if (task.phase == core::TaskPhase::Exited || job_watcher_.open(task.job) != nullptr)
+            continue;
+        // Read since this lead began, the copy allocations every job that an earlier one started.
+        if (!jobs_read_ && !job_watcher_.final_word(task.job)) return std::nullopt;
+        answer.commands.push_back(
+            {core::Command::Kind::Halt, task.job, task.task, task.attempt, 0});
     }
     return answer;
 }
@@ -169,7 +172,7 @@
     const auto now = port_.now();
     const auto most = kMostDirect - calls_open_;
     for (const auto& name :
-         with([&](core::Cluster& c) { return c.machines_with_orders(may_start, most, now); })) {
+         with([&](core::Cluster& c) { return c.machines_with_commands(may_start, most, now); })) {
         direct(name);
     }
 }
@@ -177,43 +180,45 @@
 void Leader::direct(const std::string& machine) {
     const auto now = port_.now();
     const bool may_start = host_.may_run();
-    auto orders = with([&](core::Cluster& c) { return c.direct_orders(machine, may_start, now); });
-    if (orders.endpoint.empty()) return;
+    auto commands =
+        with([&](core::Cluster& c) { return c.direct_commands(machine, may_start, now); });
+    if (commands.endpoint.empty()) return;
     // A machine that was never heard is in its first session, or says so in its answer.
-    if (orders.session == 0) orders.session = 1;
+    if (commands.session == 0) commands.session = 1;
     ++calls_open_;
-    port_.call(orders.endpoint,
-               {"POST", "/do", wire::direct_body(orders.token, orders.session, orders.orders)},
-               kDirectDeadline, [self = shared_from_this(), orders](const net::HttpReply& reply) {
-                   --self->calls_open_;
-                   if (self->stopped_) return;
-                   const auto at = self->port_.now();
-                   using Result = core::Cluster::DirectResult;
-                   auto report = reply.status == 200 || reply.status == 409
-                                     ? wire::parse_report(reply.body)
-                                     : std::nullopt;
-                   if (reply.status == 200 && !report) self->malformed_.note(at);
-                   if (report && report->machine != orders.machine) report.reset();
-                   const auto result = reply.status == 200 ? Result::Executed
-                                       : reply.status == 409 || reply.status == 400 ||
-                                               (reply.status == 0 && !reply.sent)
-                                           ? Result::NotExecuted
-                                           : Result::NoAnswer;
-                   core::BeatOutcome outcome;
-                   self->with([&](core::Cluster& c) {
-                       c.direct_result(orders, result, at);
-                       if (report) outcome = c.on_report(*report, false, at);
-                   });
-                   if (outcome.superseded) {
-                       return self->host_.step_down("a worker has seen a higher token");
-                   }
-                   if (outcome.changed) self->changed();
-                   // The next ones that were kept waiting by the bound on calls under way.
-                   if (self->calls_open_ + 1 == kMostDirect) {
-                       self->dispatch();
-                       self->sync_machines();
-                   }
-               });
+    port_.call(
+        commands.endpoint,
+        {"POST", "/do", wire::direct_body(commands.token, commands.session, commands.commands)},
+        kDirectDeadline, [self = shared_from_this(), commands](const net::HttpReply& reply) {
+            --self->calls_open_;
+            if (self->stopped_) return;
+            const auto at = self->port_.now();
+            using Result = core::Cluster::DirectResult;
+            auto report = reply.status == 200 || reply.status == 409
+                              ? wire::parse_report(reply.body)
+                              : std::nullopt;
+            if (reply.status == 200 && !report) self->malformed_.note(at);
+            if (report && report->machine != commands.machine) report.reset();
+            const auto result =
+                reply.status == 200 ? Result::Executed
+                : reply.status == 409 || reply.status == 400 || (reply.status == 0 && !reply.sent)
+                    ? Result::NotExecuted
+                    : Result::NoAnswer;
+            core::ReportOutcome outcome;
+            self->with([&](core::Cluster& c) {
+                c.direct_result(commands, result, at);
+                if (report) outcome = c.on_report(*report, false, at);
+            });
+            if (outcome.superseded) {
+                return self->host_.step_down("a worker has seen a higher token");
+            }
+            if (outcome.changed) self->changed();
+            // The next ones that were kept waiting by the bound on calls under way.
+            if (self->calls_open_ + 1 == kMostDirect) {
+                self->dispatch();
+                self->sync_machines();
+            }
+        });
 }
 
 void Leader::ask_plan() {
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "cloud/cloud_client.h"
-#include "control/feed.h"
+#include "control/job_watcher.h"
 #include "control/settings.h"
 #include "core/cluster.h"
 #include "net/malformed.h"
@@ -33,18 +33,18 @@
     virtual void counts_found(std::vector<wire::JobCounts> counts, bool all) = 0;
 };
 
-// One term of leadership: the cluster's picture, planning, records, orders, rentals. Made when
+// One term of leadership: the cluster's picture, planning, records, commands, rentals. Made when
 // the election is won and dropped when it is lost.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(net::Port& port, const Settings& settings, store::StoreClient& store,
-           cloud::CloudClient& cloud, Feed& feed, LeaderHost& host, std::uint64_t token,
-           std::uint64_t leader_rev);
+           cloud::CloudClient& cloud, JobWatcher& job_watcher, LeaderHost& host,
+           std::uint64_t token, std::uint64_t leader_rev);
 
     void start(const std::vector<core::MachineType>& known_types);
     void stop();
     // Empty: a higher token was seen and this leader must step down, or it must not renew leases.
-    std::optional<wire::BeatAnswer> beat(const core::Report& report);
+    std::optional<wire::HeartbeatAnswer> beat(const core::Report& report);
     [[nodiscard]] std::uint64_t token() const { return token_; }
     [[nodiscard]] bool ready() const { return ready_; }
 
@@ -96,7 +96,7 @@
         return {"leader", leader_rev_};
     }
     bool lost(const store::TxnResult& result);
-    [[nodiscard]] std::optional<wire::BeatAnswer> beat_before_ready(
+    [[nodiscard]] std::optional<wire::HeartbeatAnswer> heartbeat_before_ready(
         const core::Report& report) const;
     [[nodiscard]] Millis age_of(const core::JobText& job) {
         return port_.wall_ms() - job.submitted_ms;
@@ -106,7 +106,7 @@
     const Settings& settings_;
     store::StoreClient& store_;
     cloud::CloudClient& cloud_;
-    Feed& feed_;
+    JobWatcher& job_watcher_;
     LeaderHost& host_;
     std::uint64_t token_;
     std::uint64_t leader_rev_;
@@ -144,7 +144,7 @@
     struct Place {
         std::string job;
         std::uint32_t chunk = 0;
-        core::PlaceRecord record;
+        core::PlacementRecord record;
         std::uint64_t rev = 0;
     };
     std::vector<Place> places_;
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -59,7 +59,7 @@
         // A record that becomes durable after its job is over, late or from a copy that lags, would
         // be followed by starts.
         if (settings_.guards.record_of_open) when.push_back({"open/" + w.job_id, w.open_rev});
-        then.push_back({key, wire::place_value(w.record), 0});
+        then.push_back({key, wire::placement_value(w.record), 0});
     }
     ++chunk_writes_;
     store_.txn(
@@ -87,7 +87,7 @@
                     c.chunk_written(w, result.outcome == store::Outcome::Ok, result.revision, at);
                 });
                 // Which final word it is comes with the next read.
-                if (over) self->feed_.barrier([](bool) {});
+                if (over) self->job_watcher_.barrier([](bool) {});
             }
             self->write();
             self->dispatch();
@@ -102,7 +102,7 @@
                    if (outcome == store::Outcome::Missing) {
                        self->with([&](core::Cluster& c) { c.chunk_reread(write, 0, 0, now); });
                    } else if (auto record = outcome == store::Outcome::Ok
-                                                ? wire::parse_place_value(item.value)
+                                                ? wire::parse_placement_value(item.value)
                                                 : std::nullopt) {
                        self->with([&](core::Cluster& c) {
                            c.chunk_reread(write, item.rev, record->nonce, now);
@@ -150,7 +150,7 @@
                        });
                        if (ok) {
                            self->host_.log_info("job " + write.job_id + " done");
-                           self->feed_.wrote_final(write.job_id, false, result.revision);
+                           self->job_watcher_.wrote_final(write.job_id, false, result.revision);
                        }
                        self->write();
                    });
--- a/src/control/leader_takeover.cpp
+++ b/src/control/leader_takeover.cpp
@@ -6,7 +6,7 @@
 namespace lichendrift::control {
 
 void Leader::load_jobs() {
-    feed_.barrier([self = shared_from_this()](bool ok) {
+    job_watcher_.barrier([self = shared_from_this()](bool ok) {
         if (self->stopped_) return;
         if (!ok) {
             self->port_.after(200, [self] {
@@ -18,11 +18,11 @@
         const auto now = self->port_.now();
         self->with([&](core::Cluster& c) {
             c.records_to_come();
-            for (const auto& [id, job] : self->feed_.all_open()) {
+            for (const auto& [id, job] : self->job_watcher_.all_open()) {
                 c.add_job(job.text, job.rev, now, false, self->age_of(job.text));
             }
         });
-        self->feed_.follow(
+        self->job_watcher_.follow(
             {[self](const core::JobText& text, std::uint64_t rev) {
                  if (self->stopped_) return;
                  self->with([&](core::Cluster& c) {
@@ -60,7 +60,7 @@
                 place.job = item.key.substr(6, slash - 6);
                 const char* end = item.key.data() + item.key.size();
                 const auto number = std::from_chars(item.key.data() + slash + 1, end, place.chunk);
-                auto record = wire::parse_place_value(item.value);
+                auto record = wire::parse_placement_value(item.value);
                 if (!record || number.ptr != end) {
                     self->host_.log_info("record " + item.key + " is not readable");
                     continue;
@@ -117,7 +117,7 @@
         }
         c.records_loaded();
     });
-    host_.log_info("take-over complete: " + std::to_string(feed_.all_open().size()) +
+    host_.log_info("take-over complete: " + std::to_string(job_watcher_.all_open().size()) +
                    " open jobs, " + std::to_string(places_.size()) + " records");
     places_.clear();
     places_.shrink_to_fit();
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -8,7 +8,7 @@
 
 namespace lichendrift::control {
 
-struct Sibling {
+struct Peer {
     std::string member;
     std::string location;
     std::string address;
@@ -37,7 +37,7 @@
     std::string location;
     std::string listen;
     std::string peer_bind;
-    std::vector<Sibling> siblings;
+    std::vector<Peer> peers;
     std::string cloud;
     std::string state;
     std::size_t size = 1;
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-UserApi::UserApi(net::Port& port, const Settings& settings, store::StoreClient& store, Feed& feed)
-    : port_(port), settings_(settings), store_(store), feed_(feed) {}
+UserApi::UserApi(net::Port& port, const Settings& settings, store::StoreClient& store,
+                 JobWatcher& job_watcher)
+    : port_(port), settings_(settings), store_(store), job_watcher_(job_watcher) {}
 
 void UserApi::set_counts(const std::vector<wire::JobCounts>& counts, bool all) {
     if (all) counts_.clear();
@@ -71,7 +72,7 @@
     }
     if (team == nullptr) return "unknown team";
     const auto up = [](double v) { return static_cast<std::int64_t>(std::ceil(v * 1000 - 1e-6)); };
-    const core::Room need{up(job.cpus), up(job.gpus), up(job.mem_gb)};
+    const core::Resources need{up(job.cpus), up(job.gpus), up(job.mem_gb)};
     bool fits = false;
     for (const auto& type : types_) {
         if (job.types &&
@@ -82,7 +83,7 @@
             std::find(type.zones.begin(), type.zones.end(), *job.zone) == type.zones.end()) {
             continue;
         }
-        fits |= type.room.holds(need);
+        fits |= type.room.covers(need);
     }
     if (!fits) return "a task fits no allowed machine type";
     const auto all = need.times(job.gang || job.service ? job.count : 1);
@@ -102,20 +103,20 @@
         return respond({400, wire::error_body(*error)});
     }
     auto& job = std::get<core::JobText>(parsed);
-    if (auto final_word = feed_.final_word(job.id)) {
+    if (auto final_word = job_watcher_.final_word(job.id)) {
         return respond({200, wire::job_answer(job.id, word(*final_word))});
     }
-    if (feed_.open(job.id) != nullptr) return poll(job.id, std::move(respond), true);
+    if (job_watcher_.open(job.id) != nullptr) return poll(job.id, std::move(respond), true);
     if (!store_.responsive()) return refuse(respond, "the state service does not answer");
     if (types_.empty()) return refuse(respond, "machine types are not known yet");
     if (auto reason = check(job); !reason.empty()) {
         // A job that was accepted once is never refused: prices, types and teams may change.
         const auto id = job.id;
-        feed_.barrier([this, id, reason, respond = std::move(respond)](bool ok) mutable {
+        job_watcher_.barrier([this, id, reason, respond = std::move(respond)](bool ok) mutable {
             if (!ok) return refuse(respond, "the state service does not answer");
-            if (feed_.open(id) != nullptr) return answer_open(id, respond);
-            feed_.lookup_final(id, [this, id, reason, respond](store::Outcome outcome,
-                                                               std::optional<bool> aborted) {
+            if (job_watcher_.open(id) != nullptr) return answer_open(id, respond);
+            job_watcher_.lookup_final(id, [this, id, reason, respond](store::Outcome outcome,
+                                                                      std::optional<bool> aborted) {
                 if (aborted) return respond({200, wire::job_answer(id, word(*aborted))});
                 if (outcome != store::Outcome::Missing) {
                     return refuse(respond, "the state service does not answer");
@@ -186,7 +187,7 @@
             for (auto& respond : node.mapped()) responds.push_back(std::move(respond));
         }
         if (result.outcome == store::Outcome::Ok) {
-            feed_.wrote_open(submission.job, result.revision);
+            job_watcher_.wrote_open(submission.job, result.revision);
             for (std::size_t i = 0; i < responds.size(); ++i) {
                 responds[i]({i == 0 ? 201 : 200, wire::job_answer(id, "pending")});
             }
@@ -216,17 +217,17 @@
 }
 
 void UserApi::poll(const std::string& id, net::Respond respond, bool submission) {
-    if (auto aborted = feed_.final_word(id)) {
+    if (auto aborted = job_watcher_.final_word(id)) {
         return respond({200, wire::job_answer(id, word(*aborted))});
     }
-    if (!settings_.guards.fresh_reads && feed_.open(id) != nullptr) {
+    if (!settings_.guards.fresh_reads && job_watcher_.open(id) != nullptr) {
         return answer_open(id, respond);
     }
-    feed_.barrier([this, id, submission, respond = std::move(respond)](bool ok) {
+    job_watcher_.barrier([this, id, submission, respond = std::move(respond)](bool ok) {
         if (!ok) return refuse(respond, "the state service does not answer");
-        if (feed_.open(id) != nullptr) return answer_open(id, respond);
-        feed_.lookup_final(id, [this, id, submission, respond](store::Outcome outcome,
-                                                               std::optional<bool> aborted) {
+        if (job_watcher_.open(id) != nullptr) return answer_open(id, respond);
+        job_watcher_.lookup_final(id, [this, id, submission, respond](store::Outcome outcome,
+                                                                      std::optional<bool> aborted) {
             if (aborted) return respond({200, wire::job_answer(id, word(*aborted))});
             if (outcome != store::Outcome::Missing || submission) {
                 return refuse(respond, "the state service does not answer");
@@ -237,12 +238,12 @@
 }
 
 void UserApi::cancel(const std::string& id, net::Respond respond, int tries) {
-    if (auto aborted = feed_.final_word(id)) {
+    if (auto aborted = job_watcher_.final_word(id)) {
         return respond({200, wire::job_answer(id, word(*aborted))});
     }
-    feed_.barrier([this, id, tries, respond = std::move(respond)](bool ok) mutable {
+    job_watcher_.barrier([this, id, tries, respond = std::move(respond)](bool ok) mutable {
         if (!ok) return refuse(respond, "the state service does not answer");
-        const auto* open = feed_.open(id);
+        const auto* open = job_watcher_.open(id);
         if (open == nullptr) return poll(id, std::move(respond), false);
         // The job's description stays with the final word: its tasks count until they are gone.
         store_.txn(store::Lane::Submit, {{"open/" + id, open->rev}, {"over/" + id, 0}},
@@ -252,7 +253,7 @@
                    [this, id, tries,
                     respond = std::move(respond)](const store::TxnResult& result) mutable {
                        if (result.outcome == store::Outcome::Ok) {
-                           feed_.wrote_final(id, true, result.revision);
+                           job_watcher_.wrote_final(id, true, result.revision);
                            return respond({200, wire::job_answer(id, "aborted")});
                        }
                        if (result.outcome == store::Outcome::Conflict && tries > 0) {
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <unordered_map>
 
-#include "control/feed.h"
+#include "control/job_watcher.h"
 #include "control/settings.h"
 #include "wire/cbor_messages.h"
 
@@ -14,7 +14,8 @@
 // state service alone. What can't be taken is refused at once with 503 and Retry-After.
 class UserApi {
   public:
-    UserApi(net::Port& port, const Settings& settings, store::StoreClient& store, Feed& feed);
+    UserApi(net::Port& port, const Settings& settings, store::StoreClient& store,
+            JobWatcher& job_watcher);
 
     void handle(const net::HttpRequest& request, net::Respond respond);
     void set_types(std::vector<core::MachineType> types) { types_ = std::move(types); }
@@ -42,7 +43,7 @@
     net::Port& port_;
     const Settings& settings_;
     store::StoreClient& store_;
-    Feed& feed_;
+    JobWatcher& job_watcher_;
     std::vector<core::MachineType> types_;
     std::unordered_map<std::string, std::pair<std::uint32_t, std::uint32_t>> counts_;
     std::deque<Submission> queue_;
--- a/src/core/holds.cpp
+++ b/src/core/allocations.cpp
@@ -13,64 +13,64 @@
 
 }  // namespace
 
-HoldIx Cluster::new_hold(const Hold& h) {
-    HoldIx ix;
-    if (free_holds_.empty()) {
-        ix = static_cast<HoldIx>(holds_.size());
-        holds_.push_back(h);
+AllocationIndex Cluster::add_allocation(const Allocation& h) {
+    AllocationIndex ix;
+    if (free_allocations_.empty()) {
+        ix = static_cast<AllocationIndex>(allocations_.size());
+        allocations_.push_back(h);
     } else {
-        ix = free_holds_.back();
-        free_holds_.pop_back();
-        holds_[ix] = h;
+        ix = free_allocations_.back();
+        free_allocations_.pop_back();
+        allocations_[ix] = h;
     }
     Job& job = jobs_[h.job];
-    job.holds.emplace(h.task, ix);
-    machines_[h.machine].holds.push_back(ix);
+    job.allocations.emplace(h.task, ix);
+    machines_[h.machine].allocations.push_back(ix);
     machines_[h.machine].used += job.spec.need;
     attention_.insert(h.machine);
-    if (job.spec.team != kNone) team_used_[job.spec.team] += job.spec.need;
+    if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] += job.spec.need;
     return ix;
 }
 
-void Cluster::release(HoldIx ix, bool requeue, Millis now) {
-    const Hold h = holds_[ix];
+void Cluster::release(AllocationIndex ix, bool requeue, Millis now) {
+    const Allocation h = allocations_[ix];
     Job& job = jobs_[h.job];
     Machine& machine = machines_[h.machine];
-    std::erase(machine.holds, ix);
+    std::erase(machine.allocations, ix);
     machine.used -= job.spec.need;
-    if (machine.holds.empty()) machine.idle_since = now;
-    if (job.spec.team != kNone) team_used_[job.spec.team] -= job.spec.need;
-    auto [from, to] = job.holds.equal_range(h.task);
+    if (machine.allocations.empty()) machine.idle_since = now;
+    if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] -= job.spec.need;
+    auto [from, to] = job.allocations.equal_range(h.task);
     for (auto it = from; it != to; ++it) {
         if (it->second == ix) {
-            job.holds.erase(it);
+            job.allocations.erase(it);
             break;
         }
     }
-    holds_[ix] = Hold{};
-    free_holds_.push_back(ix);
-    if (requeue && !job.over && job.done_flags[h.task] == 0 && !job.holds.contains(h.task)) {
+    allocations_[ix] = Allocation{};
+    free_allocations_.push_back(ix);
+    if (requeue && !job.over && job.done_flags[h.task] == 0 && !job.allocations.contains(h.task)) {
         if (h.task < job.next_fresh) job.again.insert(h.task);
-        if (job.holds.empty() || !job.spec.gang) job.waiting_since = now;
+        if (job.allocations.empty() || !job.spec.gang) job.waiting_since = now;
         // One task of a gang is gone: the rest cannot go on without it.
         if (job.spec.gang && job.done == 0) {
-            std::vector<HoldIx> rest;
-            for (auto& [task, other] : job.holds) rest.push_back(other);
+            std::vector<AllocationIndex> rest;
+            for (auto& [task, other] : job.allocations) rest.push_back(other);
             for (auto other : rest) {
-                if (holds_[other].job == h.job) stop_hold(other, 0, now);
+                if (allocations_[other].job == h.job) stop_allocation(other, 0, now);
             }
         }
     }
     drop_if_gone(h.job);
 }
 
-void Cluster::release_all(MachineIx mix, std::uint64_t below_session, Millis now) {
+void Cluster::release_all(MachineIndex mix, std::uint64_t below_session, Millis now) {
     // Releasing one may release others of its gang, so the list is read anew each time.
     for (bool again = true; again;) {
         again = false;
-        for (auto hix : machines_[mix].holds) {
-            if (holds_[hix].session < below_session) {
-                release(hix, true, now);
+        for (auto allocation_index : machines_[mix].allocations) {
+            if (allocations_[allocation_index].session < below_session) {
+                release(allocation_index, true, now);
                 again = true;
                 break;
             }
@@ -78,9 +78,9 @@
     }
 }
 
-void Cluster::drop_if_gone(JobIx ix) {
+void Cluster::drop_if_gone(JobIndex ix) {
     auto it = jobs_.find(ix);
-    if (it == jobs_.end() || !it->second.over || !it->second.holds.empty()) return;
+    if (it == jobs_.end() || !it->second.over || !it->second.allocations.empty()) return;
     if (records_to_come_ && settings_.guards.kept_until_loaded) return;
     for (auto& [number, chunk] : it->second.chunks) {
         // A write in flight may still create the record: removing it later is harmless.
@@ -92,7 +92,7 @@
     jobs_.erase(it);
 }
 
-void Cluster::mark_done(JobIx ix, std::uint32_t task, Millis now) {
+void Cluster::mark_done(JobIndex ix, std::uint32_t task, Millis now) {
     Job& job = jobs_[ix];
     // A replica of a service that has ended runs again.
     if (job.spec.service) return;
@@ -113,9 +113,9 @@
     if (job.done == job.spec.count) all_done_.insert(ix);
 }
 
-void Cluster::stop_hold(HoldIx ix, double grace_s, Millis now) {
-    Hold& h = holds_[ix];
-    if (h.state == Hold::State::Planned || h.state == Hold::State::Ready) {
+void Cluster::stop_allocation(AllocationIndex ix, double grace_s, Millis now) {
+    Allocation& h = allocations_[ix];
+    if (h.state == Allocation::State::Planned || h.state == Allocation::State::Ready) {
         // Nothing was sent, so it can be taken back at once.
         release(ix, true, now);
         return;
@@ -133,32 +133,32 @@
 // A run that was sent and surely comes to nothing. What is to be stopped by now is over with it:
 // kept as one to be sent, it would be neither sent nor halted and would count against its machine
 // for ever.
-void Cluster::run_came_to_nothing(HoldIx ix, Millis now) {
-    Hold& h = holds_[ix];
+void Cluster::run_came_to_nothing(AllocationIndex ix, Millis now) {
+    Allocation& h = allocations_[ix];
     if (h.stop) {
         release(ix, true, now);
         return;
     }
-    h.state = Hold::State::Ready;
+    h.state = Allocation::State::Ready;
     attention_.insert(h.machine);
 }
 
-void Cluster::stop_with_gang(HoldIx ix, double grace_s, Millis now) {
-    Job& job = jobs_[holds_[ix].job];
+void Cluster::stop_with_gang(AllocationIndex ix, double grace_s, Millis now) {
+    Job& job = jobs_[allocations_[ix].job];
     if (!job.spec.gang) {
-        stop_hold(ix, grace_s, now);
+        stop_allocation(ix, grace_s, now);
         return;
     }
-    const auto jix = holds_[ix].job;
-    std::vector<HoldIx> all;
-    for (auto& [task, other] : job.holds) all.push_back(other);
+    const auto jix = allocations_[ix].job;
+    std::vector<AllocationIndex> all;
+    for (auto& [task, other] : job.allocations) all.push_back(other);
     for (auto other : all) {
-        if (holds_[other].job == jix) stop_hold(other, grace_s, now);
+        if (allocations_[other].job == jix) stop_allocation(other, grace_s, now);
     }
 }
 
-void Cluster::on_exit(HoldIx ix, const TaskReport& task, Millis now) {
-    const Hold h = holds_[ix];
+void Cluster::on_exit(AllocationIndex ix, const TaskReport& task, Millis now) {
+    const Allocation h = allocations_[ix];
     Job& job = jobs_[h.job];
     Machine& machine = machines_[h.machine];
     if (job.spec.service && (task.why == ExitWhy::Done || task.why == ExitWhy::Error)) {
@@ -189,9 +189,9 @@
 }
 
 // A replica that ended runs again at once. One that ends again and again within a short time backs
-// off by itself, so that it holds up none of the others and uses no starts that they need.
-void Cluster::note_replica_exit(HoldIx ix, bool failed, Millis now) {
-    const Hold h = holds_[ix];
+// off by itself, so that it allocations up none of the others and uses no starts that they need.
+void Cluster::note_replica_exit(AllocationIndex ix, bool failed, Millis now) {
+    const Allocation h = allocations_[ix];
     Job& job = jobs_[h.job];
     const auto ran = h.running_since > 0 ? now - h.running_since : 0;
     auto& failures = job.replica_failures[h.task];
@@ -216,24 +216,25 @@
         const auto [due, jix, task] = *resting_.begin();
         resting_.erase(resting_.begin());
         const auto found = jobs_.find(jix);
-        if (found == jobs_.end() || found->second.holds.contains(task)) continue;
+        if (found == jobs_.end() || found->second.allocations.contains(task)) continue;
         found->second.again.insert(task);
     }
 }
 
 // From a machine that is going to be given up, the replicas are moved before it goes: they would
 // keep it for ever, as they never end by themselves, or be lost with it.
-void Cluster::stop_replicas(MachineIx mix, Millis now) {
-    const auto held = machines_[mix].holds;
-    for (auto hix : held) {
-        const Hold& h = holds_[hix];
-        if (h.job != kNone && !h.stop && jobs_[h.job].spec.service) stop_hold(hix, 0, now);
+void Cluster::stop_replicas(MachineIndex mix, Millis now) {
+    const auto held = machines_[mix].allocations;
+    for (auto allocation_index : held) {
+        const Allocation& h = allocations_[allocation_index];
+        if (h.job != kInvalidIndex && !h.stop && jobs_[h.job].spec.service)
+            stop_allocation(allocation_index, 0, now);
     }
 }
 
 std::uint32_t Cluster::waiting(const Job& job) const {
-    if (job.over || job.finishing || job.spec.team == kNone) return 0;
-    if (job.spec.gang) return job.holds.empty() && job.done == 0 ? job.spec.count : 0;
+    if (job.over || job.finishing || job.spec.team == kInvalidIndex) return 0;
+    if (job.spec.gang) return job.allocations.empty() && job.done == 0 ? job.spec.count : 0;
     return static_cast<std::uint32_t>(job.again.size()) + (job.spec.count - job.next_fresh);
 }
 
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -69,7 +69,7 @@
             if (const auto t = types_.intern(type); t < 64) spec.types |= 1ULL << t;
         }
     }
-    spec.zone = text.zone ? zones_.intern(*text.zone) : kNone;
+    spec.zone = text.zone ? zones_.intern(*text.zone) : kInvalidIndex;
     spec.one_zone = text.one_zone;
     spec.apart = text.apart;
     spec.spot = text.spot;
@@ -118,14 +118,14 @@
     job.over = true;
     job.aborted = aborted;
     job.finishing = false;
-    std::vector<HoldIx> held;
-    for (auto& [task, hix] : job.holds) held.push_back(hix);
-    for (auto hix : held) {
-        Hold& h = hold(hix);
-        if (h.state == Hold::State::Planned || h.state == Hold::State::Ready) {
-            release(hix, false, now);
+    std::vector<AllocationIndex> held;
+    for (auto& [task, allocation_index] : job.allocations) held.push_back(allocation_index);
+    for (auto allocation_index : held) {
+        Allocation& h = hold(allocation_index);
+        if (h.state == Allocation::State::Planned || h.state == Allocation::State::Ready) {
+            release(allocation_index, false, now);
         } else if (aborted) {
-            stop_hold(hix, 0, now);
+            stop_allocation(allocation_index, 0, now);
         }
     }
     drop_if_gone(ix);
@@ -136,30 +136,31 @@
 }
 
 bool Cluster::start_allowed(const Job& job,
-                            const std::vector<std::pair<std::uint32_t, MachineIx>>& on,
+                            const std::vector<std::pair<std::uint32_t, MachineIndex>>& on,
                             Millis now) const {
     const JobSpec& spec = job.spec;
-    if (job.over || job.finishing || spec.team == kNone) return false;
-    std::map<MachineIx, Room> free;
-    std::map<ZoneIx, std::uint32_t> zones;
-    for (const auto& [task, hix] : job.holds) ++zones[machines_[holds_[hix].machine].zone];
-    Room team = team_used_[spec.team];
+    if (job.over || job.finishing || spec.team == kInvalidIndex) return false;
+    std::map<MachineIndex, Resources> free;
+    std::map<ZoneIndex, std::uint32_t> zones;
+    for (const auto& [task, allocation_index] : job.allocations)
+        ++zones[machines_[allocations_[allocation_index].machine].zone];
+    Resources team = team_used_[spec.team];
     for (auto [task, mix] : on) {
         const Machine& machine = machines_[mix];
-        if (job.holds.contains(task) || job.done_flags[task] != 0) return false;
+        if (job.allocations.contains(task) || job.done_flags[task] != 0) return false;
         if (!usable(machine, now)) return false;
         if (machine.type >= 64 || (spec.types >> machine.type & 1) == 0) return false;
-        if (spec.zone != kNone && machine.zone != spec.zone) return false;
+        if (spec.zone != kInvalidIndex && machine.zone != spec.zone) return false;
         if (machine.spot && !spec.spot) return false;
         auto [it, fresh] = free.try_emplace(mix, type_info_[machine.type].room);
         if (fresh) it->second -= machine.used;
-        if (!it->second.holds(spec.need)) return false;
+        if (!it->second.covers(spec.need)) return false;
         it->second -= spec.need;
         ++zones[machine.zone];
         team += spec.need;
     }
     // Tasks on machines whose zone is not known could be anywhere.
-    if ((spec.one_zone || spec.apart) && zones.contains(kNone)) return false;
+    if ((spec.one_zone || spec.apart) && zones.contains(kInvalidIndex)) return false;
     if (spec.one_zone && zones.size() > 1) return false;
     if (spec.apart) {
         for (auto [zone, count] : zones) {
@@ -179,7 +180,7 @@
         if (waiting(job) < most || job.retry_at > now) continue;
         const auto tasks = take_waiting(job, most);
         if (job.spec.gang && tasks.size() != job.spec.count) continue;
-        std::vector<std::pair<std::uint32_t, MachineIx>> on;
+        std::vector<std::pair<std::uint32_t, MachineIndex>> on;
         for (std::size_t i = 0; i < tasks.size(); ++i) on.emplace_back(tasks[i], start.machines[i]);
         if (!start_allowed(job, on, now)) {
             ++applied.refused;
@@ -196,17 +197,17 @@
         for (auto zone : start.rejected) line += ", no room in " + zones_.name(zone);
         line += ", on";
         for (auto [task, mix] : on) {
-            Hold h;
+            Allocation h;
             h.job = start.job;
             h.task = task;
             h.attempt = attempt;
             h.machine = mix;
             h.session = machines_[mix].session;
             h.since = now;
-            if (!settings_.guards.record_first) h.state = Hold::State::Ready;
+            if (!settings_.guards.record_first) h.state = Allocation::State::Ready;
             while (job.next_fresh <= task) job.again.insert(job.next_fresh++);
             job.again.erase(task);
-            new_hold(h);
+            add_allocation(h);
             mark_dirty(job, task);
             if (line.size() < 200) line += " " + machines_[mix].name;
         }
@@ -215,9 +216,12 @@
         ++applied.starts;
     }
     for (std::size_t k = 0; k < plan.stops.size(); ++k) {
-        const auto [hix, attempt] = plan.stops[k];
-        if (hix >= holds_.size() || holds_[hix].attempt != attempt || holds_[hix].stop) continue;
-        const Hold& h = holds_[hix];
+        const auto [allocation_index, attempt] = plan.stops[k];
+        if (allocation_index >= allocations_.size() ||
+            allocations_[allocation_index].attempt != attempt ||
+            allocations_[allocation_index].stop)
+            continue;
+        const Allocation& h = allocations_[allocation_index];
         const JobSpec& spec = jobs_[h.job].spec;
         // Saving is worth its time only if more than that would be lost.
         const bool save = spec.checkpoint_s > 0 && h.phase == TaskPhase::Running &&
@@ -226,21 +230,22 @@
         applied.lines.push_back("preempt " + jobs_[h.job].id + "/" + std::to_string(h.task) +
                                 " on " + machines_[h.machine].name +
                                 (mine == jobs_.end() ? "" : " for " + mine->second.id));
-        stop_with_gang(hix, save ? spec.save_s : 0, now);
+        stop_with_gang(allocation_index, save ? spec.save_s : 0, now);
         ++applied.stops;
     }
     for (auto mix : plan.returns) {
         Machine& machine = machines_[mix];
-        if (machine.life != Machine::Life::Up || !machine.holds.empty()) continue;
+        if (machine.life != Machine::Life::Up || !machine.allocations.empty()) continue;
         machine.life = Machine::Life::Returning;
         applied.lines.push_back("idle machine " + machine.name + " is returned");
     }
     // Emptying several machines in a row left jobs waiting beside half-empty machines that took
     // nothing any more: one in a while, and all are taken back as soon as room is short.
     for (auto& machine : machines_) {
-        if (!plan.short_of_room || !machine.emptying || machine.life != Machine::Life::Up) continue;
-        machine.emptying = false;
-        machine.drain = machine.condemned;
+        if (!plan.short_of_room || !machine.consolidating || machine.life != Machine::Life::Up)
+            continue;
+        machine.consolidating = false;
+        machine.drain = machine.faulty;
         applied.lines.push_back("machine " + machine.name + " is kept after all");
     }
     const bool may_drain = now - drained_at_ >= settings_.tuning.drain_every_ms;
@@ -249,21 +254,21 @@
         if (machine.life != Machine::Life::Up || machine.drain || !may_drain) continue;
         drained_at_ = now;
         machine.drain = true;
-        machine.emptying = true;
+        machine.consolidating = true;
         applied.lines.push_back("machine " + machine.name + " is emptied to be returned");
-        const auto held = machine.holds;
-        for (auto hix : held) {
-            const Hold& h = holds_[hix];
-            if (h.job == kNone) continue;
+        const auto held = machine.allocations;
+        for (auto allocation_index : held) {
+            const Allocation& h = allocations_[allocation_index];
+            if (h.job == kInvalidIndex) continue;
             const JobSpec& spec = jobs_[h.job].spec;
             if (spec.service) {
-                stop_hold(hix, 0, now);
+                stop_allocation(allocation_index, 0, now);
                 continue;
             }
             if (spec.checkpoint_s <= 0 || h.phase != TaskPhase::Running) continue;
             if (spec.estimate_s * 1000 - static_cast<double>(now - h.running_since) < 60000)
                 continue;
-            stop_with_gang(hix, spec.save_s, now);
+            stop_with_gang(allocation_index, spec.save_s, now);
         }
     }
     applied.rents = plan.rents;
@@ -275,8 +280,8 @@
     for (auto& [jix, job] : jobs_) {
         if (job.over) continue;
         Counts counts{job.done, 0};
-        for (const auto& [task, hix] : job.holds) {
-            if (holds_[hix].phase == TaskPhase::Running) ++counts.running;
+        for (const auto& [task, allocation_index] : job.allocations) {
+            if (allocations_[allocation_index].phase == TaskPhase::Running) ++counts.running;
         }
         const bool changed = counts.done != job.told_done || counts.running != job.told_running;
         if (!changed && (!all || counts.done + counts.running == 0)) continue;
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -31,17 +31,17 @@
 
 // One attempt of one task that counts as being on a machine (see docs/design.md, "When a task
 // is off a machine").
-struct Hold {
+struct Allocation {
     enum class State : std::uint8_t {
         Planned,  // its record is not durable yet, so nothing was sent
         Ready,    // durable, to be sent
         Sent,     // a run was sent, no report shows the outcome yet
         Seen,     // a report showed it, or an earlier leader may have started it
     };
-    JobIx job = kNone;
+    JobIndex job = kInvalidIndex;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
-    MachineIx machine = kNone;
+    MachineIndex machine = kInvalidIndex;
     std::uint64_t session = 0;
     State state = State::Planned;
     TaskPhase phase = TaskPhase::Pulling;
@@ -49,11 +49,11 @@
     bool stray = false;     // on a machine without being what we placed there
     bool stop = false;      // to be halted
     double grace_s = 0;
-    bool direct_doubt = false;       // a direct run without an answer: a copy may come late
-    std::uint64_t direct_open = 0;   // direct runs under way
-    std::uint64_t direct_token = 0;  // the newest direct run carried it
-    std::uint64_t beat_seq = 0;      // newest beat whose answer carried the run
-    std::uint64_t halt_seq = 0;      // newest beat whose answer carried the halt
+    bool direct_unconfirmed = false;  // a direct run without an answer: a copy may come late
+    std::uint64_t direct_open = 0;    // direct runs under way
+    std::uint64_t direct_token = 0;   // the newest direct run carried it
+    std::uint64_t heartbeat_seq = 0;  // newest beat whose answer carried the run
+    std::uint64_t halt_seq = 0;       // newest beat whose answer carried the halt
     Millis since = 0;
     Millis running_since = 0;
     Millis stop_since = 0;
@@ -63,14 +63,14 @@
     enum class Life : std::uint8_t { Booting, Up, Returning, Gone };
     std::string name;
     std::string endpoint;
-    TypeIx type = kNone;
-    ZoneIx zone = kNone;
+    TypeIndex type = kInvalidIndex;
+    ZoneIndex zone = kInvalidIndex;
     bool spot = false;
     Life life = Life::Booting;
-    bool synced = false;     // its newest report carries this leader's token
-    bool drain = false;      // no new work; returned when empty
-    bool condemned = false;  // drained because it is faulty
-    bool emptying = false;   // drained to save its price: taken back when room is short
+    bool synced = false;         // its newest report carries this leader's token
+    bool drain = false;          // no new work; returned when empty
+    bool faulty = false;         // drained because it is faulty
+    bool consolidating = false;  // drained to save its price: taken back when room is short
     bool listed = false;
     bool failed = false;
     bool running = false;  // by the list
@@ -85,16 +85,16 @@
     // What it was sent has no effect, while its reports go on: neither answers nor commands reach
     // it. Such a machine never looks silent, and its tasks die with each of its leases.
     int misses = 0;                    // in a row
-    Millis deaf_since = 0;             // 0: it is not
+    Millis unreachable_since = 0;      // 0: it is not
     Millis session_at = 0;             // when its session rose last
     int lost_leases = 0;               // in a row, with reports of it between them
     std::uint64_t owed_token_seq = 0;  // newest beat whose answer would have raised its token
     bool calling = false;              // a direct command is under way
     Millis call_after = 0;             // no direct command before
-    Room used;
-    std::vector<HoldIx> holds;
-    std::vector<ImageIx> images;  // most recent last
-    std::set<JobIx> failed_jobs;  // failures since its last success
+    Resources used;
+    std::vector<AllocationIndex> allocations;
+    std::vector<ImageIndex> images;  // most recent last
+    std::set<JobIndex> failed_jobs;  // failures since its last success
     Millis quarantine_until = 0;
     std::uint64_t token = 0;  // the highest it was sent
     bool ran_direct = false;  // a direct run was sent under this token: a copy may come late
@@ -125,13 +125,13 @@
     std::vector<std::uint8_t> done_flags;
     std::uint32_t next_fresh = 0;   // tasks from here on were never tried
     std::set<std::uint32_t> again;  // tasks before next_fresh that wait
-    std::multimap<std::uint32_t, HoldIx> holds;
+    std::multimap<std::uint32_t, AllocationIndex> allocations;
     std::map<std::uint32_t, Chunk> chunks;
     Millis waiting_since = 0;
     Millis started_at = std::numeric_limits<Millis>::min();  // when a task was placed last
     Millis retry_at = 0;
     std::uint32_t failures = 0;
-    std::set<MachineIx> failed_on;
+    std::set<MachineIndex> failed_on;
     bool in_guarantee = false;
     std::uint32_t layout = 0;  // of its placement records; never goes back
     // Records of the present layout that have to be durable before those of earlier layouts may go.
@@ -140,31 +140,31 @@
 };
 
 struct ChunkWrite {
-    JobIx job = kNone;
+    JobIndex job = kInvalidIndex;
     std::uint32_t chunk = 0;
     std::string job_id;
     std::uint64_t rev = 0;
     std::uint64_t open_rev = 0;
     bool urgent = false;  // of a service or a critical job: its start waits for this write
-    PlaceRecord record;
+    PlacementRecord record;
 };
 
 struct FinalWrite {
-    JobIx job = kNone;
+    JobIndex job = kInvalidIndex;
     std::string job_id;
     std::uint64_t open_rev = 0;
     std::vector<std::uint32_t> chunks;
     bool with_job = false;  // tasks may still be on machines: the final word keeps the job
 };
 
-struct BeatOutcome {
+struct ReportOutcome {
     bool superseded = false;  // a higher token was seen
     bool fresh = false;       // newer than all that was known: its worker waits for an answer
     bool changed = false;     // worth planning again
 };
 
 // The leading controller's picture and the gate that every decision passes. Pure: events and a
-// time go in, orders and records to write come out.
+// time go in, commands and records to write come out.
 class Cluster {
   public:
     Cluster(ClusterSettings settings, Names& types, Names& zones);
@@ -174,36 +174,36 @@
     // `age_ms`: since its submission, by the time of day.
     void add_job(const JobText& text, std::uint64_t open_rev, Millis now, bool over = false,
                  Millis age_ms = 0);
-    void load_record(const std::string& job_id, std::uint32_t chunk, const PlaceRecord& record,
+    void load_record(const std::string& job_id, std::uint32_t chunk, const PlacementRecord& record,
                      std::uint64_t rev, Millis now);
     void job_over(const std::string& job_id, bool aborted, Millis now);
     // Until the records of earlier leaders are read, a job that is over may have tasks that only a
     // record names: it is not forgotten before.
     void records_to_come() { records_to_come_ = true; }
     void records_loaded();
-    BeatOutcome on_report(const Report& report, bool is_beat, Millis now);
+    ReportOutcome on_report(const Report& report, bool is_heartbeat, Millis now);
     void on_list(const std::vector<ListedMachine>& page, Millis now);
     void on_list_complete(const std::set<std::string>& names, Millis now);
     void on_rented(const std::string& type, const std::string& zone, bool spot,
                    const std::vector<std::string>& names, Millis now);
-    void on_refused(TypeIx type, ZoneIx zone, bool spot, Millis now);
+    void on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now);
 
     // Orders for the answer to a beat, or for a direct command. `may_start` is false while the
     // leader cannot be sure that it still leads.
-    std::vector<Order> beat_orders(const std::string& machine, std::uint64_t seq, bool may_start,
-                                   Millis now);
-    // The token that every message to this machine carries; asked for after its orders.
+    std::vector<Command> heartbeat_commands(const std::string& machine, std::uint64_t seq,
+                                            bool may_start, Millis now);
+    // The token that every message to this machine carries; asked for after its commands.
     [[nodiscard]] std::uint64_t token_for(const std::string& machine) const;
     struct Direct {
         std::string machine;
         std::string endpoint;
         std::uint64_t session = 0;
         std::uint64_t token = 0;
-        std::vector<Order> orders;
+        std::vector<Command> commands;
     };
-    std::vector<std::string> machines_with_orders(bool may_start, std::size_t most, Millis now);
+    std::vector<std::string> machines_with_commands(bool may_start, std::size_t most, Millis now);
     // Marks the machine as being called until direct_result().
-    Direct direct_orders(const std::string& machine, bool may_start, Millis now);
+    Direct direct_commands(const std::string& machine, bool may_start, Millis now);
     enum class DirectResult : std::uint8_t { Executed, NotExecuted, NoAnswer };
     void direct_result(const Direct& direct, DirectResult result, Millis now);
     std::vector<std::string> machines_to_ask(std::size_t most, Millis now);
@@ -243,7 +243,7 @@
 
     // Planning.
     Snapshot snapshot(Millis now, std::int64_t wall_ms);
-    // Applies what still holds; everything that is not allowed by now is left out.
+    // Applies what still allocations; everything that is not allowed by now is left out.
     struct Applied {
         std::uint32_t starts = 0;
         std::uint32_t stops = 0;
@@ -262,13 +262,14 @@
     };
     // Of all jobs, or of those only whose counts changed since they were asked for last.
     std::vector<std::pair<std::string, Counts>> job_counts(bool all);
-    // Machines and holds looked at so far: what the picture cost, for the tests of its growth.
+    // Machines and allocations looked at so far: what the picture cost, for the tests of its
+    // growth.
     [[nodiscard]] std::uint64_t work() const { return work_; }
     [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
     [[nodiscard]] std::size_t machine_count() const;
     // What the operators' policy had to do without, each told once.
     std::vector<std::string> policy_complaints();
-    [[nodiscard]] const std::map<JobIx, Job>& jobs() const { return jobs_; }
+    [[nodiscard]] const std::map<JobIndex, Job>& jobs() const { return jobs_; }
     [[nodiscard]] const std::vector<Machine>& machines() const { return machines_; }
     [[nodiscard]] std::uint64_t token() const { return settings_.token; }
     [[nodiscard]] bool has_job(const std::string& id) const { return job_ids_.contains(id); }
@@ -277,58 +278,59 @@
     static constexpr double kRateFor = 120'000;  // ms over which arrivals are counted
     static constexpr int kDeafMisses = 2;        // a single answer may be lost or late
 
-    MachineIx machine_for(const std::string& name, const std::string& type, const std::string& zone,
-                          bool spot, Millis now);
-    HoldIx new_hold(const Hold& hold);
-    void release(HoldIx ix, bool requeue, Millis now);
-    void release_all(MachineIx machine, std::uint64_t below_session, Millis now);
-    void mark_done(JobIx job, std::uint32_t task, Millis now);
+    MachineIndex machine_for(const std::string& name, const std::string& type,
+                             const std::string& zone, bool spot, Millis now);
+    AllocationIndex add_allocation(const Allocation& hold);
+    void release(AllocationIndex ix, bool requeue, Millis now);
+    void release_all(MachineIndex machine, std::uint64_t below_session, Millis now);
+    void mark_done(JobIndex job, std::uint32_t task, Millis now);
     // A record that is to be written; more urgent jobs first, then older ones.
     struct RecordKey {
         std::uint8_t rank = 0;
-        JobIx job = kNone;
+        JobIndex job = kInvalidIndex;
         std::uint32_t number = 0;
         auto operator<=>(const RecordKey&) const = default;
     };
-    [[nodiscard]] RecordKey record_key(JobIx job, std::uint32_t number) const;
+    [[nodiscard]] RecordKey record_key(JobIndex job, std::uint32_t number) const;
     [[nodiscard]] std::uint32_t record_of(const Job& job, std::uint32_t task) const;
-    [[nodiscard]] ChunkWrite chunk_write(JobIx ix, std::uint32_t number);
-    void refine_layout(JobIx ix);
-    void move_records(JobIx ix);
-    void drop_superseded(JobIx ix);
+    [[nodiscard]] ChunkWrite chunk_write(JobIndex ix, std::uint32_t number);
+    void refine_layout(JobIndex ix);
+    void move_records(JobIndex ix);
+    void drop_superseded(JobIndex ix);
     void take_lazy_records(std::size_t most, Millis due_now);
     [[nodiscard]] Chunk* find_chunk(const ChunkWrite& write);
     [[nodiscard]] bool holds_attempt(const Job& job, const PlacedTask& placed,
-                                     MachineIx machine) const;
-    void note_replica_exit(HoldIx ix, bool failed, Millis now);
+                                     MachineIndex machine) const;
+    void note_replica_exit(AllocationIndex ix, bool failed, Millis now);
     void wake_replicas(Millis now);
-    void stop_replicas(MachineIx machine, Millis now);
+    void stop_replicas(MachineIndex machine, Millis now);
     void mark_dirty(Job& job, std::uint32_t task);
     void mark_lazy(Job& job, std::uint32_t task, Millis now);
-    void stop_hold(HoldIx ix, double grace_s, Millis now);
-    void run_came_to_nothing(HoldIx ix, Millis now);
-    void stop_with_gang(HoldIx ix, double grace_s, Millis now);
-    void on_exit(HoldIx ix, const TaskReport& task, Millis now);
-    void note_failure(Job& job, MachineIx machine, Millis now);
-    void note_machine_failure(Job& job, MachineIx machine, Millis now);
+    void stop_allocation(AllocationIndex ix, double grace_s, Millis now);
+    void run_came_to_nothing(AllocationIndex ix, Millis now);
+    void stop_with_gang(AllocationIndex ix, double grace_s, Millis now);
+    void on_exit(AllocationIndex ix, const TaskReport& task, Millis now);
+    void note_failure(Job& job, MachineIndex machine, Millis now);
+    void note_machine_failure(Job& job, MachineIndex machine, Millis now);
     [[nodiscard]] bool has_run_well(const Job& job, Millis now) const;
     [[nodiscard]] bool only_replicas(const Machine& machine) const;
     [[nodiscard]] bool holds_replicas(const Machine& machine) const;
     [[nodiscard]] JobFacts facts(const Job& job) const;
     [[nodiscard]] FleetFacts fleet_facts() const;
     [[nodiscard]] bool raise(Machine& machine) const;
-    void note_effect(MachineIx machine, bool reached, int weight, Millis now);
-    void note_image(Machine& machine, ImageIx image);
-    void drop_if_gone(JobIx ix);
-    void notice(MachineIx ix, double notice_s, Millis now);
-    bool start_allowed(const Job& job, const std::vector<std::pair<std::uint32_t, MachineIx>>& on,
+    void note_effect(MachineIndex machine, bool reached, int weight, Millis now);
+    void note_image(Machine& machine, ImageIndex image);
+    void drop_if_gone(JobIndex ix);
+    void notice(MachineIndex ix, double notice_s, Millis now);
+    bool start_allowed(const Job& job,
+                       const std::vector<std::pair<std::uint32_t, MachineIndex>>& on,
                        Millis now) const;
     [[nodiscard]] bool usable(const Machine& machine, Millis now) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
     std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t most) const;
-    [[nodiscard]] Hold& hold(HoldIx ix) { return holds_[ix]; }
-    void append_orders(MachineIx ix, bool direct, std::uint64_t beat_seq, bool may_start,
-                       std::vector<Order>& out, Millis now);
+    [[nodiscard]] Allocation& hold(AllocationIndex ix) { return allocations_[ix]; }
+    void append_commands(MachineIndex ix, bool direct, std::uint64_t heartbeat_seq, bool may_start,
+                         std::vector<Command>& out, Millis now);
     void fill_guarantees(Millis now);
     void note_cut_zones(Millis now);
     [[nodiscard]] bool holds_cancelled(const Machine& machine) const;
@@ -348,41 +350,42 @@
     Names classes_;
     Names teams_;
     std::vector<Team> team_list_;
-    std::vector<Room> team_used_;
-    std::map<ImageIx, Millis> warm_;  // last use by a class whose tasks should start soon
-    struct Arrivals {                 // of a class whose tasks should start soon
+    std::vector<Resources> team_used_;
+    std::map<ImageIndex, Millis> warm_;  // last use by a class whose tasks should start soon
+    struct Arrivals {                    // of a class whose tasks should start soon
         JobSpec spec;
         double rate = 0;  // tasks a second, decaying
         Millis at = 0;
     };
-    std::map<ClassIx, Arrivals> arrivals_;
+    std::map<ClassIndex, Arrivals> arrivals_;
     std::vector<ClassAims> class_aims_;
     std::vector<Millis> team_busy_;  // when the team last had work; -1: never
     double guarantee_s_ = 0;         // how soon work within a guarantee should start
     std::vector<MachineType> type_info_;
-    std::map<JobIx, Job> jobs_;
-    JobIx next_job_ = 0;
-    std::unordered_map<std::string, JobIx> job_ids_;
+    std::map<JobIndex, Job> jobs_;
+    JobIndex next_job_ = 0;
+    std::unordered_map<std::string, JobIndex> job_ids_;
     std::vector<Machine> machines_;
-    std::unordered_map<std::string, MachineIx> machine_ids_;
-    std::vector<Hold> holds_;
+    std::unordered_map<std::string, MachineIndex> machine_ids_;
+    std::vector<Allocation> allocations_;
     std::vector<char> zone_cut_;     // nearly all machines of the zone fell silent together
     std::vector<Millis> zone_back_;  // when the zone was cut off last; -1: never
     Millis drained_at_ = -1'000'000;
     Millis sure_since_ = -1;      // -1: not sure to lead
     Millis most_silent_at_ = -1;  // when most machines were silent at once last; -1: never
-    std::vector<MachineIx> free_machines_;
-    std::vector<HoldIx> free_holds_;
+    std::vector<MachineIndex> free_machines_;
+    std::vector<AllocationIndex> free_allocations_;
     std::set<RecordKey> dirty_;  // records to write, urgent jobs first
-    std::set<std::tuple<Millis, JobIx, std::uint32_t>> lazy_;
-    std::set<JobIx> all_done_;  // whose final word is to be written
+    std::set<std::tuple<Millis, JobIndex, std::uint32_t>> lazy_;
+    std::set<JobIndex> all_done_;  // whose final word is to be written
     // Replicas that failed again and again rest until then: time, job, task.
-    std::set<std::tuple<Millis, JobIx, std::uint32_t>> resting_;
-    std::size_t ask_from_ = 0;       // where machines_to_ask() goes on
-    std::set<MachineIx> attention_;  // machines that may have orders due
+    std::set<std::tuple<Millis, JobIndex, std::uint32_t>> resting_;
+    std::size_t ask_from_ = 0;          // where machines_to_ask() goes on
+    std::set<MachineIndex> attention_;  // machines that may have commands due
     std::vector<std::string> orphans_;
     std::vector<std::string> orphans_writing_;
-    std::map<std::tuple<TypeIx, ZoneIx, bool>, std::pair<Millis, Millis>> refused_;  // until, step
+    std::map<std::tuple<TypeIndex, ZoneIndex, bool>, std::pair<Millis, Millis>>
+        refused_;  // until, step
     std::uint64_t work_ = 0;
     std::uint64_t attempts_ = 0;
     std::uint64_t nonces_ = 0;
--- a/src/core/exchange.cpp
+++ b/src/core/heartbeats.cpp
@@ -1,4 +1,4 @@
-// What leader and machines tell each other: reports in, orders and tokens out.
+// What leader and machines tell each other: reports in, commands and tokens out.
 #include "core/cluster.h"
 
 namespace lichendrift::core {
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-BeatOutcome Cluster::on_report(const Report& report, bool is_beat, Millis now) {
-    BeatOutcome outcome;
+ReportOutcome Cluster::on_report(const Report& report, bool is_heartbeat, Millis now) {
+    ReportOutcome outcome;
     if (report.token >= settings_.token + kTokensOfALead) {
         outcome.superseded = true;
         return outcome;
@@ -53,14 +53,14 @@
         // from a new one. Only what carries the leader's own token is a sign of life, and the first
         // of all, so that late copies do not hold off the return of a machine that is gone.
         if (synced || machine.heard_at == 0) machine.heard_at = now;
-        if (is_beat && !synced && machine.owed_token_seq != 0 &&
+        if (is_heartbeat && !synced && machine.owed_token_seq != 0 &&
             report.seq > machine.owed_token_seq) {
             note_effect(mix, false, 1, now);
         }
         if (synced && !machine.synced) note_effect(mix, true, 0, now);
         // A session that outlives a lease had answers: with the direct way closed, as between two
         // zones, that is all there is to see.
-        if (machine.deaf_since != 0 && machine.deaf_since == machine.session_at &&
+        if (machine.unreachable_since != 0 && machine.unreachable_since == machine.session_at &&
             now - machine.session_at > settings_.lease_ms + settings_.report_ms) {
             note_effect(mix, true, 0, now);
         }
@@ -69,21 +69,21 @@
         machine.synced = synced;
     }
     // A later session: the worker killed and forgot all tasks of the earlier ones.
-    if (!machines_[mix].holds.empty()) {
-        const auto before = machines_[mix].holds.size();
+    if (!machines_[mix].allocations.empty()) {
+        const auto before = machines_[mix].allocations.size();
         release_all(mix, report.session, now);
-        outcome.changed |= before != machines_[mix].holds.size();
+        outcome.changed |= before != machines_[mix].allocations.size();
     }
     const bool trusted = machines_[mix].synced || !settings_.guards.trusted_reports;
     bool missed = false;
     bool reached = false;
 
-    std::map<std::tuple<JobIx, std::uint32_t, std::uint64_t>, const TaskReport*> seen;
+    std::map<std::tuple<JobIndex, std::uint32_t, std::uint64_t>, const TaskReport*> seen;
     std::vector<TaskReport> exited;
     for (const auto& task : report.tasks) {
         auto found = job_ids_.find(task.job);
-        const auto jix = found == job_ids_.end() ? kNone : found->second;
-        if (jix == kNone || task.task >= jobs_[jix].spec.count) {
+        const auto jix = found == job_ids_.end() ? kInvalidIndex : found->second;
+        if (jix == kInvalidIndex || task.task >= jobs_[jix].spec.count) {
             // Live tasks of a job that is over and forgotten are halted by name.
             exited.push_back(task);
             continue;
@@ -91,30 +91,30 @@
         seen[{jix, task.task, task.attempt}] = &task;
     }
     // What we hold on it, compared with what it shows.
-    const auto held = machines_[mix].holds;
+    const auto held = machines_[mix].allocations;
     work_ += 1 + held.size() + report.tasks.size();
-    for (auto hix : held) {
-        const Hold copy = holds_[hix];
-        if (copy.job == kNone || copy.machine != mix) continue;  // released with its gang
+    for (auto allocation_index : held) {
+        const Allocation copy = allocations_[allocation_index];
+        if (copy.job == kInvalidIndex || copy.machine != mix) continue;  // released with its gang
         auto it = seen.find({copy.job, copy.task, copy.attempt});
         if (it != seen.end()) {
             const TaskReport& task = *it->second;
             if (task.phase == TaskPhase::Exited) {
                 if (trusted) {
-                    on_exit(hix, task, now);
+                    on_exit(allocation_index, task, now);
                     outcome.changed = true;
                 }
                 continue;
             }
-            Hold& h = holds_[hix];
-            if (h.phase != task.phase || h.state != Hold::State::Seen) outcome.changed = true;
-            reached |= h.state == Hold::State::Sent;
-            if (h.stop && h.halt_seq != 0 && is_beat && report.seq > h.halt_seq &&
+            Allocation& h = allocations_[allocation_index];
+            if (h.phase != task.phase || h.state != Allocation::State::Seen) outcome.changed = true;
+            reached |= h.state == Allocation::State::Sent;
+            if (h.stop && h.halt_seq != 0 && is_heartbeat && report.seq > h.halt_seq &&
                 task.phase != TaskPhase::Saving) {
                 missed = true;
                 h.halt_seq = 0;
             }
-            h.state = Hold::State::Seen;
+            h.state = Allocation::State::Seen;
             h.reported = true;
             h.phase = task.phase;
             if (task.phase == TaskPhase::Running && h.running_since == 0) h.running_since = now;
@@ -125,27 +125,27 @@
             continue;
         }
         if (!trusted) continue;
-        Hold& h = holds_[hix];
+        Allocation& h = allocations_[allocation_index];
         // What was sent under a lower token than its worker has seen can't act any more.
-        if (report.token > h.direct_token) h.direct_doubt = false;
+        if (report.token > h.direct_token) h.direct_unconfirmed = false;
         switch (h.state) {
-            case Hold::State::Planned:
-            case Hold::State::Ready:
+            case Allocation::State::Planned:
+            case Allocation::State::Ready:
                 break;
-            case Hold::State::Sent:
+            case Allocation::State::Sent:
                 // A beat after the answer that carried the run proves it was dropped; a direct
                 // run without an answer stays in doubt.
-                if (h.direct_doubt || h.direct_open > 0) break;
-                if (!is_beat || report.seq <= h.beat_seq) break;
-                missed |= h.beat_seq != 0;
-                run_came_to_nothing(hix, now);
+                if (h.direct_unconfirmed || h.direct_open > 0) break;
+                if (!is_heartbeat || report.seq <= h.heartbeat_seq) break;
+                missed |= h.heartbeat_seq != 0;
+                run_came_to_nothing(allocation_index, now);
                 outcome.changed = true;
                 break;
-            case Hold::State::Seen:
-                if (h.direct_doubt || h.direct_open > 0) break;
-                if (h.beat_seq != 0 && !is_beat) break;
-                if (h.beat_seq != 0 && report.seq <= h.beat_seq) break;
-                release(hix, true, now);
+            case Allocation::State::Seen:
+                if (h.direct_unconfirmed || h.direct_open > 0) break;
+                if (h.heartbeat_seq != 0 && !is_heartbeat) break;
+                if (h.heartbeat_seq != 0 && report.seq <= h.heartbeat_seq) break;
+                release(allocation_index, true, now);
                 outcome.changed = true;
                 break;
         }
@@ -168,19 +168,20 @@
             continue;
         }
         bool known = false;
-        for (auto hix : machines_[mix].holds) {
-            known |= holds_[hix].job == jix && holds_[hix].task == number &&
-                     holds_[hix].attempt == attempt;
+        for (auto allocation_index : machines_[mix].allocations) {
+            known |= allocations_[allocation_index].job == jix &&
+                     allocations_[allocation_index].task == number &&
+                     allocations_[allocation_index].attempt == attempt;
         }
         if (known) continue;
         // On a machine without a record: it counts as there until gone, and is halted.
-        Hold h;
+        Allocation h;
         h.job = jix;
         h.task = number;
         h.attempt = attempt;
         h.machine = mix;
         h.session = report.session;
-        h.state = Hold::State::Seen;
+        h.state = Allocation::State::Seen;
         h.phase = task->phase;
         h.stray = true;
         h.reported = true;
@@ -188,7 +189,7 @@
         h.since = now;
         while (jobs_[jix].next_fresh <= number) jobs_[jix].again.insert(jobs_[jix].next_fresh++);
         jobs_[jix].again.erase(number);
-        new_hold(h);
+        add_allocation(h);
         mark_dirty(jobs_[jix], number);
         outcome.changed = true;
     }
@@ -210,8 +211,8 @@
     return outcome;
 }
 
-void Cluster::append_orders(MachineIx mix, bool direct, std::uint64_t beat_seq, bool may_start,
-                            std::vector<Order>& out, Millis now) {
+void Cluster::append_commands(MachineIndex mix, bool direct, std::uint64_t heartbeat_seq,
+                              bool may_start, std::vector<Command>& out, Millis now) {
     Machine& machine = machines_[mix];
     const bool up = machine.life == Machine::Life::Up;
     if (machine.synced) {
@@ -219,7 +220,7 @@
             for (const auto& task : it->second) {
                 if (out.size() >= 200) break;
                 if (task.phase != TaskPhase::Exited) {
-                    out.push_back({Order::Kind::Halt, task.job, task.task, task.attempt, 0});
+                    out.push_back({Command::Kind::Halt, task.job, task.task, task.attempt, 0});
                     continue;
                 }
                 // Whether this attempt was run directly or another, it costs no more to raise once.
@@ -234,51 +235,54 @@
                         continue;
                     }
                 }
-                out.push_back({Order::Kind::Reap, task.job, task.task, task.attempt, 0});
+                out.push_back({Command::Kind::Reap, task.job, task.task, task.attempt, 0});
             }
             if (!direct) exited_.erase(it);
         }
     }
-    for (auto hix : machine.holds) {
-        Hold& h = holds_[hix];
+    for (auto allocation_index : machine.allocations) {
+        Allocation& h = allocations_[allocation_index];
         if (h.session != machine.session || out.size() >= 400) continue;
         const Job& job = jobs_[h.job];
-        if (h.stop && h.state != Hold::State::Planned && h.state != Hold::State::Ready) {
+        if (h.stop && h.state != Allocation::State::Planned &&
+            h.state != Allocation::State::Ready) {
             // In doubt and unwanted: with a higher token the late run comes to nothing.
-            if (h.state == Hold::State::Sent && h.direct_doubt && !direct) (void)raise(machine);
-            out.push_back({Order::Kind::Halt, job.id, h.task, h.attempt, h.grace_s});
-            if (!direct) h.halt_seq = beat_seq;
+            if (h.state == Allocation::State::Sent && h.direct_unconfirmed && !direct)
+                (void)raise(machine);
+            out.push_back({Command::Kind::Halt, job.id, h.task, h.attempt, h.grace_s});
+            if (!direct) h.halt_seq = heartbeat_seq;
             continue;
         }
         if (job.over || h.stop || !may_start || !up || !machine.synced) continue;
-        if (h.state == Hold::State::Ready || (h.state == Hold::State::Sent && h.direct_doubt)) {
-            out.push_back({Order::Kind::Run, job.id, h.task, h.attempt, 0});
-            h.state = Hold::State::Sent;
+        if (h.state == Allocation::State::Ready ||
+            (h.state == Allocation::State::Sent && h.direct_unconfirmed)) {
+            out.push_back({Command::Kind::Run, job.id, h.task, h.attempt, 0});
+            h.state = Allocation::State::Sent;
             if (direct) {
                 ++h.direct_open;
                 h.direct_token = machine.token;
                 machine.ran_direct = true;
             } else {
-                h.beat_seq = beat_seq;
+                h.heartbeat_seq = heartbeat_seq;
             }
             h.since = h.since == 0 ? now : h.since;
         }
     }
 }
 
-std::vector<Order> Cluster::beat_orders(const std::string& name, std::uint64_t seq, bool may_start,
-                                        Millis now) {
-    std::vector<Order> out;
+std::vector<Command> Cluster::heartbeat_commands(const std::string& name, std::uint64_t seq,
+                                                 bool may_start, Millis now) {
+    std::vector<Command> out;
     auto it = machine_ids_.find(name);
-    // A late copy of an old beat gets no orders: its worker is not waiting for them.
+    // A late copy of an old beat gets no commands: its worker is not waiting for them.
     if (it == machine_ids_.end() || machines_[it->second].seq != seq) return out;
     if (!machines_[it->second].synced) machines_[it->second].owed_token_seq = seq;
-    append_orders(it->second, false, seq, may_start, out, now);
+    append_commands(it->second, false, seq, may_start, out, now);
     return out;
 }
 
-std::vector<std::string> Cluster::machines_with_orders(bool may_start, std::size_t most,
-                                                       Millis now) {
+std::vector<std::string> Cluster::machines_with_commands(bool may_start, std::size_t most,
+                                                         Millis now) {
     // Only machines where something was placed or stopped are looked at, not the fleet.
     std::vector<std::string> out;
     for (auto it = attention_.begin(); it != attention_.end() && out.size() < most;) {
@@ -286,13 +290,13 @@
         const Machine& machine = machines_[*it];
         bool due = false;
         bool later = false;
-        for (auto hix : machine.holds) {
+        for (auto allocation_index : machine.allocations) {
             ++work_;
-            const Hold& h = holds_[hix];
-            const bool run = h.state == Hold::State::Ready && !h.stop;
-            const bool halt = h.stop && h.state == Hold::State::Seen &&
+            const Allocation& h = allocations_[allocation_index];
+            const bool run = h.state == Allocation::State::Ready && !h.stop;
+            const bool halt = h.stop && h.state == Allocation::State::Seen &&
                               h.phase != TaskPhase::Saving && h.phase != TaskPhase::Exited;
-            later |= run || halt || h.state == Hold::State::Planned || h.stop;
+            later |= run || halt || h.state == Allocation::State::Planned || h.stop;
             due |= h.session == machine.session && ((run && may_start) || halt);
         }
         if (due && machine.life == Machine::Life::Up && machine.synced && !machine.calling &&
@@ -304,7 +308,7 @@
     return out;
 }
 
-Cluster::Direct Cluster::direct_orders(const std::string& name, bool may_start, Millis now) {
+Cluster::Direct Cluster::direct_commands(const std::string& name, bool may_start, Millis now) {
     Direct direct;
     auto it = machine_ids_.find(name);
     if (it == machine_ids_.end()) return direct;
@@ -315,7 +319,7 @@
     direct.token = machine.token;
     if (direct.endpoint.empty()) return direct;
     machine.calling = true;
-    append_orders(it->second, true, 0, may_start, direct.orders, now);
+    append_commands(it->second, true, 0, may_start, direct.commands, now);
     return direct;
 }
 
@@ -351,23 +355,23 @@
     machine.call_after = now + (result == DirectResult::Executed      ? kCallPause
                                 : result == DirectResult::NotExecuted ? kRefusedPause
                                                                       : kUnansweredPause);
-    for (const auto& order : direct.orders) {
-        if (order.kind != Order::Kind::Run) continue;
+    for (const auto& order : direct.commands) {
+        if (order.kind != Command::Kind::Run) continue;
         // A copy, as an attempt that ends here may take others of its gang with it.
-        const auto held = machine.holds;
-        for (auto hix : held) {
-            Hold& h = holds_[hix];
-            if (h.job == kNone || h.attempt != order.attempt || h.task != order.task ||
+        const auto held = machine.allocations;
+        for (auto allocation_index : held) {
+            Allocation& h = allocations_[allocation_index];
+            if (h.job == kInvalidIndex || h.attempt != order.attempt || h.task != order.task ||
                 jobs_[h.job].id != order.job) {
                 continue;
             }
             if (h.direct_open > 0) --h.direct_open;
-            if (result == DirectResult::NoAnswer && settings_.guards.doubt_holds) {
-                h.direct_doubt = true;
+            if (result == DirectResult::NoAnswer && settings_.guards.unconfirmed_allocated) {
+                h.direct_unconfirmed = true;
             }
-            if (result == DirectResult::NotExecuted && h.state == Hold::State::Sent &&
-                !h.direct_doubt && h.direct_open == 0 && h.beat_seq == 0) {
-                run_came_to_nothing(hix, now);
+            if (result == DirectResult::NotExecuted && h.state == Allocation::State::Sent &&
+                !h.direct_unconfirmed && h.direct_open == 0 && h.heartbeat_seq == 0) {
+                run_came_to_nothing(allocation_index, now);
             }
         }
     }
@@ -386,7 +390,7 @@
         // One that has gone silent is asked directly as well: its way here may be what is broken.
         const bool silent = machine.life == Machine::Life::Up &&
                             now - machine.heard_at > settings_.report_ms * 3 / 2 + 500;
-        if (machine.synced && !silent && machine.deaf_since == 0) continue;
+        if (machine.synced && !silent && machine.unreachable_since == 0) continue;
         out.push_back(machine.name);
     }
     return out;
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-MachineIx Cluster::machine_for(const std::string& name, const std::string& type,
-                               const std::string& zone, bool spot, Millis now) {
-    auto [it, fresh] = machine_ids_.try_emplace(name, static_cast<MachineIx>(machines_.size()));
+MachineIndex Cluster::machine_for(const std::string& name, const std::string& type,
+                                  const std::string& zone, bool spot, Millis now) {
+    auto [it, fresh] = machine_ids_.try_emplace(name, static_cast<MachineIndex>(machines_.size()));
     if (fresh) {
         Machine machine;
         machine.name = name;
@@ -43,7 +43,7 @@
         }
     }
     Machine& machine = machines_[it->second];
-    if (!type.empty() && machine.type == kNone) {
+    if (!type.empty() && machine.type == kInvalidIndex) {
         machine.type = types_.intern(type);
         if (type_info_.size() <= machine.type) type_info_.resize(machine.type + 1);
         machine.zone = zones_.intern(zone);
@@ -54,30 +54,32 @@
 
 bool Cluster::usable(const Machine& machine, Millis now) const {
     return machine.life == Machine::Life::Up && machine.synced && !machine.drain &&
-           !machine.taken_at && machine.type != kNone && machine.quarantine_until <= now &&
-           machine.deaf_since == 0 && now - machine.heard_at <= settings_.report_ms * 2 + 500;
+           !machine.taken_at && machine.type != kInvalidIndex && machine.quarantine_until <= now &&
+           machine.unreachable_since == 0 &&
+           now - machine.heard_at <= settings_.report_ms * 2 + 500;
 }
 
 // Judges a machine by the effect of what it was sent.
-void Cluster::note_effect(MachineIx mix, bool reached, int weight, Millis now) {
+void Cluster::note_effect(MachineIndex mix, bool reached, int weight, Millis now) {
     if (!settings_.guards.judged_by_effect) return;
     Machine& machine = machines_[mix];
     if (reached) {
         machine.misses = 0;
-        machine.deaf_since = 0;
+        machine.unreachable_since = 0;
         return;
     }
     machine.misses += weight;
-    if (machine.misses >= kDeafMisses && machine.deaf_since == 0) machine.deaf_since = now;
+    if (machine.misses >= kDeafMisses && machine.unreachable_since == 0)
+        machine.unreachable_since = now;
 }
 
-void Cluster::note_image(Machine& machine, ImageIx image) {
+void Cluster::note_image(Machine& machine, ImageIndex image) {
     std::erase(machine.images, image);
     machine.images.push_back(image);
     if (machine.images.size() > 8) machine.images.erase(machine.images.begin());
 }
 
-void Cluster::note_failure(Job& job, MachineIx mix, Millis now) {
+void Cluster::note_failure(Job& job, MachineIndex mix, Millis now) {
     job.failures++;
     note_machine_failure(job, mix, now);
     const bool sound = has_run_well(job, now);
@@ -94,41 +96,42 @@
 // rest of it must not wait for them. Of a service, a replica that goes on running says the same.
 bool Cluster::has_run_well(const Job& job, Millis now) const {
     if (!job.spec.service) return job.done > 0;
-    return std::any_of(job.holds.begin(), job.holds.end(), [&](const auto& held) {
-        const Hold& hold = holds_[held.second];
+    return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& held) {
+        const Allocation& hold = allocations_[held.second];
         return hold.phase == TaskPhase::Running && hold.running_since > 0 &&
                now - hold.running_since >= kReplicaRunsWell;
     });
 }
 
 // What fails for several jobs in a row is faulty: it gets no new work and is given up.
-void Cluster::note_machine_failure(Job& job, MachineIx mix, Millis now) {
+void Cluster::note_machine_failure(Job& job, MachineIndex mix, Millis now) {
     // A service lives for long: what failed for it long ago says nothing any more.
     if (job.spec.service && job.failed_on.size() >= kMostFailedOn) job.failed_on.clear();
     job.failed_on.insert(mix);
     if (job.failed_on.size() > 2 && !has_run_well(job, now)) return;
     Machine& machine = machines_[mix];
-    machine.failed_jobs.insert(static_cast<JobIx>(job_ids_[job.id]));
+    machine.failed_jobs.insert(static_cast<JobIndex>(job_ids_[job.id]));
     machine.quarantine_until = now + kFailedPause;
     if (machine.failed_jobs.size() >= 2) {
         machine.drain = true;
-        machine.condemned = true;
+        machine.faulty = true;
         stop_replicas(mix, now);
     }
 }
 
-void Cluster::notice(MachineIx mix, double notice_s, Millis now) {
+void Cluster::notice(MachineIndex mix, double notice_s, Millis now) {
     Machine& machine = machines_[mix];
     machine.taken_at = now + static_cast<Millis>(notice_s * 1000);
-    const auto held = machine.holds;
-    for (auto hix : held) {
-        const Hold& h = holds_[hix];
-        if (h.job == kNone || h.stop) continue;
+    const auto held = machine.allocations;
+    for (auto allocation_index : held) {
+        const Allocation& h = allocations_[allocation_index];
+        if (h.job == kInvalidIndex || h.stop) continue;
         const auto& spec = jobs_[h.job].spec;
         const double ran_s = h.running_since > 0 ? (now - h.running_since) / 1000.0 : 0;
         const bool ends_before = spec.estimate_s - ran_s < notice_s * 0.7;
         if (h.phase == TaskPhase::Running && ends_before && !spec.service) continue;
-        stop_with_gang(hix, spec.checkpoint_s > 0 ? std::min(notice_s, spec.save_s) : 0, now);
+        stop_with_gang(allocation_index,
+                       spec.checkpoint_s > 0 ? std::min(notice_s, spec.save_s) : 0, now);
     }
 }
 
@@ -155,15 +158,16 @@
     for (auto& machine : machines_) {
         // A record names it and newer machines are listed, it is not: it was given back before its
         // tasks were placed anew. Only its return proves that, but nothing has to be waited for.
-        if (machine.life == Machine::Life::Booting && !machine.listed && !machine.holds.empty() &&
-            machine.heard_at == 0 && !names.empty() && machine.name < *names.rbegin()) {
+        if (machine.life == Machine::Life::Booting && !machine.listed &&
+            !machine.allocations.empty() && machine.heard_at == 0 && !names.empty() &&
+            machine.name < *names.rbegin()) {
             machine.life = Machine::Life::Returning;
             continue;
         }
         // A late copy of a report makes a machine look up that was gone before this lead began.
-        const bool ghost = !machine.listed && !machine.holds.empty() &&
+        const bool stale = !machine.listed && !machine.allocations.empty() &&
                            now - machine.first_seen > kUnlistedFor + settings_.report_ms;
-        if (machine.life != Machine::Life::Up || !(machine.listed || ghost) ||
+        if (machine.life != Machine::Life::Up || !(machine.listed || stale) ||
             names.contains(machine.name)) {
             continue;
         }
@@ -182,7 +186,7 @@
     refused_.erase({types_.intern(type), zones_.intern(zone), spot});
 }
 
-void Cluster::on_refused(TypeIx type, ZoneIx zone, bool spot, Millis now) {
+void Cluster::on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
     auto& [until, step] = refused_[{type, zone, spot}];
     step = std::min<Millis>(step == 0 ? 5000 : step * 2, 12000);
     until = now + step;
@@ -256,7 +260,7 @@
         // With a wider bound some still counted as heard when the first were given up, although
         // all had fallen silent at once.
         if (now - machine.heard_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
-        if (machine.deaf_since != 0) ++deaf;
+        if (machine.unreachable_since != 0) ++deaf;
         if (machine.lost_leases >= kLostLeases) ++losing;
     }
     const bool most_silent = heard * 2 < up;
@@ -275,7 +279,7 @@
             // Its place is used again once no late report or list is to be expected; without that
             // a leader of many days would grow without bound.
             if (machine.name.empty() || now - machine.return_asked < kForgetGone ||
-                !machine.holds.empty()) {
+                !machine.allocations.empty()) {
                 continue;
             }
             free_machines_.push_back(machine_ids_.at(machine.name));
@@ -302,7 +306,7 @@
             const bool many = most_silent && silent <= std::max(cut_patience, kManySilent);
             if (silent > bound && !many) {
                 if (!settings_.guards.silence_is_no_proof) {
-                    const auto mix = static_cast<MachineIx>(&machine - machines_.data());
+                    const auto mix = static_cast<MachineIndex>(&machine - machines_.data());
                     release_all(mix, std::numeric_limits<std::uint64_t>::max(), now);
                 }
                 machine.life = Machine::Life::Returning;
@@ -313,11 +317,11 @@
             // Many deaf at once is a trouble of ours as well.
             const auto deaf_patience =
                 std::max(patience, settings_.lease_ms + settings_.report_ms * 3);
-            if (machine.deaf_since != 0 && now - machine.deaf_since > deaf_patience &&
+            if (machine.unreachable_since != 0 && now - machine.unreachable_since > deaf_patience &&
                 deaf * 2 <= up) {
                 machine.life = Machine::Life::Returning;
                 lines.push_back("machine " + machine.name + " is not reached for " +
-                                std::to_string(now - machine.deaf_since) + " ms, returned");
+                                std::to_string(now - machine.unreachable_since) + " ms, returned");
                 continue;
             }
             // Commands may reach it while answers don't: then its tasks die with each lease.
@@ -331,10 +335,11 @@
             if (machine.lost_leases > 0 && now - machine.session_at > settings_.lease_ms * 3) {
                 machine.lost_leases = 0;
             }
-            if (machine.drain && machine.holds.empty()) machine.life = Machine::Life::Returning;
+            if (machine.drain && machine.allocations.empty())
+                machine.life = Machine::Life::Returning;
             // Replicas never end by themselves and would keep it for ever.
             if (machine.drain && only_replicas(machine)) {
-                stop_replicas(static_cast<MachineIx>(&machine - machines_.data()), now);
+                stop_replicas(static_cast<MachineIndex>(&machine - machines_.data()), now);
             }
             // Taken as announced: its place can be rented again before its silence would show.
             if (machine.taken_at && now > *machine.taken_at + kTakenMargin &&
@@ -344,10 +349,10 @@
                 continue;
             }
             if (machine.taken_at && now > *machine.taken_at + 60000) machine.taken_at.reset();
-            for (auto hix : machine.holds) {
-                const Hold& h = holds_[hix];
+            for (auto allocation_index : machine.allocations) {
+                const Allocation& h = allocations_[allocation_index];
                 // Unwanted and still in doubt: only the machine's return gives certainty.
-                if (h.stop && h.state == Hold::State::Sent && h.direct_doubt &&
+                if (h.stop && h.state == Allocation::State::Sent && h.direct_unconfirmed &&
                     now - h.stop_since > settings_.cancel_ms / 3) {
                     machine.life = Machine::Life::Returning;
                     lines.push_back("machine " + machine.name + " may still get a late run of " +
@@ -356,9 +361,10 @@
                 }
             }
         } else {
-            const double boot_s = machine.type != kNone && type_info_[machine.type].boot_s > 0
-                                      ? type_info_[machine.type].boot_s
-                                      : 60;
+            const double boot_s =
+                machine.type != kInvalidIndex && type_info_[machine.type].boot_s > 0
+                    ? type_info_[machine.type].boot_s
+                    : 60;
             const auto limit = std::max<Millis>(static_cast<Millis>(boot_s * 3000), 60000);
             // A record can name a machine that no list shows: it is gone, the return proves it.
             // A new leader finds machines in the list that have been up for long and has not heard
@@ -373,9 +379,9 @@
             }
             const auto least = machine.running ? listed_patience : std::min(limit, 2 * patience);
             const auto age = machine.running ? known : now - machine.rented_at;
-            const bool ghost = !machine.listed && !machine.holds.empty() &&
+            const bool stale = !machine.listed && !machine.allocations.empty() &&
                                now - machine.first_seen > patience + 6000;
-            if (ghost || (known > least && age > (machine.running ? least : limit))) {
+            if (stale || (known > least && age > (machine.running ? least : limit))) {
                 machine.life = Machine::Life::Returning;
                 lines.push_back("machine " + machine.name + " never came up, returned");
             }
@@ -385,19 +391,25 @@
 }
 
 bool Cluster::holds_replicas(const Machine& machine) const {
-    return std::any_of(machine.holds.begin(), machine.holds.end(),
-                       [&](HoldIx hix) { return jobs_.at(holds_[hix].job).spec.service; });
+    return std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                       [&](AllocationIndex allocation_index) {
+                           return jobs_.at(allocations_[allocation_index].job).spec.service;
+                       });
 }
 
 bool Cluster::only_replicas(const Machine& machine) const {
-    return !machine.holds.empty() &&
-           std::all_of(machine.holds.begin(), machine.holds.end(),
-                       [&](HoldIx hix) { return jobs_.at(holds_[hix].job).spec.service; });
+    return !machine.allocations.empty() &&
+           std::all_of(machine.allocations.begin(), machine.allocations.end(),
+                       [&](AllocationIndex allocation_index) {
+                           return jobs_.at(allocations_[allocation_index].job).spec.service;
+                       });
 }
 
 bool Cluster::holds_cancelled(const Machine& machine) const {
-    return std::any_of(machine.holds.begin(), machine.holds.end(),
-                       [&](HoldIx hix) { return jobs_.at(holds_[hix].job).aborted; });
+    return std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                       [&](AllocationIndex allocation_index) {
+                           return jobs_.at(allocations_[allocation_index].job).aborted;
+                       });
 }
 
 Cluster::ImageHints Cluster::image_hints(std::size_t part, std::size_t parts) const {
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -10,10 +10,10 @@
 
 // Jobs with the same key ask the same of the machines: if one does not fit, none does.
 struct FitKey {
-    Room need;
+    Resources need;
     std::uint64_t types = 0;
-    ZoneIx zone = kNone;
-    TeamIx team = kNone;
+    ZoneIndex zone = kInvalidIndex;
+    TeamIndex team = kInvalidIndex;
     Priority priority = Priority::Normal;
     bool spot = false;
     bool one_zone = false;
@@ -23,7 +23,7 @@
 };
 
 // Who may be stopped by whom depends on this alone.
-using RankKey = std::tuple<bool, Priority, TeamIx>;
+using RankKey = std::tuple<bool, Priority, TeamIndex>;
 
 enum class Pass : std::uint8_t { Free, Releasing, Booting, Preempt };
 constexpr std::size_t kPasses = 4;
@@ -32,8 +32,8 @@
 struct Choice {
     std::vector<std::size_t> machines;  // positions in the snapshot, one for each task
     double score = -1e300;
-    std::vector<std::size_t> victims;  // positions in Snapshot::holds
-    std::vector<ZoneIx> rejected;
+    std::vector<std::size_t> victims;  // positions in Snapshot::allocations
+    std::vector<ZoneIndex> rejected;
     [[nodiscard]] bool found() const { return !machines.empty(); }
 };
 
@@ -47,7 +47,7 @@
         : s_(snapshot), machines_(snapshot.machines), used_(snapshot.team_used) {
         const auto n = machines_.size();
         free_.reserve(n);
-        MachineIx last = 0;
+        MachineIndex last = 0;
         for (const auto& m : machines_) {
             free_.push_back(m.free);
             last = std::max(last, m.ix);
@@ -62,7 +62,7 @@
         for (const auto& item : s_.items) {
             longest_patience_ = std::max(longest_patience_, item.dear_patience_s);
         }
-        index_holds();
+        index_allocations();
         most_hourly_ = 1e-9;
         for (const auto& type : s_.types) most_hourly_ = std::max(most_hourly_, type.hourly);
         index_items();
@@ -91,37 +91,38 @@
     }
 
   private:
-    void index_holds() {
-        const auto n = s_.holds.size();
+    void index_allocations() {
+        const auto n = s_.allocations.size();
         soon_used_.resize(n);
         victim_.resize(n);
-        hold_at_.reserve(n);
-        hold_job_.reserve(n);
-        holds_from_.resize(machines_.size() + 1);
-        for (const auto& h : s_.holds) {
+        allocation_at_.reserve(n);
+        allocation_job_.reserve(n);
+        allocations_from_.resize(machines_.size() + 1);
+        for (const auto& h : s_.allocations) {
             const auto at = position_[h.machine];
-            hold_at_.push_back(at);
-            hold_job_.push_back(&s_.jobs.at(h.job));
-            ++holds_from_[at + 1];
+            allocation_at_.push_back(at);
+            allocation_job_.push_back(&s_.jobs.at(h.job));
+            ++allocations_from_[at + 1];
         }
-        for (std::size_t i = 1; i < holds_from_.size(); ++i) holds_from_[i] += holds_from_[i - 1];
-        holds_list_.resize(n);
-        auto next = holds_from_;
+        for (std::size_t i = 1; i < allocations_from_.size(); ++i)
+            allocations_from_[i] += allocations_from_[i - 1];
+        allocations_list_.resize(n);
+        auto next = allocations_from_;
         for (std::size_t h = 0; h < n; ++h) {
-            holds_list_[next[hold_at_[h]]++] = h;
-            const auto& job = *hold_job_[h];
-            if (s_.holds[h].stopping) {
-                releasing_[hold_at_[h]] += job.spec.need;
+            allocations_list_[next[allocation_at_[h]]++] = h;
+            const auto& job = *allocation_job_[h];
+            if (s_.allocations[h].stopping) {
+                releasing_[allocation_at_[h]] += job.spec.need;
             } else {
                 ranks_.try_emplace({job.in_guarantee, job.spec.priority, job.spec.team}, h);
             }
-            if (s_.holds[h].left_s <= longest_patience_) ending_.push_back(h);
+            if (s_.allocations[h].left_s <= longest_patience_) ending_.push_back(h);
         }
     }
 
     void index_items() {
         bool any = false;
-        const auto smallest = [&](const Room& need) {
+        const auto smallest = [&](const Resources& need) {
             if (!any) least_ = need;
             any = true;
             least_ = {std::min(least_.cpus, need.cpus), std::min(least_.gpus, need.gpus),
@@ -136,7 +137,7 @@
 
     void index_room() {
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (machines_[i].usable && free_[i].holds(least_)) free_list_.push_back(i);
+            if (machines_[i].usable && free_[i].covers(least_)) free_list_.push_back(i);
         }
         index_releasing();
     }
@@ -147,7 +148,7 @@
         for (std::size_t i = 0; i < machines_.size(); ++i) {
             const auto& m = machines_[i];
             if (claimed_[i] || !(m.usable || m.booting)) continue;
-            if (!room_in(i, Pass::Releasing).holds(least_)) continue;
+            if (!room_in(i, Pass::Releasing).covers(least_)) continue;
             if (m.usable) releasing_list_.push_back(i);
             booting_list_.push_back(i);
         }
@@ -211,12 +212,12 @@
 
     bool allows(const JobSpec& spec, const MachineView& m) const {
         return m.type < 64 && (spec.types >> m.type & 1) != 0 &&
-               (spec.zone == kNone || spec.zone == m.zone) && (spec.spot || !m.spot);
+               (spec.zone == kInvalidIndex || spec.zone == m.zone) && (spec.spot || !m.spot);
     }
 
     std::uint32_t team_room(const JobSpec& spec, std::uint32_t most) const {
-        Room left = s_.teams[spec.team].limit;
-        const Room& used = used_[spec.team];
+        Resources left = s_.teams[spec.team].limit;
+        const Resources& used = used_[spec.team];
         std::int64_t n = most;
         if (left.cpus > 0 && spec.need.cpus > 0) {
             n = std::min(n, (left.cpus - used.cpus) / spec.need.cpus);
@@ -227,11 +228,11 @@
         return n < 0 ? 0 : static_cast<std::uint32_t>(n);
     }
 
-    static bool among(const std::vector<ImageIx>& images, ImageIx image) {
+    static bool among(const std::vector<ImageIndex>& images, ImageIndex image) {
         return std::find(images.begin(), images.end(), image) != images.end();
     }
 
-    double node_score(const JobSpec& spec, std::size_t i, const Room& room) const {
+    double node_score(const JobSpec& spec, std::size_t i, const Resources& room) const {
         const auto& m = machines_[i];
         double score = 0;
         if (among(m.images, spec.image)) {
@@ -241,7 +242,7 @@
         } else if (spec.soon) {
             score -= spec.weights.fetch * fetch_s(spec, i);
         }
-        if (!spec.soon && std::any_of(m.images.begin(), m.images.end(), [&](ImageIx image) {
+        if (!spec.soon && std::any_of(m.images.begin(), m.images.end(), [&](ImageIndex image) {
                 return among(s_.warm_images, image);
             })) {
             score -= spec.weights.warm;
@@ -265,8 +266,8 @@
         return spec.image_gb * (1.0 + static_cast<double>(others)) / rate;
     }
 
-    Room room_in(std::size_t i, Pass pass) const {
-        Room room = free_[i];
+    Resources room_in(std::size_t i, Pass pass) const {
+        Resources room = free_[i];
         if (pass != Pass::Free) room += releasing_[i];
         return room;
     }
@@ -284,39 +285,40 @@
         taken_since_ = 0;
         for (auto pass : {Pass::Free, Pass::Releasing, Pass::Booting}) {
             std::erase_if(list_of(pass), [&](std::size_t i) {
-                return claimed_[i] || !room_in(i, pass).holds(least_);
+                return claimed_[i] || !room_in(i, pass).covers(least_);
             });
         }
     }
 
-    bool fits_place(const ItemView& item, const JobSpec& sp, ZoneIx zone, std::size_t i) const {
+    bool fits_place(const ItemView& item, const JobSpec& sp, ZoneIndex zone, std::size_t i) const {
         const auto& m = machines_[i];
         if (claimed_[i] || !allows(sp, m)) return false;
-        if (zone != kNone && m.zone != zone) return false;
-        if (sp.one_zone && item.zone != kNone && m.zone != item.zone) return false;
+        if (zone != kInvalidIndex && m.zone != zone) return false;
+        if (sp.one_zone && item.zone != kInvalidIndex && m.zone != item.zone) return false;
         return std::find(item.avoid.begin(), item.avoid.end(), m.ix) == item.avoid.end();
     }
 
     struct Candidate {
         double score = 0;
         std::size_t at = 0;
-        Room room;
+        Resources room;
         double crowding = 0;  // taken off the score already
         bool operator<(const Candidate& o) const {
             return score != o.score ? score < o.score : at > o.at;
         }
     };
 
-    // Trial-places `count` tasks one by one inside a candidate zone (kNone: the fleet), each where
-    // it scores best; gives up as soon as the whole is out of reach unless `partial`.
-    Choice trial(const ItemView& item, ZoneIx zone, std::uint32_t count, Pass pass, bool partial) {
+    // Trial-places `count` tasks one by one inside a candidate zone (kInvalidIndex: the fleet),
+    // each where it scores best; gives up as soon as the whole is out of reach unless `partial`.
+    Choice trial(const ItemView& item, ZoneIndex zone, std::uint32_t count, Pass pass,
+                 bool partial) {
         const JobSpec& sp = spec(item);
         candidates_.clear();
         std::int64_t reach = 0;
         for (const auto i : list_of(pass)) {
             ++plan_.steps;
-            const Room r = room_in(i, pass);
-            if (!r.holds(sp.need) || !fits_place(item, sp, zone, i)) continue;
+            const Resources r = room_in(i, pass);
+            if (!r.covers(sp.need) || !fits_place(item, sp, zone, i)) continue;
             reach += r.fits(sp.need);
             candidates_.push_back({node_score(sp, i, r), i, r, 0});
         }
@@ -349,7 +351,7 @@
             score += best.score;
             choice.machines.push_back(best.at);
             best.room -= sp.need;
-            if (best.room.holds(sp.need)) {
+            if (best.room.covers(sp.need)) {
                 best.crowding = 0;
                 best.score = node_score(sp, best.at, best.room);
                 std::push_heap(candidates_.begin(), candidates_.end());
@@ -376,14 +378,14 @@
                kZoneCrowding * static_cast<double>(in_zone);
     }
 
-    std::vector<ZoneIx> candidates(const JobSpec& sp) const {
-        std::vector<ZoneIx> zones;
-        if (sp.zone != kNone) {
+    std::vector<ZoneIndex> candidates(const JobSpec& sp) const {
+        std::vector<ZoneIndex> zones;
+        if (sp.zone != kInvalidIndex) {
             zones.push_back(sp.zone);
         } else if (sp.one_zone) {
-            for (ZoneIx z = 0; z < s_.zones; ++z) zones.push_back(z);
+            for (ZoneIndex z = 0; z < s_.zones; ++z) zones.push_back(z);
         } else {
-            zones.push_back(kNone);
+            zones.push_back(kInvalidIndex);
         }
         return zones;
     }
@@ -392,11 +394,11 @@
         const auto known = fails(item, pass);
         if (known <= count && (!partial || known <= 1)) return {};
         Choice best;
-        std::vector<ZoneIx> rejected;
+        std::vector<ZoneIndex> rejected;
         for (auto zone : candidates(spec(item))) {
             auto choice = trial(item, zone, count, pass, partial);
             if (!choice.found()) {
-                if (zone != kNone) rejected.push_back(zone);
+                if (zone != kInvalidIndex) rejected.push_back(zone);
                 continue;
             }
             // With a partial placement more tasks come first, then the tightest fit.
@@ -427,7 +429,7 @@
     // Nothing but its key decides where it fits.
     bool plain(const ItemView& item) const {
         const auto& sp = spec(item);
-        return item.avoid.empty() && (!sp.one_zone || item.zone == kNone) &&
+        return item.avoid.empty() && (!sp.one_zone || item.zone == kInvalidIndex) &&
                (!sp.apart || !item.begun);
     }
     FitKey key_of(const ItemView& item) const {
@@ -476,7 +478,7 @@
                 ++plan_.steps;
                 const auto& m = machines_[i];
                 if (pass == Pass::Booting && !m.booting) continue;
-                if (claimed_[i] || !allows(warm.spec, m) || !free_[i].holds(warm.spec.need)) {
+                if (claimed_[i] || !allows(warm.spec, m) || !free_[i].covers(warm.spec.need)) {
                     continue;
                 }
                 candidates_.push_back({node_score(warm.spec, i, free_[i]), i, free_[i], 0});
@@ -490,7 +492,7 @@
                 ++taken_since_;
                 --left;
                 best.room = free_[best.at];
-                if (best.room.holds(warm.spec.need)) {
+                if (best.room.covers(warm.spec.need)) {
                     best.score = node_score(warm.spec, best.at, best.room);
                     std::push_heap(candidates_.begin(), candidates_.end());
                 } else {
@@ -503,12 +505,12 @@
     }
 
     bool may_stop(const ItemView& item, std::size_t hold) const {
-        const auto& v = *hold_job_[hold];
+        const auto& v = *allocation_job_[hold];
         const auto& mine = spec(item);
-        if (s_.holds[hold].job == item.job) return false;
+        if (s_.allocations[hold].job == item.job) return false;
         if (v.spec.priority < mine.priority && (item.in_guarantee || !v.in_guarantee)) return true;
         return item.in_guarantee && !v.in_guarantee && v.spec.team != mine.team &&
-               s_.teams[mine.team].guarantee != Room{};
+               s_.teams[mine.team].guarantee != Resources{};
     }
 
     bool too_late(const ItemView& item, const Choice& choice) const {
@@ -522,7 +524,7 @@
     struct Displacement {
         double cost = 0;
         std::size_t at = 0;
-        Room room;  // with the victims gone
+        Resources room;  // with the victims gone
         std::vector<std::size_t> victims;
         bool operator<(const Displacement& o) const {
             return cost != o.cost ? cost > o.cost : at > o.at;
@@ -530,26 +532,26 @@
     };
 
     // The cheapest way to make room for one more task on a machine.
-    bool displace(const ItemView& item, std::size_t i, const Room& start,
+    bool displace(const ItemView& item, std::size_t i, const Resources& start,
                   const std::vector<std::size_t>& chosen, Displacement& out) {
         const JobSpec& sp = spec(item);
-        Room reach = start;
+        Resources reach = start;
         order_.clear();
-        for (auto k = holds_from_[i]; k < holds_from_[i + 1]; ++k) {
+        for (auto k = allocations_from_[i]; k < allocations_from_[i + 1]; ++k) {
             ++plan_.steps;
-            const auto h = holds_list_[k];
-            if (s_.holds[h].stopping || victim_[h] || !may_stop(item, h)) continue;
+            const auto h = allocations_list_[k];
+            if (s_.allocations[h].stopping || victim_[h] || !may_stop(item, h)) continue;
             if (std::find(chosen.begin(), chosen.end(), h) != chosen.end()) continue;
             order_.push_back(h);
-            reach += hold_job_[h]->spec.need;
+            reach += allocation_job_[h]->spec.need;
         }
-        if (!reach.holds(sp.need)) return false;
+        if (!reach.covers(sp.need)) return false;
         std::sort(order_.begin(), order_.end(), [&](auto a, auto b) {
-            const auto pa = hold_job_[a]->spec.priority;
-            const auto pb = hold_job_[b]->spec.priority;
+            const auto pa = allocation_job_[a]->spec.priority;
+            const auto pb = allocation_job_[b]->spec.priority;
             if (pa != pb) return pa < pb;
-            if (s_.holds[a].lost_s != s_.holds[b].lost_s) {
-                return s_.holds[a].lost_s < s_.holds[b].lost_s;
+            if (s_.allocations[a].lost_s != s_.allocations[b].lost_s) {
+                return s_.allocations[a].lost_s < s_.allocations[b].lost_s;
             }
             return a < b;
         });
@@ -558,18 +560,18 @@
         out.cost = -0.5 * node_score(sp, i, start);
         out.victims.clear();
         for (auto h : order_) {
-            if (out.room.holds(sp.need)) break;
-            out.room += hold_job_[h]->spec.need;
-            out.cost += 5 + s_.holds[h].lost_s;
+            if (out.room.covers(sp.need)) break;
+            out.room += allocation_job_[h]->spec.need;
+            out.cost += 5 + s_.allocations[h].lost_s;
             out.victims.push_back(h);
         }
         // Spare those that turned out not to be needed.
         for (std::size_t k = 0; k < out.victims.size();) {
-            Room without = out.room;
-            without -= hold_job_[out.victims[k]]->spec.need;
-            if (without.holds(sp.need)) {
+            Resources without = out.room;
+            without -= allocation_job_[out.victims[k]]->spec.need;
+            if (without.covers(sp.need)) {
                 out.room = without;
-                out.cost -= 5 + s_.holds[out.victims[k]].lost_s;
+                out.cost -= 5 + s_.allocations[out.victims[k]].lost_s;
                 out.victims.erase(out.victims.begin() + static_cast<std::ptrdiff_t>(k));
             } else {
                 ++k;
@@ -592,7 +594,8 @@
             for (std::size_t i = 0; i < machines_.size(); ++i) {
                 ++plan_.steps;
                 const auto& m = machines_[i];
-                if (!m.usable || !fits_place(item, sp, zone, i) || !m.room.holds(sp.need)) continue;
+                if (!m.usable || !fits_place(item, sp, zone, i) || !m.room.covers(sp.need))
+                    continue;
                 if (image_there && fetch_s(sp, i) > 0) continue;
                 if (displace(item, i, room_in(i, Pass::Releasing), choice.victims, one)) {
                     heap.push_back(one);
@@ -634,18 +637,18 @@
         const auto release = [&](std::size_t h) {
             victim_[h] = true;
             releasing_stale_ = true;
-            releasing_[hold_at_[h]] += hold_job_[h]->spec.need;
+            releasing_[allocation_at_[h]] += allocation_job_[h]->spec.need;
         };
         for (auto h : choice.victims) {
-            plan_.stops.emplace_back(s_.holds[h].ix, s_.holds[h].attempt);
+            plan_.stops.emplace_back(s_.allocations[h].ix, s_.allocations[h].attempt);
             plan_.stops_for.push_back(item.job);
             if (!victim_[h]) release(h);
             // Stopping one task of a gang stops the gang.
-            if (!hold_job_[h]->spec.gang) continue;
-            for (std::size_t other = 0; other < s_.holds.size(); ++other) {
+            if (!allocation_job_[h]->spec.gang) continue;
+            for (std::size_t other = 0; other < s_.allocations.size(); ++other) {
                 ++plan_.steps;
-                if (s_.holds[other].job == s_.holds[h].job && !victim_[other] &&
-                    !s_.holds[other].stopping) {
+                if (s_.allocations[other].job == s_.allocations[h].job && !victim_[other] &&
+                    !s_.allocations[other].stopping) {
                     release(other);
                 }
             }
@@ -720,7 +723,8 @@
             for (std::size_t i = 0; i < machines_.size(); ++i) {
                 ++plan_.steps;
                 const auto& m = machines_[i];
-                if (!m.usable || !fits_place(item, sp, zone, i) || !m.room.holds(sp.need)) continue;
+                if (!m.usable || !fits_place(item, sp, zone, i) || !m.room.covers(sp.need))
+                    continue;
                 soon.push_back({room_after_s(i, sp.need), i});
             }
             std::sort(soon.begin(), soon.end(), [](const Soon& a, const Soon& b) {
@@ -744,19 +748,19 @@
         claims_ += best.size();
     }
 
-    double room_after_s(std::size_t i, const Room& need) const {
-        Room room = free_[i];
-        if (room.holds(need)) return 0;
+    double room_after_s(std::size_t i, const Resources& need) const {
+        Resources room = free_[i];
+        if (room.covers(need)) return 0;
         std::vector<std::size_t> order(
-            holds_list_.begin() + static_cast<std::ptrdiff_t>(holds_from_[i]),
-            holds_list_.begin() + static_cast<std::ptrdiff_t>(holds_from_[i + 1]));
+            allocations_list_.begin() + static_cast<std::ptrdiff_t>(allocations_from_[i]),
+            allocations_list_.begin() + static_cast<std::ptrdiff_t>(allocations_from_[i + 1]));
         const auto left = [&](std::size_t h) {
-            return s_.holds[h].stopping || victim_[h] ? 0.0 : s_.holds[h].left_s;
+            return s_.allocations[h].stopping || victim_[h] ? 0.0 : s_.allocations[h].left_s;
         };
         std::sort(order.begin(), order.end(), [&](auto a, auto b) { return left(a) < left(b); });
         for (auto h : order) {
-            room += hold_job_[h]->spec.need;
-            if (room.holds(need)) return left(h);
+            room += allocation_job_[h]->spec.need;
+            if (room.covers(need)) return left(h);
         }
         return 1e9;
     }
@@ -796,27 +800,27 @@
 
     void demand(const ItemView& item, std::uint32_t count) { demands_.emplace_back(&item, count); }
 
-    bool refused(TypeIx type, ZoneIx zone, bool spot) const {
+    bool refused(TypeIndex type, ZoneIndex zone, bool spot) const {
         return std::find(s_.refused.begin(), s_.refused.end(), std::tuple(type, zone, spot)) !=
                s_.refused.end();
     }
 
     struct Virtual {
-        TypeIx type;
-        ZoneIx zone;
+        TypeIndex type;
+        ZoneIndex zone;
         bool spot;
-        Room free;
+        Resources free;
     };
 
-    bool take_virtual(const JobSpec& sp, ZoneIx zone) {
+    bool take_virtual(const JobSpec& sp, ZoneIndex zone) {
         for (std::size_t k = 0; k < open_virtual_.size(); ++k) {
             ++plan_.steps;
             auto& v = virtual_[open_virtual_[k]];
             if ((sp.types >> v.type & 1) == 0 || (v.spot && !sp.spot)) continue;
-            if (zone != kNone && v.zone != zone) continue;
-            if (!v.free.holds(sp.need)) continue;
+            if (zone != kInvalidIndex && v.zone != zone) continue;
+            if (!v.free.covers(sp.need)) continue;
             v.free -= sp.need;
-            if (!v.free.holds(least_)) {
+            if (!v.free.covers(least_)) {
                 open_virtual_.erase(open_virtual_.begin() + static_cast<std::ptrdiff_t>(k));
             }
             return true;
@@ -824,19 +828,19 @@
         return false;
     }
 
-    bool add_virtual(const JobSpec& sp, ZoneIx only_zone, bool spot) {
+    bool add_virtual(const JobSpec& sp, ZoneIndex only_zone, bool spot) {
         if (virtual_.size() >= kMostRented) return false;
         count_zones();
         double best = 1e300;
-        Virtual pick{kNone, kNone, false, {}};
-        for (TypeIx t = 0; t < s_.types.size() && t < 64; ++t) {
+        Virtual pick{kInvalidIndex, kInvalidIndex, false, {}};
+        for (TypeIndex t = 0; t < s_.types.size() && t < 64; ++t) {
             const auto& type = s_.types[t];
             if ((sp.types >> t & 1) == 0 || type.zones.empty()) continue;
             const auto fits = type.room.fits(sp.need);
             if (fits == 0) continue;
             for (auto zone : s_.type_zones[t]) {
-                if (sp.zone != kNone && zone != sp.zone) continue;
-                if (only_zone != kNone && zone != only_zone) continue;
+                if (sp.zone != kInvalidIndex && zone != sp.zone) continue;
+                if (only_zone != kInvalidIndex && zone != only_zone) continue;
                 if ((spot && !sp.spot) || refused(t, zone, spot)) continue;
                 double cost = (spot ? type.spot_hourly : type.hourly) / static_cast<double>(fits);
                 // Spread machines over the zones: one wave, or one cut, takes fewer.
@@ -848,7 +852,7 @@
                 }
             }
         }
-        if (pick.type == kNone) return false;
+        if (pick.type == kInvalidIndex) return false;
         ++in_zone_[pick.zone];
         open_virtual_.push_back(virtual_.size());
         virtual_.push_back(pick);
@@ -870,19 +874,19 @@
             // A gang of one zone needs its machines together; where the cloud refuses, the next
             // zone is asked for the rest.
             if (sp.gang && !kept_for_gang_) keep_what_came(*item);
-            if (sp.apart && !sp.one_zone && sp.zone == kNone) {
+            if (sp.apart && !sp.one_zone && sp.zone == kInvalidIndex) {
                 rent_apart(*item, left);
                 continue;
             }
-            std::vector<ZoneIx> zones{item->zone};
-            if (sp.gang && sp.one_zone && item->zone == kNone) zones = zones_by_room(*item);
+            std::vector<ZoneIndex> zones{item->zone};
+            if (sp.gang && sp.one_zone && item->zone == kInvalidIndex) zones = zones_by_room(*item);
             left = wait_for_places(sp, left, item->rent_patience_s);
             for (auto zone : zones) left = rent_for(sp, zone, left, true);
             left = wait_for_places(sp, left, item->dear_patience_s);
             for (auto zone : zones) left = rent_for(sp, zone, left, false);
         }
-        // Room to keep warm is rented only where it is cheap.
-        for (auto [sp, count] : warm_demands_) rent_for(*sp, kNone, count, sp->spot);
+        // Resources to keep warm is rented only where it is cheap.
+        for (auto [sp, count] : warm_demands_) rent_for(*sp, kInvalidIndex, count, sp->spot);
         // In the order of what waits: where the cloud has few machines left, the first gets them.
         for (const auto& v : virtual_) {
             const auto same =
@@ -903,9 +907,9 @@
     void keep_what_came(const ItemView& item) {
         const JobSpec& sp = spec(item);
         kept_for_gang_ = true;
-        if (sp.apart && !sp.one_zone && sp.zone == kNone) {
-            for (ZoneIx z = 0; z < s_.zones; ++z) keep_for(item, z, (sp.count + 1) / 2);
-        } else if (sp.one_zone && sp.zone == kNone) {
+        if (sp.apart && !sp.one_zone && sp.zone == kInvalidIndex) {
+            for (ZoneIndex z = 0; z < s_.zones; ++z) keep_for(item, z, (sp.count + 1) / 2);
+        } else if (sp.one_zone && sp.zone == kInvalidIndex) {
             const auto zones = zones_by_room(item);
             if (!zones.empty()) keep_for(item, zones.front(), sp.count);
         } else {
@@ -913,7 +917,7 @@
         }
     }
 
-    void keep_for(const ItemView& item, ZoneIx zone, std::int64_t count) {
+    void keep_for(const ItemView& item, ZoneIndex zone, std::int64_t count) {
         const JobSpec& sp = spec(item);
         for (const auto i : list_of(Pass::Booting)) {
             ++plan_.steps;
@@ -925,21 +929,21 @@
     }
 
     // The zones it may use, the one with most room first, what is being rented included.
-    std::vector<ZoneIx> zones_by_room(const ItemView& item) {
+    std::vector<ZoneIndex> zones_by_room(const ItemView& item) {
         const JobSpec& sp = spec(item);
-        if (sp.zone != kNone) return {sp.zone};
+        if (sp.zone != kInvalidIndex) return {sp.zone};
         std::vector<std::int64_t> fit(s_.zones);
         for (const auto i : list_of(Pass::Booting)) {
             ++plan_.steps;
-            if (!fits_place(item, sp, kNone, i)) continue;
+            if (!fits_place(item, sp, kInvalidIndex, i)) continue;
             fit[machines_[i].zone] += free_[i].fits(sp.need);
         }
         for (const auto k : open_virtual_) fit[virtual_[k].zone] += virtual_[k].free.fits(sp.need);
-        std::vector<ZoneIx> zones(s_.zones);
-        for (ZoneIx z = 0; z < s_.zones; ++z) zones[z] = z;
+        std::vector<ZoneIndex> zones(s_.zones);
+        for (ZoneIndex z = 0; z < s_.zones; ++z) zones[z] = z;
         count_zones();
         // Among equals the zone with fewer machines: they would all pile up in the first.
-        std::stable_sort(zones.begin(), zones.end(), [&](ZoneIx a, ZoneIx b) {
+        std::stable_sort(zones.begin(), zones.end(), [&](ZoneIndex a, ZoneIndex b) {
             return fit[a] != fit[b] ? fit[a] > fit[b] : in_zone_[a] < in_zone_[b];
         });
         return zones;
@@ -956,10 +960,11 @@
         for (auto h : ending_) {
             if (count == 0) break;
             ++plan_.steps;
-            const auto& view = s_.holds[h];
+            const auto& view = s_.allocations[h];
             if (soon_used_[h] || victim_[h] || view.left_s > patience_s) continue;
-            const auto& m = machines_[hold_at_[h]];
-            if (!m.usable || !allows(sp, m) || !hold_job_[h]->spec.need.holds(sp.need)) continue;
+            const auto& m = machines_[allocation_at_[h]];
+            if (!m.usable || !allows(sp, m) || !allocation_job_[h]->spec.need.covers(sp.need))
+                continue;
             soon_used_[h] = true;
             --count;
         }
@@ -975,11 +980,11 @@
         for (const auto i : list_of(Pass::Booting)) {
             ++plan_.steps;
             // What it keeps off, since it failed there, is no room for it.
-            if (!fits_place(item, sp, kNone, i)) continue;
+            if (!fits_place(item, sp, kInvalidIndex, i)) continue;
             fit[machines_[i].zone] += free_[i].fits(sp.need);
         }
         std::vector<std::uint32_t> open(s_.zones);  // how many more each zone may take
-        for (ZoneIx z = 0; z < s_.zones; ++z) {
+        for (ZoneIndex z = 0; z < s_.zones; ++z) {
             const auto there = z < item.zone_counts.size() ? item.zone_counts[z] : 0;
             const auto most = half - std::min(half, there);
             const auto have = static_cast<std::uint32_t>(std::min<std::int64_t>(most, fit[z]));
@@ -987,7 +992,7 @@
             count -= std::min(count, have);
         }
         for (const bool spot : {true, false}) {
-            for (ZoneIx z = 0; z < s_.zones; ++z) {
+            for (ZoneIndex z = 0; z < s_.zones; ++z) {
                 const auto ask = std::min(count, open[z]);
                 const auto got = ask - rent_for(sp, z, ask, spot);
                 open[z] -= got;
@@ -997,7 +1002,7 @@
     }
 
     // How many of `count` no machine could be planned for.
-    std::uint32_t rent_for(const JobSpec& sp, ZoneIx zone, std::uint32_t count, bool spot) {
+    std::uint32_t rent_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count, bool spot) {
         for (; count > 0; --count) {
             if (take_virtual(sp, zone)) continue;
             if (!add_virtual(sp, zone, spot)) break;
@@ -1011,7 +1016,7 @@
     bool kept_for_guarantees(std::size_t i) const {
         const auto& m = machines_[i];
         if (s_.guarantee_s <= 0 || s_.guarantee_s > s_.types[m.type].boot_s) return false;
-        Room rest = total_;
+        Resources rest = total_;
         rest -= returning_;
         rest -= m.room;
         return (s_.kept_guarantee.cpus > 0 && rest.cpus < s_.kept_guarantee.cpus) ||
@@ -1026,14 +1031,14 @@
     // Whether all work of a machine ends soon or fits into free room on machines that are cheaper,
     // or as cheap and in use; takes that room if so.
     bool can_empty(std::size_t i) {
-        std::vector<std::pair<std::size_t, Room>> use;
+        std::vector<std::pair<std::size_t, Resources>> use;
         const auto give_back = [&] {
             for (auto& [at, need] : use) free_[at] += need;
             return false;
         };
-        for (auto k = holds_from_[i]; k < holds_from_[i + 1]; ++k) {
-            const auto& view = s_.holds[holds_list_[k]];
-            const auto& sp = hold_job_[holds_list_[k]]->spec;
+        for (auto k = allocations_from_[i]; k < allocations_from_[i + 1]; ++k) {
+            const auto& view = s_.allocations[allocations_list_[k]];
+            const auto& sp = allocation_job_[allocations_list_[k]]->spec;
             if (view.left_s < 40) continue;
             // A replica keeps its zone, so that what has to be apart stays so.
             const bool replica_moves = sp.service && view.ran_ms > kReplicaSettled;
@@ -1056,7 +1061,7 @@
         for (std::size_t o = 0; o < machines_.size(); ++o) {
             ++plan_.steps;
             const auto& other = machines_[o];
-            if (!free_[o].holds(sp.need) || o == i || !other.usable || claimed_[o]) continue;
+            if (!free_[o].covers(sp.need) || o == i || !other.usable || claimed_[o]) continue;
             if (emptied_[o] || !allows(sp, other) || hourly(o) > hourly(i)) continue;
             // The rest of its gang stays where it is.
             const bool bound = (sp.one_zone && sp.count > 1) || sp.service;
@@ -1064,7 +1069,7 @@
             // A fetch there has to be small beside what is left to run.
             if (fetch_s(sp, o) > left_s * kFetchToMove) continue;
             if (hourly(o) < hourly(i)) return o;
-            const bool in_use = holds_from_[o] != holds_from_[o + 1] || reserved_[o];
+            const bool in_use = allocations_from_[o] != allocations_from_[o + 1] || reserved_[o];
             if (in_use && same == machines_.size()) same = o;
         }
         return same;
@@ -1079,10 +1084,10 @@
         std::vector<std::tuple<double, std::size_t, std::size_t>> order;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
             const auto& m = machines_[i];
-            const auto holds = holds_from_[i + 1] - holds_from_[i];
-            if (!m.usable || reserved_[i] || claimed_[i] || holds == 0) continue;
+            const auto allocations = allocations_from_[i + 1] - allocations_from_[i];
+            if (!m.usable || reserved_[i] || claimed_[i] || allocations == 0) continue;
             if (m.age_ms < 60000 || kept_for_guarantees(i)) continue;
-            order.emplace_back(-hourly(i), holds, i);
+            order.emplace_back(-hourly(i), allocations, i);
         }
         const auto most =
             1 + static_cast<std::size_t>(s_.tuning.drain_share * static_cast<double>(order.size()));
@@ -1104,11 +1109,12 @@
     }
 
     void return_idle() {
-        // Room kept warm: the cheapest idle machines stay, the dear ones go first.
+        // Resources kept warm: the cheapest idle machines stay, the dear ones go first.
         std::vector<std::size_t> idle;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
             const auto& m = machines_[i];
-            if (!m.usable || reserved_[i] || claimed_[i] || holds_from_[i] != holds_from_[i + 1]) {
+            if (!m.usable || reserved_[i] || claimed_[i] ||
+                allocations_from_[i] != allocations_from_[i + 1]) {
                 continue;
             }
             if (m.idle_ms < m.keep_ms || m.age_ms < 60000) continue;
@@ -1135,25 +1141,25 @@
 
     const Snapshot& s_;
     const std::vector<MachineView>& machines_;
-    std::vector<Room> free_;
-    std::vector<Room> used_;
-    std::vector<Room> releasing_;
+    std::vector<Resources> free_;
+    std::vector<Resources> used_;
+    std::vector<Resources> releasing_;
     std::vector<char> claimed_;
     std::vector<char> reserved_;
     std::vector<char> emptied_;
-    std::vector<std::vector<ImageIx>> planned_fetch_;
+    std::vector<std::vector<ImageIndex>> planned_fetch_;
     std::vector<std::size_t> position_;  // by machine
-    std::vector<std::size_t> hold_at_;
-    std::vector<const JobView*> hold_job_;
-    std::vector<std::size_t> holds_from_;  // per machine, into holds_list_
-    std::vector<std::size_t> holds_list_;
-    std::vector<std::size_t> ending_;  // holds that end within the longest patience
+    std::vector<std::size_t> allocation_at_;
+    std::vector<const JobView*> allocation_job_;
+    std::vector<std::size_t> allocations_from_;  // per machine, into allocations_list_
+    std::vector<std::size_t> allocations_list_;
+    std::vector<std::size_t> ending_;  // allocations that end within the longest patience
     std::vector<char> soon_used_;
     std::vector<char> victim_;
     std::unordered_map<const ItemView*, const JobView*> item_jobs_;
-    Room least_;  // what asks for least of each
-    Room total_;
-    Room returning_;
+    Resources least_;  // what asks for least of each
+    Resources total_;
+    Resources returning_;
     std::vector<std::size_t> free_list_;
     std::vector<std::size_t> releasing_list_;
     std::vector<std::size_t> booting_list_;
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -10,17 +10,17 @@
 
 // What placement looks at of a job, with names as indices.
 struct JobSpec {
-    ClassIx cls = kNone;
-    TeamIx team = kNone;
+    ClassIndex cls = kInvalidIndex;
+    TeamIndex team = kInvalidIndex;
     bool gang = false;
     bool service = false;  // replicas run until the job is cancelled
     Priority priority = Priority::Normal;
     std::uint32_t count = 1;
-    Room need;
-    ImageIx image = kNone;
+    Resources need;
+    ImageIndex image = kInvalidIndex;
     double image_gb = 0;
     std::uint64_t types = ~0ULL;  // one bit for each type
-    ZoneIx zone = kNone;
+    ZoneIndex zone = kInvalidIndex;
     bool one_zone = false;
     bool apart = false;
     bool spot = false;
@@ -50,27 +50,27 @@
 };
 
 struct MachineView {
-    MachineIx ix = kNone;
-    TypeIx type = kNone;
-    ZoneIx zone = kNone;
+    MachineIndex ix = kInvalidIndex;
+    TypeIndex type = kInvalidIndex;
+    ZoneIndex zone = kInvalidIndex;
     bool spot = false;
     bool usable = false;   // up, heard from, may take work
     bool booting = false;  // will be usable
-    Room room;             // in all
-    Room free;             // counting all that may be on it
+    Resources room;        // in all
+    Resources free;        // counting all that may be on it
     Millis idle_ms = 0;    // since when nothing is on it
     Millis keep_ms = 0;    // how long it is kept like that
     Millis age_ms = 0;
     double boot_left_s = 0;
-    std::vector<ImageIx> images;
-    std::vector<ImageIx> fetching;
+    std::vector<ImageIndex> images;
+    std::vector<ImageIndex> fetching;
 };
 
-struct HoldView {
-    HoldIx ix = kNone;
+struct AllocationView {
+    AllocationIndex ix = kInvalidIndex;
     std::uint64_t attempt = 0;
-    MachineIx machine = kNone;
-    JobIx job = kNone;
+    MachineIndex machine = kInvalidIndex;
+    JobIndex job = kInvalidIndex;
     bool stopping = false;
     Millis ran_ms = 0;
     double left_s = 0;  // estimated rest
@@ -78,7 +78,7 @@
 };
 
 struct ItemView {  // a job with tasks that wait
-    JobIx job = kNone;
+    JobIndex job = kInvalidIndex;
     std::uint32_t waiting = 0;
     bool in_guarantee = false;
     bool blocked = false;  // backing off: asks for no room now
@@ -88,10 +88,10 @@
     double order_s = 0;                      // among equals, smaller first
     double rent_patience_s = 20;             // a place that is free that soon needs no new machine
     double dear_patience_s = 60;             // the same before an ordinary machine is rented
-    ZoneIx zone = kNone;                     // where its other tasks are, with one_zone
+    ZoneIndex zone = kInvalidIndex;          // where its other tasks are, with one_zone
     std::vector<std::uint32_t> zone_counts;  // with apart and for services; may be empty
-    std::vector<MachineIx> replicas_on;      // of a service: where its other replicas are
-    std::vector<MachineIx> avoid;
+    std::vector<MachineIndex> replicas_on;   // of a service: where its other replicas are
+    std::vector<MachineIndex> avoid;
 };
 
 struct JobView {
@@ -109,46 +109,46 @@
     Millis now = 0;
     PlannerTuning tuning;
     std::vector<MachineView> machines;
-    std::vector<HoldView> holds;
+    std::vector<AllocationView> allocations;
     std::vector<ItemView> items;
-    std::unordered_map<JobIx, JobView> jobs;
-    std::vector<Room> team_used;
+    std::unordered_map<JobIndex, JobView> jobs;
+    std::vector<Resources> team_used;
     std::vector<Team> teams;
     std::vector<MachineType> types;
-    std::vector<std::vector<ZoneIx>> type_zones;
+    std::vector<std::vector<ZoneIndex>> type_zones;
     std::size_t zones = 0;
     std::vector<WarmClass> warm_classes;
-    std::vector<ImageIx> warm_images;  // of classes whose tasks should start soon
-    double guarantee_s = 0;            // how soon guaranteed work should start; 0: no such aim
-    Room kept_guarantee;               // of the teams that had work not long ago
-    bool may_drain = true;             // the last machine was emptied long enough ago
-    std::vector<std::tuple<TypeIx, ZoneIx, bool>> refused;
+    std::vector<ImageIndex> warm_images;  // of classes whose tasks should start soon
+    double guarantee_s = 0;               // how soon guaranteed work should start; 0: no such aim
+    Resources kept_guarantee;             // of the teams that had work not long ago
+    bool may_drain = true;                // the last machine was emptied long enough ago
+    std::vector<std::tuple<TypeIndex, ZoneIndex, bool>> refused;
 };
 
 struct Start {
-    JobIx job = kNone;
-    std::vector<MachineIx> machines;  // one for each task
+    JobIndex job = kInvalidIndex;
+    std::vector<MachineIndex> machines;  // one for each task
     double score = 0;
-    std::vector<ZoneIx> rejected;  // candidate zones that did not fit the whole
+    std::vector<ZoneIndex> rejected;  // candidate zones that did not fit the whole
 };
 
 struct Rent {
-    TypeIx type = kNone;
-    ZoneIx zone = kNone;
+    TypeIndex type = kInvalidIndex;
+    ZoneIndex zone = kInvalidIndex;
     bool spot = false;
     std::uint32_t number = 0;
 };
 
 struct Plan {
     std::vector<Start> starts;
-    std::vector<std::pair<HoldIx, std::uint64_t>> stops;  // with the attempt meant
-    std::vector<JobIx> stops_for;                         // for each stop, who gets the room
+    std::vector<std::pair<AllocationIndex, std::uint64_t>> stops;  // with the attempt meant
+    std::vector<JobIndex> stops_for;  // for each stop, who gets the room
     std::vector<Rent> rents;
-    std::vector<MachineIx> returns;
-    std::vector<MachineIx> drains;  // emptied, then returned
-    bool short_of_room = false;     // something that may run found no place
-    Millis taken_at = 0;            // when its snapshot was taken
-    std::uint64_t steps = 0;        // machines and holds looked at: what the plan cost
+    std::vector<MachineIndex> returns;
+    std::vector<MachineIndex> drains;  // emptied, then returned
+    bool short_of_room = false;        // something that may run found no place
+    Millis taken_at = 0;               // when its snapshot was taken
+    std::uint64_t steps = 0;           // machines and allocations looked at: what the plan cost
 };
 
 // The placement rule of the design: each gang whole per candidate zone, tightest fit, victims of
--- a/src/core/record_layout.h
+++ b/src/core/record_layout.h
@@ -5,8 +5,8 @@
 
 // How the tasks of a job are divided into its placement records `place/ID/NUMBER`.
 //
-// Layout 0 is that of the first versions: record K holds the tasks from K * chunk_tasks on, and
-// chunk_tasks follows from the limit on values in the settings. The finer layouts hold a fixed
+// Layout 0 is that of the first versions: record K allocations the tasks from K * chunk_tasks on,
+// and chunk_tasks follows from the limit on values in the settings. The finer layouts hold a fixed
 // number of tasks and use numbers of their own, which layout 0 never reaches: whoever reads a
 // record can tell its layout from its number alone, and a version that knows of layout 0 only never
 // writes over one of them. Numbers and spans are part of the stored format and must not be changed.
@@ -21,18 +21,18 @@
     return number / kNumbersOfALayout;
 }
 
-// How many tasks a record of a layout holds.
+// How many tasks a record of a layout allocations.
 [[nodiscard]] constexpr std::uint32_t span_of(std::uint32_t layout, std::uint32_t chunk_tasks) {
     return layout == 0 ? chunk_tasks : kFineSpans.at(layout - 1);
 }
 
-// The record that holds a task.
+// The record that allocations a task.
 [[nodiscard]] constexpr std::uint32_t record_number(std::uint32_t layout, std::uint32_t task,
                                                     std::uint32_t chunk_tasks) {
     return layout * kNumbersOfALayout + task / span_of(layout, chunk_tasks);
 }
 
-// The first task that a record holds.
+// The first task that a record allocations.
 [[nodiscard]] constexpr std::uint32_t first_task(std::uint32_t number, std::uint32_t chunk_tasks) {
     return number % kNumbersOfALayout * span_of(layout_of(number), chunk_tasks);
 }
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -19,7 +19,7 @@
 }
 
 // At least as many bytes as the value of the record will have.
-std::size_t value_bytes(const PlaceRecord& record) {
+std::size_t value_bytes(const PlacementRecord& record) {
     constexpr std::size_t kFrame = 64;  // names of the fields, term and nonce
     constexpr std::size_t kMarks = 8;   // brackets, commas and quotes of one entry
     std::size_t bytes = kFrame;
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-void Cluster::load_record(const std::string& job_id, std::uint32_t chunk, const PlaceRecord& record,
-                          std::uint64_t rev, Millis now) {
+void Cluster::load_record(const std::string& job_id, std::uint32_t chunk,
+                          const PlacementRecord& record, std::uint64_t rev, Millis now) {
     auto found = job_ids_.find(job_id);
     if (found == job_ids_.end()) return;
     Job& job = jobs_[found->second];
@@ -63,31 +63,31 @@
         job.started_at = now;
         tried(placed.task);
         job.again.erase(placed.task);
-        Hold hold;
+        Allocation hold;
         hold.job = found->second;
         hold.task = placed.task;
         hold.attempt = placed.attempt;
         hold.machine = machine;
         hold.session = placed.session;
         // An earlier leader may have started it: only a report can tell.
-        hold.state = Hold::State::Seen;
+        hold.state = Allocation::State::Seen;
         hold.since = now;
         hold.stop = job.over;
-        new_hold(hold);
+        add_allocation(hold);
     }
 }
 
-bool Cluster::holds_attempt(const Job& job, const PlacedTask& placed, MachineIx machine) const {
-    const auto [from, to] = job.holds.equal_range(placed.task);
+bool Cluster::holds_attempt(const Job& job, const PlacedTask& placed, MachineIndex machine) const {
+    const auto [from, to] = job.allocations.equal_range(placed.task);
     return std::any_of(from, to, [&](const auto& held) {
-        const Hold& hold = holds_[held.second];
+        const Allocation& hold = allocations_[held.second];
         return hold.attempt == placed.attempt && hold.machine == machine;
     });
 }
 
 void Cluster::records_loaded() {
     records_to_come_ = false;
-    std::vector<JobIx> over;
+    std::vector<JobIndex> over;
     for (auto& [ix, job] : jobs_) {
         if (job.over) over.push_back(ix);
         const bool earlier =
@@ -103,7 +103,7 @@
     return record_number(job.layout, task, settings_.chunk_tasks);
 }
 
-void Cluster::refine_layout(JobIx ix) {
+void Cluster::refine_layout(JobIndex ix) {
     Job& job = jobs_.at(ix);
     ++job.layout;
     move_records(ix);
@@ -113,7 +113,7 @@
 // removed once these are durable. A leader that ends in between leaves records of both. They name
 // at least every allocation that there is, and what they name beyond that is found gone by the
 // machines' reports, so nothing runs twice.
-void Cluster::move_records(JobIx ix) {
+void Cluster::move_records(JobIndex ix) {
     Job& job = jobs_.at(ix);
     bool earlier = false;
     for (auto& [number, chunk] : job.chunks) {
@@ -123,7 +123,7 @@
         earlier |= chunk.rev != 0 || chunk.writing;
     }
     std::set<std::uint32_t> needed;
-    for (const auto& [task, hold] : job.holds) needed.insert(record_of(job, task));
+    for (const auto& [task, hold] : job.allocations) needed.insert(record_of(job, task));
     for (std::uint32_t task = 0; task < job.spec.count && job.done > 0; ++task) {
         if (job.done_flags[task] != 0) needed.insert(record_of(job, task));
     }
@@ -136,7 +136,7 @@
     if (earlier) drop_superseded(ix);
 }
 
-void Cluster::drop_superseded(JobIx ix) {
+void Cluster::drop_superseded(JobIndex ix) {
     Job& job = jobs_.at(ix);
     if (!job.to_move.empty()) return;
     for (auto it = job.chunks.begin(); it != job.chunks.end();) {
@@ -154,7 +154,7 @@
 
 // ---- writing ----
 
-Cluster::RecordKey Cluster::record_key(JobIx ix, std::uint32_t number) const {
+Cluster::RecordKey Cluster::record_key(JobIndex ix, std::uint32_t number) const {
     const JobSpec& spec = jobs_.at(ix).spec;
     if (spec.service) return {kUrgentRank, ix, number};
     const auto below =
@@ -179,7 +179,7 @@
 }
 
 // What a record has to say now.
-ChunkWrite Cluster::chunk_write(JobIx ix, std::uint32_t number) {
+ChunkWrite Cluster::chunk_write(JobIndex ix, std::uint32_t number) {
     const Job& job = jobs_.at(ix);
     const auto found = job.chunks.find(number);
     ChunkWrite write;
@@ -194,9 +194,9 @@
     const auto first = first_task(number, settings_.chunk_tasks);
     const auto span = span_of(layout_of(number), settings_.chunk_tasks);
     const auto last = std::min(first + span, job.spec.count);
-    for (auto held = job.holds.lower_bound(first); held != job.holds.end() && held->first < last;
-         ++held) {
-        const Hold& h = holds_[held->second];
+    for (auto held = job.allocations.lower_bound(first);
+         held != job.allocations.end() && held->first < last; ++held) {
+        const Allocation& h = allocations_[held->second];
         write.record.placed.push_back({h.task, h.attempt, machines_[h.machine].name, h.session});
     }
     auto& done = write.record.done;
@@ -296,11 +296,11 @@
         for (auto t = first; t <= last; ++t) job.done_flags[t] = 2;
     }
     for (const auto& placed : write.record.placed) {
-        auto [from, to] = job.holds.equal_range(placed.task);
+        auto [from, to] = job.allocations.equal_range(placed.task);
         for (auto h = from; h != to; ++h) {
-            Hold& hold = holds_[h->second];
-            if (hold.attempt == placed.attempt && hold.state == Hold::State::Planned) {
-                hold.state = Hold::State::Ready;
+            Allocation& hold = allocations_[h->second];
+            if (hold.attempt == placed.attempt && hold.state == Allocation::State::Planned) {
+                hold.state = Allocation::State::Ready;
             }
         }
     }
@@ -308,10 +308,10 @@
         // A gang in several records starts only once all of them are durable.
         bool all = true;
         for (auto& [number, other] : job.chunks) all &= !other.dirty && !other.writing;
-        for (auto& [task, hix] : job.holds) {
-            Hold& h = holds_[hix];
-            if (!all && h.state == Hold::State::Ready) h.state = Hold::State::Planned;
-            if (all && h.state == Hold::State::Planned) h.state = Hold::State::Ready;
+        for (auto& [task, allocation_index] : job.allocations) {
+            Allocation& h = allocations_[allocation_index];
+            if (!all && h.state == Allocation::State::Ready) h.state = Allocation::State::Planned;
+            if (all && h.state == Allocation::State::Planned) h.state = Allocation::State::Ready;
         }
     }
     job.to_move.erase(write.chunk);
@@ -362,8 +362,8 @@
         write.job = jix;
         write.job_id = job.id;
         write.open_rev = job.open_rev;
-        write.with_job = !job.holds.empty();
-        if (job.holds.empty()) {
+        write.with_job = !job.allocations.empty();
+        if (job.allocations.empty()) {
             for (auto& [number, chunk] : job.chunks) {
                 if (chunk.rev == 0 || chunk.writing) continue;
                 if (write.chunks.size() < most_chunks) write.chunks.push_back(number);
--- a/src/core/picture.cpp
+++ b/src/core/snapshot.cpp
@@ -37,18 +37,18 @@
 }  // namespace
 
 void Cluster::fill_guarantees(Millis now) {
-    std::vector<std::vector<std::pair<std::int64_t, JobIx>>> by_team(team_list_.size());
+    std::vector<std::vector<std::pair<std::int64_t, JobIndex>>> by_team(team_list_.size());
     for (auto& [jix, job] : jobs_) {
         job.in_guarantee = false;
-        if (job.over || job.spec.team == kNone) continue;
+        if (job.over || job.spec.team == kInvalidIndex) continue;
         by_team[job.spec.team].emplace_back(job.spec.submitted_ms, jix);
         team_busy_[job.spec.team] = now;
     }
     for (std::size_t t = 0; t < by_team.size(); ++t) {
-        const Room& guarantee = team_list_[t].guarantee;
-        if (guarantee == Room{}) continue;
+        const Resources& guarantee = team_list_[t].guarantee;
+        if (guarantee == Resources{}) continue;
         std::sort(by_team[t].begin(), by_team[t].end());
-        Room sum;
+        Resources sum;
         for (auto [when, jix] : by_team[t]) {
             Job& job = jobs_[jix];
             sum += job.spec.need.times(job.spec.count - job.done);
@@ -81,7 +81,7 @@
         if (machine.life == Machine::Life::Booting) ++fleet.booting;
         if (machine.life != Machine::Life::Up) continue;
         ++fleet.machines;
-        if (machine.holds.empty()) ++fleet.idle;
+        if (machine.allocations.empty()) ++fleet.idle;
     }
     for (const auto& [jix, job] : jobs_) fleet.waiting += waiting(job) > 0 ? 1 : 0;
     fleet.report_s = static_cast<double>(settings_.report_ms) / 1000.0;
@@ -109,7 +109,7 @@
         }
     }
     s.machines.reserve(machines_.size());
-    s.holds.reserve(holds_.size());
+    s.allocations.reserve(allocations_.size());
     s.jobs.reserve(jobs_.size());
     s.items.reserve(jobs_.size());
     s.team_used = team_used_;
@@ -135,19 +135,19 @@
     for (const auto& [kind, until] : refused_) {
         if (until.first > now) s.refused.push_back(kind);
     }
-    for (TypeIx t = 0; t < s.type_zones.size(); ++t) {
+    for (TypeIndex t = 0; t < s.type_zones.size(); ++t) {
         for (auto zone : s.type_zones[t]) {
             if (zone >= zone_cut_.size() || zone_cut_[zone] == 0) continue;
             s.refused.emplace_back(t, zone, false);
             s.refused.emplace_back(t, zone, true);
         }
     }
-    for (MachineIx mix = 0; mix < machines_.size(); ++mix) {
+    for (MachineIndex mix = 0; mix < machines_.size(); ++mix) {
         const Machine& machine = machines_[mix];
         if (machine.life == Machine::Life::Gone || machine.life == Machine::Life::Returning) {
             continue;
         }
-        if (machine.type == kNone) continue;
+        if (machine.type == kInvalidIndex) continue;
         MachineView view;
         view.ix = mix;
         view.type = machine.type;
@@ -157,9 +157,9 @@
         view.room = type_info_[machine.type].room;
         view.free = view.room;
         view.free -= machine.used;
-        view.idle_ms = machine.holds.empty() ? now - machine.idle_since : 0;
+        view.idle_ms = machine.allocations.empty() ? now - machine.idle_since : 0;
         view.age_ms = now - machine.rented_at;
-        if (machine.holds.empty()) {
+        if (machine.allocations.empty()) {
             view.keep_ms = machine.spot ? 45000 : 10000;
             if (policy != nullptr) {
                 const auto& type = type_info_[machine.type];
@@ -183,12 +183,12 @@
             view.boot_left_s = 2;
         }
         view.images = machine.images;
-        for (auto hix : machine.holds) {
-            const Hold& h = holds_[hix];
+        for (auto allocation_index : machine.allocations) {
+            const Allocation& h = allocations_[allocation_index];
             const JobSpec& spec = jobs_[h.job].spec;
             if (h.phase == TaskPhase::Pulling) view.fetching.push_back(spec.image);
-            HoldView hv;
-            hv.ix = hix;
+            AllocationView hv;
+            hv.ix = allocation_index;
             hv.attempt = h.attempt;
             hv.machine = mix;
             hv.job = h.job;
@@ -198,7 +198,7 @@
             hv.left_s = spec.service ? 1e9 : std::max(spec.estimate_s - ran, spec.estimate_s * 0.1);
             hv.ran_ms = h.phase == TaskPhase::Running ? now - h.running_since : 0;
             hv.lost_s = spec.checkpoint_s > 0 ? std::min(spec.checkpoint_s, ran) : ran;
-            s.holds.push_back(hv);
+            s.allocations.push_back(hv);
         }
         s.machines.push_back(std::move(view));
     }
@@ -206,7 +206,7 @@
     for (const auto& type : type_info_) fetch_rate = std::max(fetch_rate, type.fetch_gb_s);
     for (const auto& [jix, job] : jobs_) {
         const auto n = waiting(job);
-        if (n == 0 && job.holds.empty()) continue;
+        if (n == 0 && job.allocations.empty()) continue;
         s.jobs.emplace(jix, JobView{job.spec, job.in_guarantee});
         if (n == 0) continue;
         ItemView& item = s.items.emplace_back();
@@ -244,10 +244,11 @@
         }
         if (!job.spec.one_zone && !job.spec.apart && !job.spec.service) continue;
         item.zone_counts.resize(zones_.size());
-        for (const auto& [task, hix] : job.holds) {
-            const auto zone = machines_[holds_[hix].machine].zone;
-            if (job.spec.service) item.replicas_on.push_back(holds_[hix].machine);
-            if (zone == kNone) continue;
+        for (const auto& [task, allocation_index] : job.allocations) {
+            const auto zone = machines_[allocations_[allocation_index].machine].zone;
+            if (job.spec.service)
+                item.replicas_on.push_back(allocations_[allocation_index].machine);
+            if (zone == kInvalidIndex) continue;
             if (job.spec.one_zone) item.zone = zone;
             ++item.zone_counts[zone];
         }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -13,15 +13,15 @@
 namespace lichendrift::core {
 
 // Dense indices stand for names everywhere inside; names are mapped at the door.
-using JobIx = std::uint32_t;
-using TeamIx = std::uint32_t;
-using ZoneIx = std::uint32_t;
-using TypeIx = std::uint32_t;
-using ImageIx = std::uint32_t;
-using MachineIx = std::uint32_t;
-using HoldIx = std::uint32_t;
-using ClassIx = std::uint32_t;
-inline constexpr std::uint32_t kNone = std::numeric_limits<std::uint32_t>::max();
+using JobIndex = std::uint32_t;
+using TeamIndex = std::uint32_t;
+using ZoneIndex = std::uint32_t;
+using TypeIndex = std::uint32_t;
+using ImageIndex = std::uint32_t;
+using MachineIndex = std::uint32_t;
+using AllocationIndex = std::uint32_t;
+using ClassIndex = std::uint32_t;
+inline constexpr std::uint32_t kInvalidIndex = std::numeric_limits<std::uint32_t>::max();
 
 // Each lead owns a block of tokens. It raises the token of a single machine inside its block, which
 // ends every command sent there before, without asking the state service.
@@ -32,36 +32,36 @@
 
 enum class Priority : std::uint8_t { Low, Normal, High, Critical };
 
-// Room on a machine in thousandths, so that sums are exact and never drift.
-struct Room {
+// Resources on a machine in thousandths, so that sums are exact and never drift.
+struct Resources {
     std::int64_t cpus = 0;
     std::int64_t gpus = 0;
     std::int64_t mem = 0;
 
-    [[nodiscard]] bool holds(const Room& need) const {
+    [[nodiscard]] bool covers(const Resources& need) const {
         return need.cpus <= cpus && need.gpus <= gpus && need.mem <= mem;
     }
-    Room& operator+=(const Room& o) {
+    Resources& operator+=(const Resources& o) {
         cpus += o.cpus, gpus += o.gpus, mem += o.mem;
         return *this;
     }
-    Room& operator-=(const Room& o) {
+    Resources& operator-=(const Resources& o) {
         cpus -= o.cpus, gpus -= o.gpus, mem -= o.mem;
         return *this;
     }
-    [[nodiscard]] Room times(std::int64_t n) const { return {cpus * n, gpus * n, mem * n}; }
-    [[nodiscard]] std::int64_t fits(const Room& need) const {
+    [[nodiscard]] Resources times(std::int64_t n) const { return {cpus * n, gpus * n, mem * n}; }
+    [[nodiscard]] std::int64_t fits(const Resources& need) const {
         std::int64_t n = std::numeric_limits<std::int32_t>::max();
         if (need.cpus > 0) n = std::min(n, cpus / need.cpus);
         if (need.gpus > 0) n = std::min(n, gpus / need.gpus);
         if (need.mem > 0) n = std::min(n, mem / need.mem);
         return n < 0 ? 0 : n;
     }
-    auto operator<=>(const Room&) const = default;
+    auto operator<=>(const Resources&) const = default;
 };
 
 // Of a limit, 0 means none.
-[[nodiscard]] inline bool exceeds(const Room& used, const Room& limit) {
+[[nodiscard]] inline bool exceeds(const Resources& used, const Resources& limit) {
     return (limit.cpus > 0 && used.cpus > limit.cpus) ||
            (limit.gpus > 0 && used.gpus > limit.gpus) || (limit.mem > 0 && used.mem > limit.mem);
 }
@@ -77,7 +77,7 @@
     }
     [[nodiscard]] std::uint32_t find(std::string_view name) const {
         auto it = index_.find(std::string(name));
-        return it == index_.end() ? kNone : it->second;
+        return it == index_.end() ? kInvalidIndex : it->second;
     }
     [[nodiscard]] const std::string& name(std::uint32_t ix) const { return names_[ix]; }
     [[nodiscard]] std::size_t size() const { return names_.size(); }
@@ -89,8 +89,8 @@
 
 struct Team {
     std::string name;
-    Room guarantee;  // 0: none
-    Room limit;      // 0: none
+    Resources guarantee;  // 0: none
+    Resources limit;      // 0: none
 };
 
 // A job as its user described it, before names become indices.
@@ -126,7 +126,7 @@
 
 struct MachineType {
     std::string name;
-    Room room;
+    Resources room;
     double local_gb = 0;
     double fetch_gb_s = 1;
     double hourly = 0;
@@ -151,20 +151,20 @@
 // The central guards of the safety argument. All are on; the tests switch one off at a time to
 // prove that their checker would see its loss.
 struct Guards {
-    bool record_first = true;         // no run before its record is durable
-    bool trusted_reports = true;      // only reports under the leader's own token free tasks
-    bool doubt_holds = true;          // a direct run without an answer may still come
-    bool silence_is_no_proof = true;  // a silent machine's tasks stay on it until it is returned
-    bool leader_condition = true;     // writes of a leader that has lost fail
-    bool fresh_reads = true;          // users get no answer older than one given before
-    bool claims = true;               // what waited too long goes first and claims room
-    bool judged_by_effect = true;     // a machine that nothing reaches gets no work
-    bool reap_raises = true;          // copies of a run can't act once its attempt is forgotten
-    bool cancels_told = true;         // siblings tell each other of cancellations
-    bool kept_until_loaded = true;    // what ends amid a take-over is kept until records are read
-    bool record_of_open = true;       // no record becomes durable under a job that is over
-    bool runs_on_fresh_copy = true;   // no run is sent on an old copy of what is open
-    bool cancels_known = true;        // no lease is renewed past a cancellation that may be unknown
+    bool record_first = true;           // no run before its record is durable
+    bool trusted_reports = true;        // only reports under the leader's own token free tasks
+    bool unconfirmed_allocated = true;  // a direct run without an answer may still come
+    bool silence_is_no_proof = true;    // a silent machine's tasks stay on it until it is returned
+    bool leader_condition = true;       // writes of a leader that has lost fail
+    bool fresh_reads = true;            // users get no answer older than one given before
+    bool claims = true;                 // what waited too long goes first and claims room
+    bool judged_by_effect = true;       // a machine that nothing reaches gets no work
+    bool reap_raises = true;            // copies of a run can't act once its attempt is forgotten
+    bool cancels_told = true;           // peers tell each other of cancellations
+    bool kept_until_loaded = true;      // what ends amid a take-over is kept until records are read
+    bool record_of_open = true;         // no record becomes durable under a job that is over
+    bool runs_on_fresh_copy = true;     // no run is sent on an old copy of what is open
+    bool cancels_known = true;  // no lease is renewed past a cancellation that may be unknown
     // Off: a controller that keeps to what the version before standing services knows of formats
     // and messages, for the tests of upgrades.
     bool current_version = true;
@@ -185,7 +185,7 @@
     std::vector<TaskReport> tasks;
 };
 
-struct Order {
+struct Command {
     enum class Kind : std::uint8_t { Run, Halt, Reap };
     Kind kind = Kind::Run;
     std::string job;
@@ -214,7 +214,7 @@
 };
 
 // The value of one place record: a gang whole, or a chunk of an array.
-struct PlaceRecord {
+struct PlacementRecord {
     std::uint64_t term = 0;
     std::uint64_t nonce = 0;  // tells an applied write from a lost one
     std::vector<PlacedTask> placed;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -370,7 +370,7 @@
     for (int rounds = 0; rounds < 32; ++rounds) {
         Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.valid()) return;
-        // The rest of the limit is kept for our own calls to state, cloud, workers, siblings.
+        // The rest of the limit is kept for our own calls to state, cloud, workers, peers.
         if (connections_.size() >= most_connections_ && !evict_idle()) continue;
         no_delay(fd.get());
         const auto id = ++next_id_;
--- a/src/wire/cbor_messages.cpp
+++ b/src/wire/cbor_messages.cpp
@@ -318,12 +318,12 @@
     return r;
 }
 
-std::string encode_beat_answer(const BeatAnswer& answer) {
+std::string encode_heartbeat_answer(const HeartbeatAnswer& answer) {
     Encoder e;
     e.array(2);
     e.uint(answer.token);
-    e.array(answer.orders.size());
-    for (const auto& order : answer.orders) {
+    e.array(answer.commands.size());
+    for (const auto& order : answer.commands) {
         e.array(5);
         e.uint(static_cast<std::uint64_t>(order.kind));
         e.text(order.job);
@@ -334,27 +334,27 @@
     return e.take();
 }
 
-std::optional<BeatAnswer> decode_beat_answer(std::string_view bytes) {
+std::optional<HeartbeatAnswer> decode_heartbeat_answer(std::string_view bytes) {
     const auto item = load(bytes);
     Entries in(item.get());
-    BeatAnswer answer;
+    HeartbeatAnswer answer;
     answer.token = in.uint();
-    Entries orders(in.next());
-    while (orders.left() > 0) {
-        Entries o(orders.next());
-        core::Order order;
+    Entries commands(in.next());
+    while (commands.left() > 0) {
+        Entries o(commands.next());
+        core::Command order;
         const auto kind = o.uint();
         order.job = o.text();
         order.task = static_cast<std::uint32_t>(o.uint());
         order.attempt = o.uint();
         order.grace_s = o.real();
-        if (!o.good() || kind > static_cast<std::uint64_t>(core::Order::Kind::Reap)) {
+        if (!o.good() || kind > static_cast<std::uint64_t>(core::Command::Kind::Reap)) {
             return std::nullopt;
         }
-        order.kind = static_cast<core::Order::Kind>(kind);
-        answer.orders.push_back(std::move(order));
+        order.kind = static_cast<core::Command::Kind>(kind);
+        answer.commands.push_back(std::move(order));
     }
-    if (!in.good() || !orders.good()) return std::nullopt;
+    if (!in.good() || !commands.good()) return std::nullopt;
     return answer;
 }
 
--- a/src/wire/cbor_messages.h
+++ b/src/wire/cbor_messages.h
@@ -10,9 +10,9 @@
 // What the controllers say to each other, in CBOR.
 namespace lichendrift::wire {
 
-struct BeatAnswer {
+struct HeartbeatAnswer {
     std::uint64_t token = 0;
-    std::vector<core::Order> orders;
+    std::vector<core::Command> commands;
 };
 
 struct JobCounts {
@@ -72,8 +72,8 @@
 std::optional<CancellationNews> decode_cancellation_news(std::string_view bytes);
 std::string encode_report(const core::Report& report);
 std::optional<core::Report> decode_report(std::string_view bytes);
-std::string encode_beat_answer(const BeatAnswer& answer);
-std::optional<BeatAnswer> decode_beat_answer(std::string_view bytes);
+std::string encode_heartbeat_answer(const HeartbeatAnswer& answer);
+std::optional<HeartbeatAnswer> decode_heartbeat_answer(std::string_view bytes);
 std::string encode_announcement(const Announcement& announcement);
 std::optional<Announcement> decode_announcement(std::string_view bytes);
 
--- a/src/wire/json_messages.h
+++ b/src/wire/json_messages.h
@@ -24,11 +24,11 @@
 
 // Workers.
 std::optional<core::Report> parse_report(std::string_view body);
-std::string orders_body(std::uint64_t token, const std::vector<core::Order>& orders);
+std::string commands_body(std::uint64_t token, const std::vector<core::Command>& commands);
 // Tells a worker which node to report to.
 std::string redirect_body(const std::string& member);
 std::string direct_body(std::uint64_t token, std::uint64_t session,
-                        const std::vector<core::Order>& orders);
+                        const std::vector<core::Command>& commands);
 
 // Cloud.
 std::optional<std::vector<core::MachineType>> parse_types(std::string_view body);
@@ -75,8 +75,8 @@
 // Values of our own in the state service.
 std::string job_value(const core::JobText& job);
 std::optional<core::JobText> parse_job_value(std::string_view id, std::string_view value);
-std::string place_value(const core::PlaceRecord& record);
-std::optional<core::PlaceRecord> parse_place_value(std::string_view value);
+std::string placement_value(const core::PlacementRecord& record);
+std::optional<core::PlacementRecord> parse_placement_value(std::string_view value);
 struct Over {
     bool aborted = false;
     std::optional<core::JobText> job;
--- a/src/wire/json_values.cpp
+++ b/src/wire/json_values.cpp
@@ -119,7 +119,7 @@
     return read_job(id, doc);
 }
 
-std::string place_value(const core::PlaceRecord& record) {
+std::string placement_value(const core::PlacementRecord& record) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -151,10 +151,10 @@
     return text_of(b);
 }
 
-std::optional<core::PlaceRecord> parse_place_value(std::string_view value) {
+std::optional<core::PlacementRecord> parse_placement_value(std::string_view value) {
     rapidjson::Document doc;
     if (!parse(doc, value)) return std::nullopt;
-    core::PlaceRecord record;
+    core::PlacementRecord record;
     if (!get(doc, "t", record.term) || !get(doc, "n", record.nonce)) return std::nullopt;
     const auto* placed = member(doc, "p");
     if (placed == nullptr || !placed->IsArray()) return std::nullopt;
--- a/src/wire/json_workers.cpp
+++ b/src/wire/json_workers.cpp
@@ -57,19 +57,19 @@
     return ExitWhy::Unknown;
 }
 
-void write_orders(Writer& w, const std::vector<core::Order>& orders) {
+void write_commands(Writer& w, const std::vector<core::Command>& commands) {
     key(w, "ordini");
     w.StartArray();
-    for (const auto& order : orders) {
+    for (const auto& order : commands) {
         w.StartObject();
         field(w, "ordine",
-              order.kind == core::Order::Kind::Run    ? "run"
-              : order.kind == core::Order::Kind::Halt ? "halt"
-                                                      : "reap");
+              order.kind == core::Command::Kind::Run    ? "run"
+              : order.kind == core::Command::Kind::Halt ? "halt"
+                                                        : "reap");
         field(w, "prova", task_name(order.job, order.task));
         key(w, "tentativo");
         w.Uint64(order.attempt);
-        if (order.kind == core::Order::Kind::Halt) {
+        if (order.kind == core::Command::Kind::Halt) {
             key(w, "tolleranzaS");
             w.Double(order.grace_s);
         }
@@ -129,19 +129,19 @@
     return b.GetString();
 }
 
-std::string orders_body(std::uint64_t token, const std::vector<core::Order>& orders) {
+std::string commands_body(std::uint64_t token, const std::vector<core::Command>& commands) {
     Buffer b;
     Writer w(b);
     w.StartObject();
     key(w, "delega");
     w.Uint64(token);
-    write_orders(w, orders);
+    write_commands(w, commands);
     w.EndObject();
     return text_of(b);
 }
 
 std::string direct_body(std::uint64_t token, std::uint64_t session,
-                        const std::vector<core::Order>& orders) {
+                        const std::vector<core::Command>& commands) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -149,7 +149,7 @@
     w.Uint64(token);
     key(w, "turno");
     w.Uint64(session);
-    write_orders(w, orders);
+    write_commands(w, commands);
     w.EndObject();
     return text_of(b);
 }
