--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -40,7 +40,7 @@
         cluster_.on_report(r, true, now);
     }
     // The first job, placed on these machines, with its record durable at 1300.
-    void start_recorded(const JobText& job, const std::vector<MachineIx>& machines) {
+    void start_recorded(const JobText& job, const std::vector<MachineIndex>& machines) {
         cluster_.add_job(job, 1, 1000);
         Plan plan;
         plan.starts.push_back({0, machines, 0, {}});
@@ -141,12 +141,12 @@
     job.team = "core";
     job.cpus = 4;
     start_recorded(job, {0});
-    const auto direct = cluster_.direct_orders("host-1", true, 1300);
-    ASSERT_EQ(direct.orders.size(), 1U);
+    const auto direct = cluster_.direct_commands("host-1", true, 1300);
+    ASSERT_EQ(direct.commands.size(), 1U);
     if (cancelled) {
         cluster_.job_over(job.id, true, 1350);
     } else {
-        const auto running = cluster_.snapshot(1350, 0).holds;
+        const auto running = cluster_.snapshot(1350, 0).allocations;
         ASSERT_EQ(running.size(), 1U);
         Plan stop;
         stop.stops.emplace_back(running[0].ix, running[0].attempt);
@@ -154,9 +154,9 @@
     }
     cluster_.direct_result(direct, Cluster::DirectResult::NotExecuted, 1400);
     const auto after = cluster_.snapshot(1500, 0);
-    EXPECT_TRUE(after.holds.empty());
+    EXPECT_TRUE(after.allocations.empty());
     EXPECT_EQ(after.items.size(), cancelled ? 0U : 1U);
-    EXPECT_EQ(after.team_used.at(0), Room{});
+    EXPECT_EQ(after.team_used.at(0), Resources{});
     EXPECT_EQ(cluster_.has_job(job.id), !cancelled);
 }
 INSTANTIATE_TEST_SUITE_P(Stopped, RefusedStartTest, ::testing::Bool(), [](const auto& param) {
@@ -186,11 +186,11 @@
     job.count = 8;
     start_recorded(job, {0, 0, 1, 1, 2, 2});
     for (const auto& name : names) {
-        const auto direct = cluster_.direct_orders(name, true, 1300);
-        ASSERT_EQ(direct.orders.size(), 2U);
+        const auto direct = cluster_.direct_commands(name, true, 1300);
+        ASSERT_EQ(direct.commands.size(), 2U);
         cluster_.direct_result(direct, Cluster::DirectResult::Executed, 1400);
         std::vector<TaskReport> exited;
-        for (const auto& order : direct.orders) {
+        for (const auto& order : direct.commands) {
             const bool done = sound && name == "host-0";
             exited.push_back({order.job, order.task, order.attempt, TaskPhase::Exited,
                               done ? ExitWhy::Done : ExitWhy::Error, false});
@@ -244,17 +244,17 @@
     plan.starts[0].machines = {0};
     EXPECT_EQ(cluster_.apply(plan, 1100).starts, 1U);
     // Nothing is sent before the record is durable.
-    EXPECT_TRUE(cluster_.beat_orders("host-1", 1, true, 1200).empty());
+    EXPECT_TRUE(cluster_.heartbeat_commands("host-1", 1, true, 1200).empty());
     const auto writes = cluster_.next_chunk_writes({}, false, 1200);
     ASSERT_EQ(writes.size(), 1U);
     cluster_.chunk_written(writes[0], true, 7, 1300);
     // Nor while the leader can't be sure that it leads.
-    EXPECT_TRUE(cluster_.beat_orders("host-1", 1, false, 1300).empty());
-    EXPECT_EQ(cluster_.beat_orders("host-1", 1, true, 1300).size(), 1U);
+    EXPECT_TRUE(cluster_.heartbeat_commands("host-1", 1, false, 1300).empty());
+    EXPECT_EQ(cluster_.heartbeat_commands("host-1", 1, true, 1300).size(), 1U);
 }
 
-// A copy of the newest report comes again: its answer goes nowhere, so it must carry no orders, and
-// the next report proves nothing about them.
+// A copy of the newest report comes again: its answer goes nowhere, so it must carry no commands,
+// and the next report proves nothing about them.
 TEST_F(ClusterTest, LateCopyOfAReportIsNotFreshAndChangesNothing) {
     Report r;
     r.machine = "host-1";
@@ -398,9 +398,9 @@
     job.team = "core";
     job.count = 60;
     job.cpus = 0.1;
-    start_recorded(job, std::vector<MachineIx>(40, 0));
+    start_recorded(job, std::vector<MachineIndex>(40, 0));
     Plan plan;
-    plan.starts.push_back({0, std::vector<MachineIx>(10, 0), 0, {}});
+    plan.starts.push_back({0, std::vector<MachineIndex>(10, 0), 0, {}});
     ASSERT_EQ(cluster_.apply(plan, 1400).starts, 1U);
     Cluster::RecordLimits limits;
     limits.value_bytes = 1000;
@@ -434,16 +434,16 @@
     job.cpus = 0.1;
     cluster_.records_to_come();
     cluster_.add_job(job, 1, 1000);
-    PlaceRecord earlier;
+    PlacementRecord earlier;
     earlier.placed = {{0, 77, "host-1", 1}, {30, 78, "host-1", 1}};
     earlier.done = {{1, 2}};
-    PlaceRecord finer;
+    PlacementRecord finer;
     finer.placed = {{0, 77, "host-1", 1}, {1, 79, "host-1", 1}};
     cluster_.load_record("job-000001", 0, earlier, 5, 1000);
     cluster_.load_record("job-000001", 1'000'000, finer, 6, 1000);
     cluster_.records_loaded();
     const auto& loaded = cluster_.jobs().at(0);
-    EXPECT_EQ(loaded.holds.count(0), 1U);
+    EXPECT_EQ(loaded.allocations.count(0), 1U);
     EXPECT_EQ(loaded.done, 2U);
     Cluster::RecordLimits limits;
     limits.may_refine = true;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -45,9 +45,9 @@
     EXPECT_TRUE(service->service);
     EXPECT_EQ(wire::job_value(*service), production_bytes("open-service.json"));
     for (const auto* name : {"place.json", "place-empty.json"}) {
-        const auto record = wire::parse_place_value(production_bytes(name));
+        const auto record = wire::parse_placement_value(production_bytes(name));
         ASSERT_TRUE(record) << name;
-        EXPECT_EQ(wire::place_value(*record), production_bytes(name));
+        EXPECT_EQ(wire::placement_value(*record), production_bytes(name));
     }
     const auto done = wire::parse_over_value("job-000412", production_bytes("over-done.json"));
     ASSERT_TRUE(done);
@@ -72,9 +72,9 @@
         ASSERT_TRUE(report) << name;
         EXPECT_EQ(wire::encode_report(*report), production_bytes(name));
     }
-    const auto answer = wire::decode_beat_answer(production_bytes("peer-beat-answer.cbor"));
+    const auto answer = wire::decode_heartbeat_answer(production_bytes("peer-beat-answer.cbor"));
     ASSERT_TRUE(answer);
-    EXPECT_EQ(wire::encode_beat_answer(*answer), production_bytes("peer-beat-answer.cbor"));
+    EXPECT_EQ(wire::encode_heartbeat_answer(*answer), production_bytes("peer-beat-answer.cbor"));
     const auto announcement = wire::decode_announcement(production_bytes("peer-leader.cbor"));
     ASSERT_TRUE(announcement);
     EXPECT_EQ(announcement->counts.size(), 2U);
--- a/tests/meetings_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,13 +1,13 @@
-// Two or more troubles that meet, each day aimed at one meeting. What guards against each is listed
-// in docs/design.md, "When troubles meet".
+// Two or more troubles that meet, each day aimed at one combination. What guards against each is
+// listed in docs/design.md, "When troubles meet".
 #include <gtest/gtest.h>
 
 #include <random>
 
 #include "core/cluster.h"
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 // ---- a cancellation that the acting leader cannot see ----
@@ -15,11 +15,11 @@
 struct Gap {
     const char* name;
     std::size_t nodes = 3;
-    bool apart = false;  // the leader is cut from its siblings as well
+    bool apart = false;  // the leader is cut from its peers as well
     bool ends = false;   // the confirming controller ends right after its answer
     bool lost = false;   // and what it told the others is lost
     bool back = false;   // it is back at once, and has forgotten
-    bool old = false;    // the siblings are of a build that knows none of the messages
+    bool old = false;    // the peers are of a build that knows none of the messages
 };
 
 // The state service refuses the leader alone, another controller confirms a cancellation, and then
@@ -30,9 +30,9 @@
     static std::string day(const Gap& gap, core::Guards guards, std::uint64_t seed) {
         auto options = calm(seed);
         options.nodes = gap.nodes;
-        options.old_siblings = gap.old;
+        options.old_peers = gap.old;
         options.guards = guards;
-        World world(options);
+        Simulation world(options);
         for (std::size_t n = 0; n < 6; ++n) {
             auto j = plain(numbered(n), 1 + static_cast<std::uint32_t>(n % 2), 120);
             j.kind = n % 3 == 0 ? "ensemble" : "sweep";
@@ -76,7 +76,7 @@
         auto neither = core::Guards{};
         neither.cancels_told = neither.cancels_known = false;
         EXPECT_TRUE(day(GetParam(), neither, seed).starts_with("ran_cancelled"));
-        // The bound holds by itself.
+        // The bound allocations by itself.
         auto untold = core::Guards{};
         untold.cancels_told = false;
         EXPECT_EQ(day(GetParam(), untold, seed), "");
@@ -105,7 +105,7 @@
         for (std::uint64_t seed = 220; seed < 226; ++seed) {
             auto options = calm(seed);
             options.guards.cancels_known = guarded;
-            World world(options);
+            Simulation world(options);
             for (std::size_t n = 0; n < 6; ++n) world.jobs().push_back(plain(numbered(n), 1, 120));
             world.advance(20'000);
             const auto old = world.leader();
@@ -138,17 +138,17 @@
     return std::string(param.param ? "ThatConfirmedInAnEarlierRun" : "ThatAnotherConfirmed");
 });
 
-// A leader that has just lost the state service and its siblings is sure to lead for seconds more,
+// A leader that has just lost the state service and its peers is sure to lead for seconds more,
 // and a run in doubt is sent again as soon as its machine is reached: the job was cancelled
 // meanwhile.
-TEST(Meetings, LeaderThatHearsNothingStartsNothingOnAnOldCopy) {
+TEST(FaultCombinations, LeaderThatHearsNothingStartsNothingOnAnOldCopy) {
     for (const bool guarded : {true, false}) {
         int broken = 0;
         for (Millis later = 1300; later < 2600; later += 50) {
             auto options = calm(230);
             options.late_start_ms = 1050;
             options.guards.runs_on_fresh_copy = guarded;
-            World world(options);
+            Simulation world(options);
             world.set_capacity(3);
             auto j = plain("job-000001", 3, 60, 11'000);
             j.cpus = 8;
@@ -181,12 +181,12 @@
 
 // Cancelled work on a machine that hangs, and the leader ends: the next one has not heard it and
 // does not know since when it is silent, but the cancellation runs out all the same.
-TEST(Meetings, HangingMachineWithCancelledWorkIsReturnedInTimeByTheNextLeader) {
+TEST(FaultCombinations, HangingMachineWithCancelledWorkIsReturnedInTimeByTheNextLeader) {
     for (const std::size_t nodes : {3, 5}) {
         for (Millis later = 200; later < 7000; later += 1100) {
             auto options = calm(240);
             options.nodes = nodes;
-            World world(options);
+            Simulation world(options);
             for (std::size_t n = 0; n < 6; ++n) world.jobs().push_back(plain(numbered(n), 1, 60));
             world.advance(15'000);
             world.cancel_now(2, 60'000);
@@ -199,10 +199,10 @@
 }
 
 // The last machine of a fleet hangs for ever: it counted as a trouble of ours, and its job waited.
-TEST(Meetings, LastMachineOfTheFleetThatHangsIsGivenUp) {
+TEST(FaultCombinations, LastMachineOfTheFleetThatHangsIsGivenUp) {
     auto options = calm(250);
     options.machines = 1;
-    World world(options);
+    Simulation world(options);
     world.set_capacity(1);
     auto j = plain("job-000001", 1, 200);
     world.jobs().push_back(j);
@@ -216,10 +216,10 @@
 
 // It has to be apart, one zone has room for all of it and the other none: each plan asked for one
 // more machine where there was room already, and the last that the cloud had went there.
-TEST(Meetings, JobThatMustBeApartRentsInTheZoneThatLacksRoom) {
+TEST(FaultCombinations, JobThatMustBeApartRentsInTheZoneThatLacksRoom) {
     auto options = calm(251);
     options.machines = 0;
-    World world(options);
+    Simulation world(options);
     for (int i = 0; i < 5; ++i) world.add_worker("b", false);
     world.set_capacity(6);
     auto j = plain("job-000001", 2, 10, 2000);
@@ -235,7 +235,7 @@
 
 // Cancelled between the two reads of a take-over, what is open and what is placed: it had no tasks
 // known yet, was forgotten, and its team's limit was given to others while its tasks ran on.
-TEST(Meetings, CancelledAmidATakeOverItStillCountsUntilItsTasksAreGone) {
+TEST(FaultCombinations, CancelledAmidATakeOverItStillCountsUntilItsTasksAreGone) {
     for (const bool guarded : {true, false}) {
         core::Names types;
         core::Names zones;
@@ -270,24 +270,24 @@
     }
 }
 
-// ---- the meetings that the operators name, in their order ----
+// ---- the combinations that the operators name, in their order ----
 
-struct Meeting {
+struct Combination {
     const char* name;
     std::function<void(Options&)> set;
-    std::function<void(World&, std::size_t nodes)> bring;
+    std::function<void(Simulation&, std::size_t nodes)> bring;
 };
 
-void crash_all(World& world, std::size_t nodes, Millis back) {
+void crash_all(Simulation& world, std::size_t nodes, Millis back) {
     for (std::size_t n = 0; n < nodes; ++n) world.crash(n, back);
 }
 
-void crash_leader(World& world, Millis back) {
+void crash_leader(Simulation& world, Millis back) {
     if (const auto l = world.leader()) world.crash(*l, back);
 }
 
 // Some of the machines that are up: every so many.
-std::vector<Worker*> some(World& world, std::size_t every) {
+std::vector<Worker*> some(Simulation& world, std::size_t every) {
     std::vector<Worker*> out;
     std::size_t k = 0;
     for (auto& [name, w] : world.workers()) {
@@ -296,11 +296,11 @@
     return out;
 }
 
-const std::vector<Meeting>& meetings() {
-    static const std::vector<Meeting> all{
+const std::vector<Combination>& combinations() {
+    static const std::vector<Combination> all{
         {"ZoneBoundJobsLoseMachines",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 9000; t < 50'000; t += 7000) {
                  w.at(t, [&w] {
                      if (auto lost = some(w, 3); !lost.empty()) w.lose_worker(*lost.back());
@@ -309,7 +309,7 @@
          }},
         {"ReportsHeldUntilANewLeaderHasActed",
          {},
-         [](World& w, std::size_t nodes) {
+         [](Simulation& w, std::size_t nodes) {
              for (Millis t = 12'000; t < 60'000; t += 15'000) {
                  w.at(t, [&w, nodes] {
                      const auto l = w.leader().value_or(0);
@@ -325,14 +325,14 @@
          }},
         {"TasksEndFarApartAcrossLeaders",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 8000; t < 70'000; t += 6500) {
                  w.at(t, [&w, t] { crash_leader(w, t % 2 == 0 ? 200 : 3000); });
              }
          }},
         {"LateTransactions",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              w.at(5000, [&w] { w.late_writes(0.35, 50'000); });
              for (Millis t = 12'000; t < 60'000; t += 9000) {
                  w.at(t, [&w, t] { crash_leader(w, t % 2 == 0 ? 150 : 3000); });
@@ -340,12 +340,12 @@
          }},
         {"AllAwayForLongerThanALease",
          {},
-         [](World& w, std::size_t nodes) {
+         [](Simulation& w, std::size_t nodes) {
              w.at(15'000, [&w, nodes] { crash_all(w, nodes, 14'000); });
              w.at(50'000, [&w, nodes] { crash_all(w, nodes, 9000); });
          }},
         {"MoreWorkThanRoomOverSlowLinks", [](Options& o) { o.machines = 2; },
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              // The largest gang that is bound to a zone needs three machines of it. A capacity of
              // four for both zones together, as no cloud has it, let two such gangs of different
              // zones hold two each for ever.
@@ -354,7 +354,7 @@
          }},
         {"MuteMachines",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 10'000; t < 60'000; t += 16'000) {
                  w.at(t, [&w, t] {
                      for (auto* m : some(w, t == 10'000 ? 1 : 2)) w.mute(*m, 14'000);
@@ -363,7 +363,7 @@
          }},
         {"LeaderEndsWhileMachinesAreNotReached",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 11'000; t < 60'000; t += 17'000) {
                  w.at(t, [&w, t] {
                      bool deaf = t % 2 == 0;
@@ -378,7 +378,7 @@
          }},
         {"LeaderKeepsOnlyWorkersAndUsersWhileJobsAreCancelled",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 12'000; t < 60'000; t += 24'000) {
                  w.at(t, [&w, t] {
                      if (const auto l = w.leader()) w.isolate(*l, 20'000, t == 12'000);
@@ -390,7 +390,7 @@
          }},
         {"ZoneWithAControllerCutOff",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              w.at(10'000, [&w] { w.cut_zone("a", "", 14'000, true); });
              w.at(12'000, [&w] { w.cancel_now(2, 0); });
              w.at(40'000, [&w] { w.cut_zone("b", "", 14'000, false); });
@@ -400,7 +400,7 @@
          [](Options& o) {
              o.teams = {{"core", {4000, 0, 0}, {12'000, 0, 0}}, {"side", {}, {6000, 0, 0}}};
          },
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 10'000; t < 60'000; t += 15'000) {
                  w.at(t, [&w] {
                      for (auto* m : some(w, 2)) w.cut(m->name, "n", 9000, false);
@@ -415,7 +415,7 @@
              }
          }},
         {"TenLeadersInTwoMinutesAndAnOutage", [](Options& o) { o.busy_ms = 130'000; },
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 8000; t < 128'000; t += 12'000) {
                  w.at(t, [&w, t] { crash_leader(w, t % 3 == 0 ? 300 : 3000); });
              }
@@ -423,7 +423,7 @@
          }},
         {"SlowThenRefusedThenOutWhileUsersCancel",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              w.at(8000, [&w] { w.slow_state(600, 20'000); });
              w.at(20'000, [&w] {
                  if (const auto l = w.leader()) w.refuse_node(*l, 40'000);
@@ -438,7 +438,7 @@
          }},
         {"HandedOverAndBackAllEndAndOneReturns",
          {},
-         [](World& w, std::size_t nodes) {
+         [](Simulation& w, std::size_t nodes) {
              for (Millis t = 9000; t < 20'000; t += 1700) {
                  w.at(t, [&w] { crash_leader(w, 120); });
              }
@@ -451,7 +451,7 @@
          }},
         {"CommandsAndAnswersHeldUp",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (Millis t = 8000; t < 60'000; t += 6000) {
                  w.at(t, [&w, t] {
                      for (auto* m : some(w, 2)) {
@@ -470,7 +470,7 @@
              o.lossy = true;
              o.late_copy = 0.3;
          },
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              w.at(20'000, [&w] {
                  for (auto* m : some(w, 2)) w.mute(*m, 12'000);
              });
@@ -478,7 +478,7 @@
          }},
         {"CancelMeetsTheLastTask",
          {},
-         [](World& w, std::size_t) {
+         [](Simulation& w, std::size_t) {
              for (auto& j : w.jobs()) j.cancel_at_end = true;
              for (Millis t = 5000; t < 70'000; t += 250) w.at(t, [&w] { w.odd_request(); });
          }},
@@ -486,16 +486,16 @@
     return all;
 }
 
-class NamedMeeting : public ::testing::TestWithParam<std::size_t> {};
+class NamedCombination : public ::testing::TestWithParam<std::size_t> {};
 
-TEST_P(NamedMeeting, KeepsTheRules) {
-    const auto& meeting = meetings()[GetParam()];
+TEST_P(NamedCombination, KeepsTheRules) {
+    const auto& combination = combinations()[GetParam()];
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
         auto options = calm(1000 + seed);
         options.nodes = seed % 2 == 0 ? 3 : 5;
         options.machines = 5;
-        if (meeting.set) meeting.set(options);
-        World world(options);
+        if (combination.set) combination.set(options);
+        Simulation world(options);
         std::mt19937_64 rng(seed);
         for (std::size_t n = 0; n < 16; ++n) {
             auto j = random_job(rng, n, options.busy_ms - 15'000);
@@ -510,21 +510,21 @@
             if (n % 5 == 0) j.run_s = 40;
             world.jobs().push_back(j);
         }
-        meeting.bring(world, options.nodes);
-        EXPECT_EQ(world.run(), "") << meeting.name << " of " << options.nodes;
+        combination.bring(world, options.nodes);
+        EXPECT_EQ(world.run(), "") << combination.name << " of " << options.nodes;
         EXPECT_GT(world.total_starts(), 10U);
     }
 }
-INSTANTIATE_TEST_SUITE_P(Operators, NamedMeeting,
-                         ::testing::Range(std::size_t{0}, meetings().size()),
-                         [](const auto& param) { return meetings()[param.param].name; });
+INSTANTIATE_TEST_SUITE_P(Operators, NamedCombination,
+                         ::testing::Range(std::size_t{0}, combinations().size()),
+                         [](const auto& param) { return combinations()[param.param].name; });
 
-// The bound must not cost work where siblings can vouch that nothing was cancelled.
-TEST(Meetings, OutageLongerThanCancelsCostsNoTaskWhileSiblingsAnswer) {
+// The bound must not cost work where peers can vouch that nothing was cancelled.
+TEST(FaultCombinations, OutageLongerThanCancelsCostsNoTaskWhileSiblingsAnswer) {
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(210);
         options.nodes = nodes;
-        World world(options);
+        Simulation world(options);
         auto j = plain("job-000001", 4, 70);
         j.spot = false;
         world.jobs().push_back(j);
@@ -544,4 +544,4 @@
 }
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/troubles_test.cpp
+++ b/tests/faults_test.cpp
@@ -2,18 +2,18 @@
 #include <gtest/gtest.h>
 
 #include "core/cluster.h"
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 // Its reports go on, its tasks die with its lease: without judging it by the effect of what it was
 // sent, tasks were placed there again and again, each lost for a lease.
-TEST(Troubles, MachineThatNothingReachesGetsNoMoreWorkAndIsReturned) {
+TEST(Faults, MachineThatNothingReachesGetsNoMoreWorkAndIsReturned) {
     for (const auto& [held, guarded] : {std::pair(false, true), {true, true}, {false, false}}) {
         auto options = calm(21);
         options.guards.judged_by_effect = guarded;
-        World world(options);
+        Simulation world(options);
         // Both machines of the zone are needed, so that the deaf one would be used.
         for (std::size_t n = 1; n <= 28; ++n) {
             auto j = plain(numbered(n), 1, 3, static_cast<Millis>(n) * 2500 - 2500);
@@ -51,13 +51,13 @@
 // Reports that a silent leader did not answer were refused, and their workers tried the silent
 // leader itself next: a quarter of the fleet lost its leases and tasks just after the next leader
 // had come.
-TEST(Troubles, SilentLeaderCostsNoLeaseOfWorkersThatReportElsewhere) {
+TEST(Faults, SilentLeaderCostsNoLeaseOfWorkersThatReportElsewhere) {
     for (const std::uint64_t seed : {23, 24, 25, 26}) {
         for (const std::size_t nodes : {3, 5}) {
             auto options = calm(seed);
             options.nodes = nodes;
             options.machines = 10;
-            World world(options);
+            Simulation world(options);
             world.set_capacity(10);
             auto j = plain("job-000001", 10, 120, 1000);
             j.cpus = 8;
@@ -76,8 +76,8 @@
     }
 }
 
-TEST(Troubles, MachineThatIsDeafForMomentsIsUsedAgain) {
-    World world(calm(22));
+TEST(Faults, MachineThatIsDeafForMomentsIsUsedAgain) {
+    Simulation world(calm(22));
     auto j = plain("job-000001", 3, 40);
     j.cpus = 8;
     j.spot = false;
@@ -91,12 +91,12 @@
 }
 
 // Answering with its old token, it would keep its workers until their leases end.
-TEST(Troubles, LeaderThatKeepsOnlyItsWorkersLosesNoTasksForThem) {
+TEST(Faults, LeaderThatKeepsOnlyItsWorkersLosesNoTasksForThem) {
     for (const std::size_t nodes : {3, 5}) {
         for (const auto& [hold, refuse] : {std::pair(false, false), {true, false}, {false, true}}) {
             auto options = calm(23);
             options.nodes = nodes;
-            World world(options);
+            Simulation world(options);
             auto j = plain("job-000001", 3, 60);
             j.cpus = 8;
             j.spot = false;
@@ -121,14 +121,14 @@
 
 // Cut off from everything it sees machines fall silent one by one, and the requests to return them
 // are held and carried out when the cut ends, long after another leads.
-TEST(Troubles, LeaderThatIsNotSureToLeadGivesUpNoMachine) {
+TEST(Faults, LeaderThatIsNotSureToLeadGivesUpNoMachine) {
     auto options = calm(27);
     options.report_s = 5;
     options.lease_s = 29;
     options.cancel_s = 59;
     options.machines = 12;
     options.teams = {{"core", {}, {}}};
-    World world(options);
+    Simulation world(options);
     world.set_capacity(12);
     auto j = plain("job-000001", 12, 100);
     j.cpus = 8;
@@ -145,10 +145,10 @@
 }
 
 // Records still name the machines that tasks were on before they were given back.
-TEST(Troubles, NewLeaderWaitsNotForMachinesThatAreGone) {
+TEST(Faults, NewLeaderWaitsNotForMachinesThatAreGone) {
     auto options = calm(28);
     options.machines = 4;
-    World world(options);
+    Simulation world(options);
     auto j = plain("job-000001", 2, 60);
     j.cpus = 8;
     j.spot = false;
@@ -168,12 +168,12 @@
     EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Troubles, ZonesCutOffOrApartLoseNoJob) {
+TEST(Faults, ZonesCutOffOrApartLoseNoJob) {
     for (const bool apart : {false, true}) {
         for (const bool hold : {false, true}) {
             auto options = calm(30);
             options.nodes = 5;
-            World world(options);
+            Simulation world(options);
             for (std::size_t n = 1; n <= 8; ++n) {
                 auto j = plain(numbered(n), 2, 12, static_cast<Millis>(n) * 4000);
                 if (n % 3 == 0) j.kind = "ensemble";
@@ -187,8 +187,8 @@
     }
 }
 
-TEST(Troubles, SlowStateServiceDelaysAndLosesNothing) {
-    World world(calm(31));
+TEST(Faults, SlowStateServiceDelaysAndLosesNothing) {
+    Simulation world(calm(31));
     for (std::size_t n = 1; n <= 10; ++n) {
         world.jobs().push_back(plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000));
     }
@@ -197,8 +197,8 @@
 }
 
 // A watch from before what the state service still keeps: everything is read again.
-TEST(Troubles, ChangesThatTheStateServiceForgotAreReadAgain) {
-    World world(calm(32));
+TEST(Faults, ChangesThatTheStateServiceForgotAreReadAgain) {
+    Simulation world(calm(32));
     for (std::size_t n = 1; n <= 10; ++n) {
         auto j = plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000);
         if (n == 4) j.cancel_at = 16'000;
@@ -208,10 +208,10 @@
     EXPECT_EQ(world.run(), "");
 }
 
-TEST(Troubles, WaveOfSpotNoticesMovesTheWork) {
+TEST(Faults, WaveOfSpotNoticesMovesTheWork) {
     auto options = calm(33);
     options.machines = 0;
-    World world(options);
+    Simulation world(options);
     for (std::size_t i = 0; i < 10; ++i) world.add_worker(i % 2 == 0 ? "a" : "b", true);
     world.set_capacity(14);
     for (std::size_t n = 1; n <= 12; ++n) {
@@ -229,8 +229,8 @@
 }
 
 // Several times as many jobs of a class as there is room for, beside another team's guarantee.
-TEST(Troubles, BurstOfAClassStarvesNoOther) {
-    World world(calm(34));
+TEST(Faults, BurstOfAClassStarvesNoOther) {
+    Simulation world(calm(34));
     world.set_capacity(5);
     std::size_t n = 0;
     for (; n < 60; ++n) {
@@ -255,8 +255,8 @@
 }
 
 // A flood of what can't be taken: each is answered at once, and the fleet does not notice.
-TEST(Troubles, FloodOfRefusedRequestsStarvesNeitherBeatsNorRenewals) {
-    World world(calm(35));
+TEST(Faults, FloodOfRefusedRequestsStarvesNeitherBeatsNorRenewals) {
+    Simulation world(calm(35));
     world.jobs().push_back(plain("job-000001", 4, 60));
     world.advance(10'000);
     const auto leader = world.leader();
@@ -279,8 +279,8 @@
     EXPECT_EQ(world.total_starts(), 4U);
 }
 
-// Room for a guarantee is kept while its team has work, and not for ever after.
-TEST(Troubles, RoomForAGuaranteeIsGivenUpWhenItsTeamWentHome) {
+// Resources for a guarantee is kept while its team has work, and not for ever after.
+TEST(Faults, RoomForAGuaranteeIsGivenUpWhenItsTeamWentHome) {
     core::Names types;
     core::Names zones;
     core::ClusterSettings settings;
@@ -324,11 +324,11 @@
 }
 
 // What is known of images grows with the fleet, one value of the state service does not.
-TEST(Troubles, ImagesOfALargeFleetAreKeptInSeveralRecords) {
+TEST(Faults, ImagesOfALargeFleetAreKeptInSeveralRecords) {
     auto options = calm(29);
     options.machines = 200;
     options.teams = {{"core", {}, {}}};
-    World world(options);
+    Simulation world(options);
     world.set_capacity(200);
     auto j = plain("job-000001", 200, 30);
     j.cpus = 8;
@@ -349,12 +349,12 @@
 
 // Two zones can't reach each other, a third reaches both: reports go round by a node there. Before,
 // the workers of one zone tried the leader's node, hung there, and their leases ended.
-TEST(Troubles, ReportsGoRoundByANodeThatReachesTheLeader) {
+TEST(Faults, ReportsGoRoundByANodeThatReachesTheLeader) {
     for (const bool hold : {false, true}) {
         auto options = calm(36);
         options.machines = 6;
         options.teams = {{"core", {}, {}}};
-        World world(options);
+        Simulation world(options);
         world.set_capacity(6);
         auto j = plain("job-000001", 6, 70);
         j.cpus = 8;
@@ -379,10 +379,10 @@
 
 // With the ports between controllers refused, a follower can't pass reports on: it has to name the
 // leader, or the worker tries one node after the other until its lease ends.
-TEST(Troubles, RefusedConnectionsBetweenControllersCostNoTasks) {
+TEST(Faults, RefusedConnectionsBetweenControllersCostNoTasks) {
     auto options = calm(24);
     options.nodes = 5;
-    World world(options);
+    Simulation world(options);
     auto j = plain("job-000001", 3, 60);
     j.cpus = 8;
     j.spot = false;
@@ -398,13 +398,13 @@
 
 // On a few days in a hundred all reports of a machine meet a controller without a leader for longer
 // than its lease, so a single seed says little: 40 days, no rule broken, hardly ever a lease lost.
-TEST(Troubles, ControllersBackWithinMomentsDuringElections) {
+TEST(Faults, ControllersBackWithinMomentsDuringElections) {
     int days_with_lost_leases = 0;
     for (std::uint64_t seed = 25; seed < 45; ++seed) {
         for (const std::size_t nodes : {3, 5}) {
             auto options = calm(seed);
             options.nodes = nodes;
-            World world(options);
+            Simulation world(options);
             world.jobs().push_back(plain("job-000001", 4, 40));
             for (Millis t = 8000; t < 30'000; t += 1300) {
                 world.at(t, [&world, nodes, t] {
@@ -430,7 +430,7 @@
         options.guards.claims = claims;
         options.settle_ms = 300'000;
         options.teams = {{"core", {}, {}}};
-        World world(options);
+        Simulation world(options);
         world.set_capacity(4);
         std::size_t n = 1;
         for (Millis t = 0; t < 330'000; t += 1200) {
@@ -455,4 +455,4 @@
 });
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,9 +1,9 @@
 // The troubles of fleets that many machines restart in together, each aimed at one guard.
 #include <gtest/gtest.h>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 Options fleet(std::uint64_t seed, std::size_t machines, std::size_t nodes = 3) {
@@ -24,7 +24,7 @@
     return j;
 }
 
-std::vector<std::string> lost(World& world) {
+std::vector<std::string> lost(Simulation& world) {
     std::vector<std::string> out;
     for (const auto& [name, w] : world.workers()) {
         if (w.gone || w.session > 1) out.push_back(name);
@@ -39,7 +39,7 @@
     const auto span = GetParam();
     for (const std::size_t nodes : {3, 5}) {
         for (int when = 0; when < 4; ++when) {
-            World world(fleet(50, 6, nodes));
+            Simulation world(fleet(50, 6, nodes));
             world.set_capacity(6);
             world.jobs().push_back(whole_machines(1, 6, 70));
             world.advance(12'000);
@@ -74,19 +74,19 @@
 // An idle machine is about to be returned when the leader stops; the next one places work there. A
 // return is guarded by no token: waking, the old leader must not send it.
 TEST(Fleet, LeaderThatStoodStillReturnsNoMachineThatAnotherUses) {
-    const auto day = [](World& world) {
+    const auto day = [](Simulation& world) {
         world.set_capacity(6);
         world.jobs().push_back(whole_machines(1, 6, 5));
         world.advance(8000);
         ASSERT_TRUE(world.leader());
     };
-    World first(fleet(51, 6));
+    Simulation first(fleet(51, 6));
     day(first);
     while (lost(first).empty() && first.now() < 200'000) first.advance(first.now() + 10);
     const auto returned = first.now();
     ASSERT_LT(returned, 200'000);
     for (Millis before = 0; before < 600; before += 20) {
-        World world(fleet(51, 6));
+        Simulation world(fleet(51, 6));
         day(world);
         world.advance(returned - before);
         const auto old = *world.leader();
@@ -107,7 +107,7 @@
 
 constexpr std::size_t kMany = 2000;
 
-void settle(World& world, Millis until) {
+void settle(Simulation& world, Millis until) {
     world.advance(until);
     EXPECT_EQ(world.broken(), "");
 }
@@ -116,7 +116,7 @@
 // of a burst: the new leader finds everything where it was, no lease ends, everybody is answered.
 TEST(Fleet, EverybodyIsBackAtOnce) {
     for (const std::size_t nodes : {3, 5}) {
-        World world(fleet(52, kMany, nodes));
+        Simulation world(fleet(52, kMany, nodes));
         world.set_capacity(kMany);
         for (std::size_t n = 0; n < 20; ++n) {
             world.jobs().push_back(whole_machines(n, 90, 300));
@@ -156,7 +156,7 @@
 TEST(Fleet, TenthOfTheMachinesLostInTheSameSecond) {
     for (const bool hang : {false, true}) {
         auto options = fleet(53, 100, 5);
-        World world(options);
+        Simulation world(options);
         world.set_capacity(320);
         for (std::size_t i = 0; i < 200; ++i) world.add_worker(i % 2 == 0 ? "a" : "b", true);
         for (std::size_t n = 0; n < 40; ++n) {
@@ -188,7 +188,7 @@
 // Its machines were given back one and all, rented anew there and not heard either.
 TEST(Fleet, MachinesOfAZoneThatIsCutOffAreKept) {
     for (const auto& [crash, hold] : {std::pair(false, true), {true, true}, {true, false}}) {
-        World world(fleet(55, 10, 5));
+        Simulation world(fleet(55, 10, 5));
         for (int i = 0; i < 9; ++i) world.add_worker("a", false);
         world.set_capacity(40);
         // Not before all machines were heard, or others would be rented beside them.
@@ -220,12 +220,12 @@
     }
 }
 
-// One after the other on the same day: the state service, the siblings, the workers, both zones.
+// One after the other on the same day: the state service, the peers, the workers, both zones.
 TEST(Fleet, OneControllerCutFromEachInTurnAndZonesFromEverything) {
     for (const bool hold : {false, true}) {
         for (const bool refuse : {false, true}) {
             if (hold && refuse) continue;
-            World world(fleet(54, 12, 5));
+            Simulation world(fleet(54, 12, 5));
             world.set_capacity(16);
             for (std::size_t n = 0; n < 24; ++n) {
                 auto j = whole_machines(n, 2, 12, static_cast<Millis>(n) * 6000);
@@ -251,4 +251,4 @@
 }
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -21,9 +21,9 @@
         s.teams = {{"core", {}, {}}, {"side", {4000, 0, 0}, {}}};
         s.team_used.resize(2);
     }
-    MachineIx machine(ZoneIx zone, std::int64_t cpus_free, bool spot = false) {
+    MachineIndex machine(ZoneIndex zone, std::int64_t cpus_free, bool spot = false) {
         MachineView m;
-        m.ix = static_cast<MachineIx>(s.machines.size());
+        m.ix = static_cast<MachineIndex>(s.machines.size());
         m.type = 0;
         m.zone = zone;
         m.spot = spot;
@@ -33,9 +33,9 @@
         s.machines.push_back(m);
         return m.ix;
     }
-    JobIx job(std::uint32_t count, std::int64_t cpus, bool gang,
-              Priority priority = Priority::Normal, TeamIx team = 0) {
-        const auto ix = static_cast<JobIx>(s.jobs.size());
+    JobIndex job(std::uint32_t count, std::int64_t cpus, bool gang,
+                 Priority priority = Priority::Normal, TeamIndex team = 0) {
+        const auto ix = static_cast<JobIndex>(s.jobs.size());
         JobSpec spec;
         spec.team = team;
         spec.gang = gang;
@@ -52,14 +52,14 @@
         s.items.push_back(item);
         return ix;
     }
-    void hold(JobIx owner, MachineIx on) {
-        HoldView h;
-        h.ix = static_cast<HoldIx>(s.holds.size());
+    void hold(JobIndex owner, MachineIndex on) {
+        AllocationView h;
+        h.ix = static_cast<AllocationIndex>(s.allocations.size());
         h.attempt = 100 + h.ix;
         h.machine = on;
         h.job = owner;
         h.left_s = 100;
-        s.holds.push_back(h);
+        s.allocations.push_back(h);
         std::erase_if(s.items, [&](const ItemView& i) { return i.job == owner; });
     }
     Snapshot s;
@@ -116,16 +116,16 @@
         m.idle_ms = 100'000;
         m.age_ms = 100'000;
     }
-    for (ZoneIx zone : {0U, 1U}) s.jobs[job(2, 8000, true)].spec.zone = zone;
+    for (ZoneIndex zone : {0U, 1U}) s.jobs[job(2, 8000, true)].spec.zone = zone;
     s.items[0].order_s = 1;
     s.items[1].order_s = 2;
     s.refused = {{0, 0, false}, {0, 0, true}, {0, 1, false}, {0, 1, true}};
     const auto plan = make_plan(s);
-    EXPECT_EQ(plan.returns, std::vector<MachineIx>{second}) << first;
+    EXPECT_EQ(plan.returns, std::vector<MachineIndex>{second}) << first;
 }
 
 TEST_F(PlannerTest, ReplicasAreSpreadUnlessTheImageIsInOnePlaceOnly) {
-    for (int n = 0; n < 4; ++n) machine(static_cast<ZoneIx>(n % 2), 8000);
+    for (int n = 0; n < 4; ++n) machine(static_cast<ZoneIndex>(n % 2), 8000);
     const auto j = job(4, 1000, false, Priority::Critical);
     s.jobs[j].spec.service = true;
     auto plan = make_plan(s);
@@ -143,12 +143,12 @@
     s.jobs[j].spec.one_zone = true;
     auto plan = make_plan(s);
     ASSERT_EQ(plan.starts.size(), 1U);
-    EXPECT_EQ(plan.starts[0].machines, (std::vector<MachineIx>{tight, tight}));
+    EXPECT_EQ(plan.starts[0].machines, (std::vector<MachineIndex>{tight, tight}));
     EXPECT_TRUE(plan.starts[0].rejected.empty());
     s.machines[tight].free.cpus = 3000;
     plan = make_plan(s);
     ASSERT_EQ(plan.starts.size(), 1U);
-    EXPECT_EQ(plan.starts[0].rejected, (std::vector<ZoneIx>{1}));
+    EXPECT_EQ(plan.starts[0].rejected, (std::vector<ZoneIndex>{1}));
 }
 
 TEST_F(PlannerTest, GangIsNeverStartedInPart) {
@@ -189,7 +189,7 @@
     const auto plan = make_plan(s);
     EXPECT_TRUE(plan.starts.empty());
     EXPECT_EQ(plan.stops.size(), 2U);
-    EXPECT_EQ(plan.stops_for, (std::vector<JobIx>{1, 1}));
+    EXPECT_EQ(plan.stops_for, (std::vector<JobIndex>{1, 1}));
 }
 
 TEST_F(PlannerTest, SamePriorityIsNeverDisplaced) {
@@ -216,7 +216,7 @@
     const auto m = machine(0, 0);
     const auto low = job(1, 8000, false, Priority::Low);
     hold(low, m);
-    s.holds[0].stopping = true;
+    s.allocations[0].stopping = true;
     job(1, 8000, true, Priority::High);
     job(1, 1000, false, Priority::Normal);
     s.machines[0].free = {1000, 2000, 16000};
@@ -272,12 +272,12 @@
         s.jobs[owner].spec.checkpoint_s = 5;
         s.jobs[owner].spec.image = 7;
         s.machines.back().images = {7};
-        hold(owner, static_cast<MachineIx>(i));
-        s.holds.back().ran_ms = 60'000;
+        hold(owner, static_cast<MachineIndex>(i));
+        s.allocations.back().ran_ms = 60'000;
     }
     auto plan = make_plan(s);
     // Ordinary machines first, each onto the one free half of a spot machine.
-    EXPECT_EQ(plan.drains, (std::vector<MachineIx>{0, 1, 2, 3}));
+    EXPECT_EQ(plan.drains, (std::vector<MachineIndex>{0, 1, 2, 3}));
     for (int i = 4; i < 6; ++i) s.machines[static_cast<std::size_t>(i)].free = {0, 0, 0};
     plan = make_plan(s);
     EXPECT_EQ(plan.drains.size(), 3U);  // two onto spot room, one onto another of its kind
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "core/planner.h"
-#include "standin/world.h"
+#include "simulation/world.h"
 
 namespace lichendrift {
 namespace {
@@ -220,11 +220,11 @@
     for (const auto& text : hostile) {
         ASSERT_TRUE(OperatorPolicy::check(text).empty()) << text;
         for (std::uint64_t seed = 900; seed < 912; ++seed) {
-            standin::Options options;
+            simulation::Options options;
             options.seed = seed;
             options.jobs = 20;
             options.policy = text;
-            standin::World world(options);
+            simulation::Simulation world(options);
             const auto broken = world.run();
             // A bad policy may serve badly; it must not break a rule.
             if (!broken.starts_with("unfinished") && !broken.starts_with("unserved")) {
--- a/tests/nights_test.cpp
+++ b/tests/provisioning_faults_test.cpp
@@ -1,9 +1,9 @@
-// What the operators met on bad nights, apart from meetings of troubles.
+// What the operators met on bad nights, apart from combinations of troubles.
 #include <gtest/gtest.h>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 // The machines that were rented stay `starting`: their work is rented for again long before they
@@ -11,7 +11,7 @@
 TEST(Nights, MachinesThatNeverComeUpAreRentedForAgainAndGivenUp) {
     auto options = calm(300);
     options.machines = 0;
-    World world(options);
+    Simulation world(options);
     world.set_capacity(30);
     world.set_never(1.0);
     auto j = plain("job-000001", 4, 20, 1000);
@@ -34,7 +34,7 @@
 TEST(Nights, StragglersAreUsedOrReturned) {
     auto options = calm(301);
     options.machines = 0;
-    World world(options);
+    Simulation world(options);
     world.set_capacity(12);
     world.set_boot(40'000);
     auto j = plain("job-000001", 4, 20, 1000);
@@ -52,7 +52,7 @@
 // Everybody refreshes: one read of the state service serves all that wait, and the rest of the work
 // does not notice.
 TEST(Nights, StormOfQuestionsCostsFewReadsAndNoLease) {
-    World world(calm(302));
+    Simulation world(calm(302));
     for (std::size_t n = 0; n < 6; ++n) world.jobs().push_back(plain(numbered(n), 1, 60));
     world.advance(12'000);
     const auto leader = world.leader();
@@ -78,7 +78,7 @@
     auto options = calm(303);
     options.machines = 4;
     options.teams = {{"core", {16'000, 0, 0}, {}}, {"guests", {}, {}}};
-    World world(options);
+    Simulation world(options);
     world.set_capacity(5);
     const auto guest = [&](std::size_t n, std::uint32_t count, double run_s, const char* cls) {
         auto j = plain(numbered(n), count, run_s, 1000 + static_cast<Millis>(n) * 30);
@@ -110,7 +110,7 @@
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(304);
         options.nodes = nodes;
-        World world(options);
+        Simulation world(options);
         for (std::size_t n = 0; n < 3; ++n) {
             auto bad = plain(numbered(n), 2, 10);
             bad.always_fails = true;
@@ -132,4 +132,4 @@
 }
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -6,9 +6,9 @@
 
 #include <cstdlib>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 class Quiet : public ::testing::Environment {
@@ -29,7 +29,7 @@
     Options options;
     options.seed = 5;
     options.faults = false;
-    World world(options);
+    Simulation world(options);
     EXPECT_EQ(world.run(), "");
     EXPECT_GT(world.total_starts(), 10U);
 }
@@ -49,7 +49,7 @@
             options.late_copy = 0.1;
         }
         if (i % 4 == 3) options.repeats = 0.1;
-        World world(options);
+        Simulation world(options);
         EXPECT_EQ(world.run(), "") << "seed " << options.seed;
     }
 }
@@ -59,12 +59,12 @@
 struct Broken {
     const char* name;
     bool core::Guards::*guard;
-    void (*bring)(World&) =
+    void (*bring)(Simulation&) =
         nullptr;  // what the guard is there for, where chance brings it too seldom
 };
 
 // Machines hang, with their tasks, and the cloud is out, so that none can be returned.
-void hang_machines_while_the_cloud_is_out(World& world) {
+void hang_machines_while_the_cloud_is_out(Simulation& world) {
     constexpr Millis kFor = 16'000;
     for (Millis t = 12'000; t < 60'000; t += 20'000) {
         world.at(t, [&world] {
@@ -92,7 +92,7 @@
         options.late_request = 0.15;
         options.repeats = 0.05;
         options.guards.*GetParam().guard = false;
-        World world(options);
+        Simulation world(options);
         if (GetParam().bring != nullptr) GetParam().bring(world);
         const auto broken = world.run();
         if (!broken.empty() && !broken.starts_with("unfinished")) {
@@ -106,7 +106,7 @@
     Guards, BrokenGuard,
     ::testing::Values(Broken{"record_first", &core::Guards::record_first},
                       Broken{"trusted_reports", &core::Guards::trusted_reports},
-                      Broken{"doubt_holds", &core::Guards::doubt_holds},
+                      Broken{"unconfirmed_allocated", &core::Guards::unconfirmed_allocated},
                       Broken{"record_of_open", &core::Guards::record_of_open},
                       Broken{"reap_raises", &core::Guards::reap_raises},
                       Broken{"silence_is_no_proof", &core::Guards::silence_is_no_proof,
@@ -116,4 +116,4 @@
     [](const auto& param) { return std::string(param.param.name); });
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -1,13 +1,13 @@
 // Scripted days: one failure each, aimed at one guard.
 #include <gtest/gtest.h>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 TEST(Safety, AllControllersRestartAtOnceAndTasksGoOn) {
-    World world(calm(1));
+    Simulation world(calm(1));
     world.jobs().push_back(plain("job-000001", 4, 25));
     world.at(10'000, [&] {
         for (std::size_t n = 0; n < 3; ++n) world.crash(n, 2000);
@@ -18,7 +18,7 @@
 }
 
 TEST(Safety, LeaderRestartedWithinMomentsTakesOverAtOnce) {
-    World world(calm(2));
+    Simulation world(calm(2));
     world.advance(5000);
     const auto first = world.leader();
     ASSERT_TRUE(first);
@@ -30,7 +30,7 @@
 
 TEST(Safety, NewLeaderGivesUpNoMachineThatHasBeenUpForLong) {
     // Its list shows machines far older than a boot takes, none of which it has heard yet.
-    World world(calm(14));
+    Simulation world(calm(14));
     auto j = plain("job-000001", 3, 200);
     j.cpus = 8;      // a machine each, so that none is idle
     j.spot = false;  // nor emptied onto a cheaper one
@@ -53,7 +53,7 @@
 }
 
 TEST(Safety, ControllersDyingDuringTheElection) {
-    World world(calm(3));
+    Simulation world(calm(3));
     world.jobs().push_back(plain("job-000001", 3, 15));
     for (Millis t = 6000; t < 16000; t += 700) {
         world.at(t, [&world, n = static_cast<std::size_t>(t / 700 % 3)] { world.crash(n, 400); });
@@ -62,7 +62,7 @@
 }
 
 TEST(Safety, StateServiceOutLongerThanAWorkersLease) {
-    World world(calm(4));
+    Simulation world(calm(4));
     world.jobs().push_back(plain("job-000001", 4, 30));
     world.at(8000, [&] { world.state_outage(25'000); });
     EXPECT_EQ(world.run(), "");
@@ -71,7 +71,7 @@
 }
 
 TEST(Safety, StateServiceOutWhileAllControllersRestart) {
-    World world(calm(5));
+    Simulation world(calm(5));
     world.jobs().push_back(plain("job-000001", 4, 20));
     world.at(8000, [&] {
         world.state_outage(15'000);
@@ -81,7 +81,7 @@
 }
 
 TEST(Safety, LeaderRefusedByTheStateServiceAloneIsReplaced) {
-    World world(calm(6));
+    Simulation world(calm(6));
     world.advance(5000);
     const auto old = world.leader();
     ASSERT_TRUE(old);
@@ -94,7 +94,7 @@
 
 TEST(Safety, LeaderCutFromEverythingComesBackAsAFollower) {
     for (const bool hold : {true, false}) {
-        World world(calm(7));
+        Simulation world(calm(7));
         world.jobs().push_back(plain("job-000001", 6, 20));
         world.advance(5000);
         const auto old = world.leader();
@@ -105,7 +105,7 @@
 }
 
 TEST(Safety, HungMachineIsReturnedBeforeItsTasksGoElsewhere) {
-    World world(calm(8));
+    Simulation world(calm(8));
     world.jobs().push_back(plain("job-000001", 3, 20));
     world.at(9000, [&] {
         for (auto& [name, w] : world.workers()) {
@@ -120,7 +120,7 @@
 
 TEST(Safety, CancelRacingTheLastTask) {
     for (int i = 0; i < 25; ++i) {
-        World world(calm(100 + static_cast<std::uint64_t>(i)));
+        Simulation world(calm(100 + static_cast<std::uint64_t>(i)));
         auto j = plain("job-000001", 2, 6);
         j.cancel_at = 9000 + i * 100;
         world.jobs().push_back(j);
@@ -131,7 +131,7 @@
 // After the reap the worker does not know the attempt any more: a copy of the direct command that
 // ran it, though it was answered long ago, started it again after its user had cancelled it.
 TEST(Safety, RepeatsOfDirectCommandsThatWereCarriedOutStartNothing) {
-    World world(calm(15));
+    Simulation world(calm(15));
     auto j = plain("job-000001", 4, 60);
     j.cancel_at = 15'000;
     world.jobs().push_back(j);
@@ -150,7 +150,7 @@
 }
 
 TEST(Safety, CancelledWhileNobodyLeads) {
-    World world(calm(9));
+    Simulation world(calm(9));
     auto j = plain("job-000001", 4, 60);
     j.cancel_at = 12'100;
     world.jobs().push_back(j);
@@ -164,7 +164,7 @@
 TEST(Safety, OneZoneAndApartCountOldAttempts) {
     // Machines are lost and hang under jobs with zone rules; the checker sees every start.
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        World world(calm(seed));
+        Simulation world(calm(seed));
         for (std::size_t i = 0; i < 6; ++i) {
             auto j = plain(numbered(i), 4, 14, static_cast<Millis>(i * 2000));
             j.kind = i % 2 == 0 ? "ensemble" : "sweep";
@@ -191,7 +191,7 @@
 }
 
 TEST(Safety, JobThatFailsEverywhereCondemnsNoMachines) {
-    World world(calm(10));
+    Simulation world(calm(10));
     auto bad = plain("job-000001", 4, 10);
     bad.always_fails = true;
     world.jobs().push_back(bad);
@@ -203,7 +203,7 @@
 }
 
 TEST(Safety, MachineThatFailsEveryTaskIsReplaced) {
-    World world(calm(11));
+    Simulation world(calm(11));
     for (std::size_t i = 0; i < 6; ++i) {
         world.jobs().push_back(plain(numbered(i), 3, 8, static_cast<Millis>(i * 3000)));
     }
@@ -212,7 +212,7 @@
 }
 
 TEST(Safety, BurstStaysUnderTheWriteLimit) {
-    World world(calm(12));
+    Simulation world(calm(12));
     world.set_capacity(8);
     for (std::size_t i = 0; i < 120; ++i) {
         world.jobs().push_back(plain(numbered(i), 2, 3, 10'000 + static_cast<Millis>(i * 20)));
@@ -222,7 +222,7 @@
 }
 
 TEST(Safety, HundredThousandTasksStayWithinTheLimits) {
-    World world(calm(13));
+    Simulation world(calm(13));
     auto big = plain("job-000001", 100'000, 2);
     big.cancel_at = 60'000;
     world.jobs().push_back(big);
@@ -233,4 +233,4 @@
 }
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "core/cluster.h"
-#include "standin/world.h"
+#include "simulation/world.h"
 
 namespace lichendrift::core {
 namespace {
@@ -51,16 +51,16 @@
         r.token = 3;
         r.tasks = tasks;
         if (cluster_.on_report(r, true, now_).changed) ++changed_;
-        const auto orders = cluster_.beat_orders(r.machine, r.seq, true, now_);
-        for (const auto& order : orders) {
-            if (order.kind != Order::Kind::Run) continue;
+        const auto commands = cluster_.heartbeat_commands(r.machine, r.seq, true, now_);
+        for (const auto& order : commands) {
+            if (order.kind != Command::Kind::Run) continue;
             TaskReport t;
             t.job = order.job;
             t.task = order.task;
             t.attempt = order.attempt;
             tasks_[m].push_back(t);
         }
-        cluster_.machines_with_orders(true, 24, now_);
+        cluster_.machines_with_commands(true, 24, now_);
     }
     Plan plan() { return make_plan(cluster_.snapshot(now_, now_)); }
     void place() {
@@ -151,7 +151,7 @@
         const auto before = fleet.cluster().work();
         for (int i = 0; i < 500; ++i) {
             EXPECT_FALSE(fleet.cluster().next_final_write(8, 100'000));
-            fleet.cluster().machines_with_orders(true, 24, 100'000);
+            fleet.cluster().machines_with_commands(true, 24, 100'000);
         }
         return fleet.cluster().work() - before;
     };
@@ -181,7 +181,7 @@
         for (;;) {
             // As the leader does it: whenever one of 24 calls ends, the next machine is asked.
             for (const auto& name : cluster.machines_to_ask(24 - under_way.size(), now)) {
-                under_way.push_back(cluster.direct_orders(name, true, now));
+                under_way.push_back(cluster.direct_commands(name, true, now));
             }
             if (under_way.empty()) break;
             const auto direct = under_way.front();
@@ -217,7 +217,7 @@
         cluster.records_to_come();
         cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
         for (std::uint32_t first = 0; first < machines; first += settings.chunk_tasks) {
-            PlaceRecord record;
+            PlacementRecord record;
             const auto end = std::min<std::size_t>(first + settings.chunk_tasks, machines);
             for (auto task = first; task < end; ++task) {
                 record.placed.push_back({task, 77, Fleet::name(task), 1});
@@ -244,7 +244,8 @@
 }
 
 TEST(Scale, PlanForAnEmptyFleetScoresEachMachineOnceForAJob) {
-    // Room everywhere and jobs of many tasks: a trial walks the machines once, not for each task.
+    // Resources everywhere and jobs of many tasks: a trial walks the machines once, not for each
+    // task.
     Snapshot s;
     MachineType type;
     type.name = "box";
@@ -255,7 +256,7 @@
     s.zones = 1;
     s.teams = {{"core", {}, {}}};
     s.team_used.resize(1);
-    for (MachineIx m = 0; m < 1200; ++m) {
+    for (MachineIndex m = 0; m < 1200; ++m) {
         MachineView view;
         view.ix = m;
         view.type = 0;
@@ -264,7 +265,7 @@
         view.room = view.free = type.room;
         s.machines.push_back(view);
     }
-    for (JobIx j = 0; j < 20; ++j) {
+    for (JobIndex j = 0; j < 20; ++j) {
         JobSpec spec;
         spec.team = 0;
         spec.count = 50;
@@ -284,14 +285,14 @@
 
 // The state service allows few changes for all nodes together: a job may cost only so many.
 TEST(Scale, ChangesOfTheStateServiceForAJobAreBounded) {
-    auto options = standin::calm(41);
+    auto options = simulation::calm(41);
     options.machines = 40;
     options.teams = {{"core", {}, {}}};
-    standin::World world(options);
+    simulation::Simulation world(options);
     world.set_capacity(40);
     for (std::size_t n = 0; n < 60; ++n) {
-        auto j = standin::plain(standin::numbered(n), n % 2 == 0 ? 2 : 12, 20,
-                                static_cast<Millis>(n) * 700);
+        auto j = simulation::plain(simulation::numbered(n), n % 2 == 0 ? 2 : 12, 20,
+                                   static_cast<Millis>(n) * 700);
         j.kind = n % 2 == 0 ? "ensemble" : "sweep";
         world.jobs().push_back(j);
     }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -3,9 +3,9 @@
 
 #include <map>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 double served(const Job& job) {
@@ -14,7 +14,7 @@
                : static_cast<double>(job.replica_up_ms) / static_cast<double>(job.replica_due_ms);
 }
 
-std::map<std::string, int> replicas_by_machine(World& world, const std::string& id) {
+std::map<std::string, int> replicas_by_machine(Simulation& world, const std::string& id) {
     std::map<std::string, int> out;
     for (const auto& [name, worker] : world.workers()) {
         for (const auto& task : worker.tasks) {
@@ -24,7 +24,7 @@
     return out;
 }
 
-int running(World& world, const std::string& id) {
+int running(Simulation& world, const std::string& id) {
     int sum = 0;
     for (const auto& [name, count] : replicas_by_machine(world, id)) sum += count;
     return sum;
@@ -39,7 +39,7 @@
 }
 
 TEST(Services, RunUntilCancelledAndAreNeverDone) {
-    World world(services_day(1));
+    Simulation world(services_day(1));
     world.jobs().push_back(service("job-000001", 4, 1000, 60'000));
     world.advance(58'000);
     EXPECT_EQ(running(world, "job-000001"), 4);
@@ -51,7 +51,7 @@
 }
 
 TEST(Services, ReplicasAreSpreadOverMachinesAndZones) {
-    World world(services_day(2));
+    Simulation world(services_day(2));
     // Before that the leader has not heard of all machines.
     world.jobs().push_back(service("job-000001", 6, 6000));
     world.advance(20'000);
@@ -61,7 +61,7 @@
 }
 
 TEST(Services, ReplicasOfALostMachineRunElsewhereSoon) {
-    World world(services_day(3));
+    Simulation world(services_day(3));
     world.jobs().push_back(service("job-000001", 4, 1000));
     world.advance(20'000);
     const auto lost = replicas_by_machine(world, "job-000001").begin()->first;
@@ -72,7 +72,7 @@
 }
 
 TEST(Services, ReplicasMoveBeforeTheirMachineIsTaken) {
-    World world(services_day(4));
+    Simulation world(services_day(4));
     auto job = service("job-000001", 4, 1000);
     world.jobs().push_back(job);
     world.advance(20'000);
@@ -87,7 +87,7 @@
 // A replica that ends, well or not, runs again at once; one that does so again and again backs off.
 TEST(Services, ReplicasThatEndRunAgain) {
     for (const bool crash : {false, true}) {
-        World world(services_day(5));
+        Simulation world(services_day(5));
         auto job = service("job-000001", 3, 1000);
         job.replica_s = 40;
         job.replicas_crash = crash;
@@ -99,7 +99,7 @@
 }
 
 TEST(Services, CrashLoopsBackOffAndCondemnNoMachine) {
-    World world(services_day(6));
+    Simulation world(services_day(6));
     for (int n = 0; n < 3; ++n) {
         auto job = service(numbered(static_cast<std::size_t>(n + 1)), 2, 1000);
         job.always_fails = true;
@@ -119,7 +119,7 @@
 TEST(Services, CriticalReplicasDisplaceLowerWorkWhenAllIsTaken) {
     auto options = services_day(7);
     options.teams = {{"core", {}, {}}};
-    World world(options);
+    Simulation world(options);
     world.set_capacity(6);
     auto low = plain("job-000001", 200, 60, 500);
     low.priority = "low";
@@ -135,7 +135,7 @@
 TEST(Services, MoreThanTheTeamsLimitIsRefused) {
     auto options = services_day(8);
     options.teams = {{"core", {}, {3000, 0, 0}}};
-    World world(options);
+    Simulation world(options);
     world.jobs().push_back(service("job-000001", 4, 1000));
     world.jobs().push_back(service("job-000002", 3, 1000));
     world.advance(20'000);
@@ -146,7 +146,7 @@
 
 TEST(Services, SurviveALeaderAndItsMachine) {
     for (std::uint64_t seed = 10; seed < 20; ++seed) {
-        World world(services_day(seed));
+        Simulation world(services_day(seed));
         world.jobs().push_back(service("job-000001", 4, 1000));
         world.at(20'000, [&world] {
             if (const auto leader = world.leader()) world.crash(*leader, 2000);
@@ -165,7 +165,7 @@
 TEST(Services, ReplicasOfAZoneThatIsCutOffRunElsewhereOnceItsLeasesAreOver) {
     auto options = services_day(30);
     options.machines = 20;
-    World world(options);
+    Simulation world(options);
     world.set_capacity(30);
     world.jobs().push_back(service("job-000001", 6, 6000));
     world.jobs()[0].apart = false;
@@ -188,7 +188,7 @@
         Options options;
         options.seed = 20'000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
         options.nodes = i % 2 == 0 ? 3 : 5;
-        World world(options);
+        Simulation world(options);
         std::mt19937_64 rng(options.seed);
         for (std::size_t n = 0; n < 5; ++n) {
             const auto at = static_cast<Millis>(rng() % 50'000);
@@ -207,4 +207,4 @@
 INSTANTIATE_TEST_SUITE_P(Days, ServicesDay, ::testing::Range(1, 6));
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -73,7 +73,7 @@
     auto loaded = load(kGood);
     ASSERT_TRUE(std::holds_alternative<control::Settings>(loaded));
     const auto& s = std::get<control::Settings>(loaded);
-    EXPECT_EQ(s.siblings.at(0).address, "127.0.0.2:8081");
+    EXPECT_EQ(s.peers.at(0).address, "127.0.0.2:8081");
     EXPECT_EQ(s.teams.at(0).guarantee.cpus, 1500);
     EXPECT_EQ(s.teams.at(0).limit.gpus, 4000);
     EXPECT_EQ(s.state_txn_ops, 12U);
--- a/tests/standin/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -3,12 +3,12 @@
 
 #include <algorithm>
 
-#include "standin/messages.h"
-#include "standin/world.h"
+#include "simulation/messages.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
-void World::add_worker(const std::string& zone, bool spot) {
+void Simulation::add_worker(const std::string& zone, bool spot) {
     Worker w;
     char name[32];
     std::snprintf(name, sizeof name, "host-%06llu",
@@ -27,7 +27,7 @@
     workers_[w.name] = w;
 }
 
-void World::serve_cloud(const net::HttpRequest& request, const net::Respond& respond) {
+void Simulation::serve_cloud(const net::HttpRequest& request, const net::Respond& respond) {
     if (now_ < cloud_outage_until_) return respond({503, R"({"error":"trouble"})"});
     const auto doc = parsed(request.body);
     if (request.target == "/flavors") {
@@ -83,11 +83,11 @@
     respond({200, R"({"banchi":[)" + items + R"(],"more":false})"});
 }
 
-void World::lose_worker(Worker& worker) {
+void Simulation::lose_worker(Worker& worker) {
     worker.gone = true;
     worker.up = false;
     worker.tasks.clear();
     worker.held.clear();
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/messages.h
+++ b/tests/simulation/messages.h
@@ -9,7 +9,7 @@
 #include "core/types.h"
 
 // What the parts of the simulation share: reading of messages, names of hosts, size of a machine.
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
 inline constexpr double kCpus = 8;       // of a machine
 inline constexpr double kPeer = 3;       // seconds in which a gang notices a lost task
@@ -46,4 +46,4 @@
     return address.substr(0, address.find(':'));
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -1,10 +1,10 @@
 // Random days: what happens on them, and the jobs that the tests submit.
-#include "standin/messages.h"
-#include "standin/world.h"
+#include "simulation/messages.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
-void World::fault() {
+void Simulation::fault() {
     if (now_ >= options_.busy_ms) {
         // Everything heals: what was accepted has to end.
         for (auto& [name, w] : workers_) w.sick = false;
@@ -217,4 +217,4 @@
     return j;
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -2,10 +2,10 @@
 // day.
 #include <algorithm>
 
-#include "standin/messages.h"
-#include "standin/world.h"
+#include "simulation/messages.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
 namespace {
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void World::check_start(const Worker& worker, const Job& j, std::uint32_t task, Millis sent) {
+void Simulation::check_start(const Worker& worker, const Job& j, std::uint32_t task, Millis sent) {
     if (j.cancelled_told >= 0 && sent > j.cancelled_told + options_.late_start_ms) {
         fail("started_cancelled", j.id + " by an order sent " +
                                       std::to_string(sent - j.cancelled_told) +
@@ -49,7 +49,7 @@
     }
 }
 
-void World::check() {
+void Simulation::check() {
     std::map<std::string, double> used;
     for (const auto& [name, w] : workers_) {
         for (const auto& t : w.tasks) {
@@ -73,7 +73,7 @@
     }
 }
 
-void World::check_answers() {
+void Simulation::check_answers() {
     if (now_ % 1000 != 0) return;
     for (const auto& j : jobs_) {
         if (j.accepted < 0) continue;
@@ -84,7 +84,7 @@
 
 // Whether all of a gang, or one task of an array, fits into what is free, by zones where these
 // count.
-bool World::has_room(const Job& j, const std::map<std::string, double>& used) const {
+bool Simulation::has_room(const Job& j, const std::map<std::string, double>& used) const {
     std::map<std::string, int> there;  // its tasks that count against its zones already
     const bool gang = j.kind == "ensemble";
     const auto need = static_cast<int>(gang ? j.count : 1);
@@ -124,7 +124,7 @@
 }
 
 // Whether one replica has not been placed for too long; others may come and go meanwhile.
-bool World::replica_waits(const Job& j) const {
+bool Simulation::replica_waits(const Job& j) const {
     for (std::uint32_t task = 0; task < j.count; ++task) {
         const auto seen = j.replica_seen.find(task);
         const auto since = seen == j.replica_seen.end() ? j.accepted : seen->second;
@@ -134,7 +134,7 @@
 }
 
 // Once all troubles are over nothing waits for long beside room that fits it.
-void World::check_waiting() {
+void Simulation::check_waiting() {
     if (now_ % 1000 != 0 || now_ < std::max(troubles_over_, options_.busy_ms)) return;
     std::map<std::string, double> used;
     std::map<std::string, std::set<std::uint32_t>> placed;  // tasks, by job
@@ -165,7 +165,7 @@
 
 // The share of replica time served counts from a few seconds after the acceptance until the user
 // calls the service off.
-void World::measure_services() {
+void Simulation::measure_services() {
     for (auto& j : jobs_) {
         const bool due = j.is_service() && j.accepted >= 0 && j.cancel_asked < 0 &&
                          now_ >= j.accepted + kServedFrom;
@@ -184,7 +184,7 @@
 
 // At the end of a day at least half of each class, of each team and of each class's largest jobs
 // has to be served, and the largest have to begin in time.
-void World::check_served() {
+void Simulation::check_served() {
     std::map<std::string, std::pair<int, int>> served;  // of all
     std::map<std::string, std::uint32_t> largest;
     for (const auto& j : jobs_) largest[j.cls] = std::max(largest[j.cls], j.count);
@@ -209,4 +209,4 @@
     }
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -1,10 +1,10 @@
 // The state service of the simulation: keys, transactions, leases and watches.
 #include <algorithm>
 
-#include "standin/messages.h"
-#include "standin/world.h"
+#include "simulation/messages.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
 namespace {
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void World::apply(const std::string& key, const std::string& value, std::uint64_t grant) {
+void Simulation::apply(const std::string& key, const std::string& value, std::uint64_t grant) {
     if (key.starts_with("place/") && !value.empty()) {
         const auto lead = [](const std::string& text) {
             return parsed(text)["t"].GetUint64() / core::kTokensOfALead;
@@ -38,7 +38,7 @@
     changes_.push_back({key, value, revision_});
 }
 
-void World::answer_watch(const Watch& watch) {
+void Simulation::answer_watch(const Watch& watch) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -64,7 +64,7 @@
     watch.respond({200, b.GetString()});
 }
 
-void World::wake_watches() {
+void Simulation::wake_watches() {
     if (now_ < outage_until_) return;
     std::vector<Watch> due;
     std::erase_if(watches_, [&](const Watch& watch) {
@@ -84,7 +84,7 @@
 
 // The limits of Options::next, from the moment at which they hold. Nothing may be sent again and
 // again that they do not allow.
-bool World::within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond) {
+bool Simulation::within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond) {
     const auto reject = [&](const std::string& key) {
         ++rejections_;
         if (++rejected_keys_[key] > kMostRejected) fail("rejected_again", key);
@@ -113,8 +113,8 @@
     return true;
 }
 
-void World::serve_state(const std::string& from, const net::HttpRequest& request,
-                        net::Respond respond) {
+void Simulation::serve_state(const std::string& from, const net::HttpRequest& request,
+                             net::Respond respond) {
     ++state_requests_;
     if (now_ < outage_until_ ||
         (from.size() == 2 && refused_until_[static_cast<std::size_t>(from[1] - '0')] > now_)) {
@@ -225,4 +225,4 @@
     respond({400, "{}"});
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,10 +1,10 @@
 // The users of the simulation: submissions, questions and cancellations.
-#include "standin/messages.h"
-#include "standin/world.h"
+#include "simulation/messages.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
-std::string World::description(const Job& j) {
+std::string Simulation::description(const Job& j) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -43,7 +43,7 @@
     return b.GetString();
 }
 
-void World::submit(Job& j) {
+void Simulation::submit(Job& j) {
     j.submitted = true;
     const auto id = j.id;
     const auto node = j.via ? *j.via : static_cast<std::size_t>(dice(nodes_.size()));
@@ -67,7 +67,7 @@
          });
 }
 
-void World::cancel(Job& j, std::optional<std::size_t> node) {
+void Simulation::cancel(Job& j, std::optional<std::size_t> node) {
     const auto id = j.id;
     if (j.cancel_asked < 0) j.cancel_asked = now_;
     const auto at_node = node ? *node : static_cast<std::size_t>(dice(nodes_.size()));
@@ -92,7 +92,7 @@
          });
 }
 
-void World::cancel_now(std::size_t count, Millis hang_ms) {
+void Simulation::cancel_now(std::size_t count, Millis hang_ms) {
     std::size_t hung = 0;
     for (auto& j : jobs_) {
         if (count == 0) break;
@@ -116,8 +116,8 @@
 }
 
 // One answer is right, to be refused for now or to get no answer is allowed as well.
-void World::expect(std::size_t node, net::HttpRequest request, int status,
-                   const std::string& state) {
+void Simulation::expect(std::size_t node, net::HttpRequest request, int status,
+                        const std::string& state) {
     const auto what = request.method + " " + request.target;
     call("user", node_name(node) + ":1", std::move(request), 5000,
          [this, what, status, state](const net::HttpReply& reply) {
@@ -131,7 +131,7 @@
          });
 }
 
-void World::odd_request() {
+void Simulation::odd_request() {
     const auto node = static_cast<std::size_t>(dice(nodes_.size()));
     const auto unknown = numbered(900'000 + dice(90'000));
     Job bad = jobs_.empty() ? plain(unknown, 1, 5) : jobs_[dice(jobs_.size())];
@@ -165,7 +165,7 @@
     }
 }
 
-void World::poll(Job& j) {
+void Simulation::poll(Job& j) {
     const auto id = j.id;
     const bool accepted = j.accepted >= 0;
     const bool cancelled = j.cancelled_told >= 0;
@@ -195,7 +195,7 @@
          });
 }
 
-void World::user_tick(Job& j) {
+void Simulation::user_tick(Job& j) {
     if (!j.submitted && now_ >= j.submit_at) {
         j.give_up_submit = now_ + 60000;
         submit(j);
@@ -207,4 +207,4 @@
     if (now_ % 2000 == phase) poll(j);
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -2,12 +2,12 @@
 #include <algorithm>
 #include <cmath>
 
-#include "standin/messages.h"
-#include "standin/world.h"
+#include "simulation/messages.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
-std::string World::report(Worker& worker) {
+std::string Simulation::report(Worker& worker) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -51,7 +51,7 @@
     return b.GetString();
 }
 
-void World::orders(Worker& worker, const std::string& body, Millis sent) {
+void Simulation::commands(Worker& worker, const std::string& body, Millis sent) {
     const auto doc = parsed(body);
     if (!doc.HasMember("ordini")) return;
     for (const auto& o : doc["ordini"].GetArray()) {
@@ -71,8 +71,8 @@
     }
 }
 
-void World::start_task(Worker& worker, const std::string& name, std::uint64_t attempt,
-                       Millis sent) {
+void Simulation::start_task(Worker& worker, const std::string& name, std::uint64_t attempt,
+                            Millis sent) {
     const auto slash = name.rfind('/');
     Task t;
     t.job = name.substr(0, slash);
@@ -108,12 +108,12 @@
     worker.tasks.push_back(t);
 }
 
-double World::progress_of(const Task& task) {
+double Simulation::progress_of(const Task& task) {
     const auto ran = task.run_since > 0 ? static_cast<double>(now_ - task.run_since) / 1000 : 0;
     return task.done_before + ran;
 }
 
-void World::save_progress(const Task& task, bool all) {
+void Simulation::save_progress(const Task& task, bool all) {
     Job& j = *job(task.job);
     if (j.checkpoint_s <= 0 || task.run_since == 0) return;
     const double p = progress_of(task);
@@ -122,7 +122,7 @@
     saved = std::max(saved, kept);
 }
 
-void World::exit_task(Worker& worker, Task& task, const std::string& why, bool stored) {
+void Simulation::exit_task(Worker& worker, Task& task, const std::string& why, bool stored) {
     if (why != "done") save_progress(task, stored);
     task.state = "exited";
     task.why = why;
@@ -135,8 +135,8 @@
     if (j.cancel_at_end && j.done_tasks.size() == j.count && j.cancel_asked < 0) cancel(j);
 }
 
-void World::halt_task(Worker& worker, const std::string& name, std::uint64_t attempt,
-                      double grace) {
+void Simulation::halt_task(Worker& worker, const std::string& name, std::uint64_t attempt,
+                           double grace) {
     for (auto& t : worker.tasks) {
         if (t.attempt != attempt || t.job + "/" + std::to_string(t.task) != name) continue;
         if (t.state == "exited") continue;
@@ -151,8 +151,8 @@
     }
 }
 
-void World::serve_worker(Worker& worker, const net::HttpRequest& request, Millis sent,
-                         const net::Respond& respond) {
+void Simulation::serve_worker(Worker& worker, const net::HttpRequest& request, Millis sent,
+                              const net::Respond& respond) {
     if (worker.gone || !worker.up) return;
     ++direct_calls_;
     if (request.target == "/show") return respond({200, report(worker)});
@@ -163,11 +163,11 @@
     }
     if (doc["delega"].GetUint64() > worker.token) worker.changed = true;
     worker.token = doc["delega"].GetUint64();
-    orders(worker, request.body, sent);
+    commands(worker, request.body, sent);
     respond({200, report(worker)});
 }
 
-void World::beat(Worker& worker) {
+void Simulation::beat(Worker& worker) {
     worker.in_flight = true;
     worker.changed = false;
     worker.last_beat = now_;
@@ -224,7 +224,7 @@
                  if (doc["delega"].GetUint64() > me.token) me.changed = true;
                  me.token = doc["delega"].GetUint64();
                  me.answered_sent = std::max(me.answered_sent, sent);
-                 orders(me, reply.body, answered);
+                 commands(me, reply.body, answered);
              };
              if (w.hung_until > now_) {
                  w.held.push_back(act);
@@ -234,7 +234,7 @@
          });
 }
 
-void World::worker_tick(Worker& worker) {
+void Simulation::worker_tick(Worker& worker) {
     if (worker.gone) return;
     if (worker.taken_at >= 0 && now_ >= worker.taken_at) return lose_worker(worker);
     if (!worker.up) {
@@ -346,4 +346,4 @@
     if (!worker.in_flight && due) beat(worker);
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/world.cpp
+++ b/tests/simulation/world.cpp
@@ -1,15 +1,15 @@
 // The simulation itself: controllers, network, faults and time.
-#include "standin/world.h"
+#include "simulation/world.h"
 
 #include <algorithm>
 
-#include "standin/messages.h"
+#include "simulation/messages.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
-class World::NodePort : public net::Port {
+class Simulation::NodePort : public net::Port {
   public:
-    NodePort(World& world, std::size_t node) : world_(world), node_(node) {}
+    NodePort(Simulation& world, std::size_t node) : world_(world), node_(node) {}
     Millis now() override {
         // Steady clocks drift apart.
         return world_.now_ + world_.now_ * static_cast<Millis>(node_) / 4000;
@@ -56,7 +56,7 @@
             fire(frozen_until_, [fn, got = std::move(got)] { fn(got); });
         };
     }
-    World& world_;
+    Simulation& world_;
     std::size_t node_;
     net::TimerId next_ = 0;
     std::set<net::TimerId> timers_;
@@ -64,7 +64,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-World::World(Options options) : options_(std::move(options)), rng_(options_.seed) {
+Simulation::Simulation(Options options) : options_(std::move(options)), rng_(options_.seed) {
     nodes_.resize(options_.nodes);
     for (auto& node : nodes_) node.current = !options_.old_version;
     refused_until_.resize(options_.nodes);
@@ -83,13 +83,13 @@
     if (options_.faults) at(4000, [this] { fault(); });
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-void World::at(Millis when, std::function<void()> fn) {
+void Simulation::at(Millis when, std::function<void()> fn) {
     events_.push({std::max(when, now_), ++event_number_, std::move(fn)});
 }
 
-void World::advance(Millis until) {
+void Simulation::advance(Millis until) {
     while (!events_.empty() && events_.top().at <= until && broken_.empty()) {
         auto event = events_.top();
         events_.pop();
@@ -99,7 +99,7 @@
     now_ = std::max(now_, until);
 }
 
-std::string World::run() {
+std::string Simulation::run() {
     advance(options_.busy_ms + options_.settle_ms);
     if (!broken_.empty()) return broken_;
     for (auto& j : jobs_) {
@@ -115,20 +115,20 @@
     return broken_;
 }
 
-std::uint64_t World::total_starts() const {
+std::uint64_t Simulation::total_starts() const {
     std::uint64_t n = 0;
     for (const auto& j : jobs_) n += j.starts;
     return n;
 }
 
-void World::fail(const std::string& rule, const std::string& what) {
+void Simulation::fail(const std::string& rule, const std::string& what) {
     if (broken_.empty()) {
         broken_ = rule + ": " + what + " at " + std::to_string(now_) + " ms, seed " +
                   std::to_string(options_.seed);
     }
 }
 
-Job* World::job(const std::string& id) {
+Job* Simulation::job(const std::string& id) {
     if (job_index_.size() != jobs_.size()) {
         job_index_.clear();
         for (std::size_t i = 0; i < jobs_.size(); ++i) job_index_[jobs_[i].id] = i;
@@ -137,12 +137,12 @@
     return it == job_index_.end() ? nullptr : &jobs_[it->second];
 }
 
-void World::boot(std::size_t n) {
+void Simulation::boot(std::size_t n) {
     control::Settings s;
     s.member = node_name(n);
     s.location = n == 0 ? "a" : "b";
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
-        if (other != n) s.siblings.push_back({node_name(other), "a", node_name(other) + ":2"});
+        if (other != n) s.peers.push_back({node_name(other), "a", node_name(other) + ":2"});
     }
     s.state = "state:1";
     s.cloud = "cloud:1";
@@ -167,7 +167,7 @@
     nodes_[n].controller->start();
 }
 
-void World::crash(std::size_t n, Millis back_after) {
+void Simulation::crash(std::size_t n, Millis back_after) {
     if (!nodes_[n].controller) return;
     nodes_[n].controller.reset();
     nodes_[n].port.reset();
@@ -176,12 +176,12 @@
     at(now_ + back_after, [this, n] { boot(n); });
 }
 
-void World::change_version(std::size_t n, bool current, Millis back_after) {
+void Simulation::change_version(std::size_t n, bool current, Millis back_after) {
     nodes_[n].current = current;
     crash(n, back_after);
 }
 
-std::optional<std::size_t> World::leader() const {
+std::optional<std::size_t> Simulation::leader() const {
     std::optional<std::size_t> best;
     std::uint64_t token = 0;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -196,29 +196,31 @@
 
 // ---- network ----
 
-void World::cut(const std::string& a, const std::string& b, Millis for_ms, bool hold, bool refuse) {
+void Simulation::cut(const std::string& a, const std::string& b, Millis for_ms, bool hold,
+                     bool refuse) {
     cuts_.push_back({a, b, now_ + for_ms, hold, refuse});
     trouble_until(now_ + for_ms);
 }
 
-void World::freeze(std::size_t node, Millis for_ms) {
+void Simulation::freeze(std::size_t node, Millis for_ms) {
     if (!nodes_[node].port) return;
     nodes_[node].port->freeze(now_ + for_ms);
     trouble_until(now_ + for_ms);
 }
 
-void World::refuse_node(std::size_t node, Millis for_ms) {
+void Simulation::refuse_node(std::size_t node, Millis for_ms) {
     refused_until_[node] = now_ + for_ms;
     trouble_until(now_ + for_ms);
 }
 
-void World::deafen(Worker& worker, Millis for_ms, bool held) {
+void Simulation::deafen(Worker& worker, Millis for_ms, bool held) {
     worker.deaf_until = now_ + for_ms;
     worker.deaf_held = held;
     trouble_until(now_ + for_ms);
 }
 
-void World::cut_zone(const std::string& zone, const std::string& other, Millis for_ms, bool hold) {
+void Simulation::cut_zone(const std::string& zone, const std::string& other, Millis for_ms,
+                          bool hold) {
     std::vector<std::string> here;
     std::vector<std::string> there;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -231,12 +233,12 @@
     }
 }
 
-void World::isolate(std::size_t node, Millis for_ms, bool hold, bool refuse) {
+void Simulation::isolate(std::size_t node, Millis for_ms, bool hold, bool refuse) {
     cut(node_name(node), "state", for_ms, hold, refuse);
     cut(node_name(node), "n", for_ms, hold, refuse);
 }
 
-const World::Cut* World::cut_between(const std::string& a, const std::string& b) const {
+const Simulation::Cut* Simulation::cut_between(const std::string& a, const std::string& b) const {
     for (const auto& c : cuts_) {
         if (c.until <= now_) continue;
         if ((a.starts_with(c.a) && b.starts_with(c.b)) ||
@@ -247,8 +249,8 @@
     return nullptr;
 }
 
-void World::carry(const std::string& from, const std::string& to, Millis extra,
-                  std::function<void()> deliver, std::function<void()> reset) {
+void Simulation::carry(const std::string& from, const std::string& to, Millis extra,
+                       std::function<void()> deliver, std::function<void()> reset) {
     if (const auto* c = cut_between(from, to)) {
         if (c->hold) {
             at(c->until + 1 + static_cast<Millis>(dice(5)), std::move(deliver));
@@ -263,8 +265,8 @@
     at(now_ + 1 + static_cast<Millis>(dice(4)) + extra, std::move(deliver));
 }
 
-void World::call(const std::string& from, const std::string& to, net::HttpRequest request,
-                 Millis deadline, net::OnReply on_reply) {
+void Simulation::call(const std::string& from, const std::string& to, net::HttpRequest request,
+                      Millis deadline, net::OnReply on_reply) {
     auto open = std::make_shared<net::OnReply>(std::move(on_reply));
     const auto finish = [open](net::HttpReply reply) {
         if (!*open) return;
@@ -315,9 +317,9 @@
 
 // The question for a peer's version is asked again until it is answered, so nothing is lost by
 // lateness or loss. It draws no chance: the days of seeds from before it play as they did.
-void World::ask_version(const std::string& from, const std::string& host,
-                        const net::HttpRequest& request,
-                        const std::function<void(net::HttpReply)>& finish) {
+void Simulation::ask_version(const std::string& from, const std::string& host,
+                             const net::HttpRequest& request,
+                             const std::function<void(net::HttpReply)>& finish) {
     if (cut_between(from, host) != nullptr) return;
     at(now_ + 2, [this, host, request, finish] {
         const auto& node = nodes_[static_cast<std::size_t>(host[1] - '0')];
@@ -328,8 +330,8 @@
     });
 }
 
-void World::serve(const std::string& from, const std::string& to, const net::HttpRequest& request,
-                  Millis sent, net::Respond respond) {
+void Simulation::serve(const std::string& from, const std::string& to,
+                       const net::HttpRequest& request, Millis sent, net::Respond respond) {
     const auto host = host_of(to);
     if (host == "state" && now_ < slow_until_) {
         at(now_ + slow_by_ / 2 + static_cast<Millis>(dice(static_cast<std::uint64_t>(slow_by_))),
@@ -354,7 +356,7 @@
             });
             return;
         }
-        if (options_.old_siblings && request.target.starts_with("/peer/cancel")) {
+        if (options_.old_peers && request.target.starts_with("/peer/cancel")) {
             return respond({404, ""});
         }
         if (to.ends_with(":2")) return node.controller->handle_peer(request, std::move(respond));
@@ -378,23 +380,23 @@
     serve_worker(worker, request, sent, respond);
 }
 
-void World::repeat(const std::string& from, const std::string& to, const net::HttpRequest& request,
-                   Millis late) {
+void Simulation::repeat(const std::string& from, const std::string& to,
+                        const net::HttpRequest& request, Millis late) {
     at(now_ + late, [this, from, to, request, sent = now_] {
         serve(host_of(from), to, request, sent, [](const net::HttpResponse&) {});
     });
 }
 
-void World::repeat_direct() {
+void Simulation::repeat_direct() {
     for (const auto& [to, request] : direct_kept_) repeat("n0", to, request, 1);
 }
 
-void World::throw_at(std::size_t node, net::HttpRequest request) {
+void Simulation::throw_at(std::size_t node, net::HttpRequest request) {
     call("user", node_name(node) + ":1", std::move(request), 2000,
          [this](const net::HttpReply& reply) { thrown_answered_ += reply.status != 0 ? 1 : 0; });
 }
 
-net::HttpReply World::ask(std::size_t node, net::HttpRequest request, Millis wait_ms) {
+net::HttpReply Simulation::ask(std::size_t node, net::HttpRequest request, Millis wait_ms) {
     std::optional<net::HttpReply> out;
     call("user", node_name(node) + ":1", std::move(request), wait_ms,
          [&](net::HttpReply reply) { out = std::move(reply); });
@@ -403,7 +405,7 @@
     return out.value_or(net::HttpReply{});
 }
 
-void World::tick() {
+void Simulation::tick() {
     for (auto& [id, grant] : grants_) {
         // Leases do not run out during an outage and have their full time again after it.
         if (now_ < outage_until_)
@@ -433,7 +435,7 @@
     at(now_ + 100, [this] { tick(); });
 }
 
-void World::note_settled() {
+void Simulation::note_settled() {
     const auto leads = leader();
     const auto token = leads ? nodes_[*leads].controller->token() : 0;
     const bool cut =
@@ -447,4 +449,4 @@
     settled_token_ = token;
 }
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/standin/world.h
+++ b/tests/simulation/world.h
@@ -16,7 +16,7 @@
 
 // The region in virtual time: state service, cloud, workers, users and the network between them,
 // as the protocol page describes them, with a checker of the protocol's rules.
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 
 using core::Millis;
 
@@ -128,7 +128,7 @@
     // leader that is cut off from everything may send one as long as its grant lasts.
     Millis late_start_ms = 3500;
     bool even_zones = false;    // of the first machines, or else one of them is in zone a
-    bool old_siblings = false;  // none knows the messages about cancellations
+    bool old_peers = false;  // none knows the messages about cancellations
     bool old_version = false;   // controllers begin as the version before services, see upgrade()
     control::NextStateLimits next;  // in the settings; in force from limit_state() on
     core::Guards guards;            // broken variants switch one off
@@ -136,10 +136,10 @@
     std::vector<core::Team> teams;
 };
 
-class World {
+class Simulation {
   public:
-    explicit World(Options options);
-    ~World();
+    explicit Simulation(Options options);
+    ~Simulation();
 
     // Runs to the end; the first broken rule, or an empty text.
     std::string run();
@@ -294,7 +294,7 @@
     void tick();
     void worker_tick(Worker& worker);
     void beat(Worker& worker);
-    void orders(Worker& worker, const std::string& body, Millis sent);
+    void commands(Worker& worker, const std::string& body, Millis sent);
     std::string report(Worker& worker);
     void start_task(Worker& worker, const std::string& name, std::uint64_t attempt, Millis sent);
     void halt_task(Worker& worker, const std::string& name, std::uint64_t attempt, double grace);
@@ -395,4 +395,4 @@
 // A job with its parts drawn at random.
 Job random_job(std::mt19937_64& rng, std::size_t number, Millis busy_ms);
 
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <numeric>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 constexpr Millis kRollBegins = 8000;
@@ -18,7 +18,7 @@
 control::NextStateLimits smallest_limits() { return {std::nullopt, 8.0, 1.0, 2}; }
 
 // Arrays and gangs whose records exceed the limits to come, of one and of two records.
-void add_large_jobs(World& world, std::mt19937_64& rng, Millis busy_ms) {
+void add_large_jobs(Simulation& world, std::mt19937_64& rng, Millis busy_ms) {
     for (std::size_t n = 0; n < 8; ++n) {
         auto job = plain(numbered(500'000 + n), 0, 3 + static_cast<double>(rng() % 10),
                          static_cast<Millis>(rng() % static_cast<std::uint64_t>(busy_ms)));
@@ -31,7 +31,7 @@
     }
 }
 
-void add_services(World& world, std::mt19937_64& rng, Millis from, Millis until) {
+void add_services(Simulation& world, std::mt19937_64& rng, Millis from, Millis until) {
     for (std::size_t n = 0; n < 4; ++n) {
         const auto at =
             from + static_cast<Millis>(rng() % static_cast<std::uint64_t>(until - from));
@@ -55,7 +55,7 @@
 }
 
 // Every controller has its turn, in any order, with pauses of any length.
-void roll(World& world, std::mt19937_64& rng, std::size_t nodes, bool back = false) {
+void roll(Simulation& world, std::mt19937_64& rng, std::size_t nodes, bool back = false) {
     std::vector<std::size_t> order(nodes);
     std::iota(order.begin(), order.end(), 0);
     std::shuffle(order.begin(), order.end(), rng);
@@ -73,7 +73,7 @@
 TEST_P(UpgradeDay, KeepsTheRules) {
     for (std::uint64_t i = 0; i < 12; ++i) {
         const auto seed = static_cast<std::uint64_t>(GetParam()) * 100 + i;
-        World world(upgrade_day(seed));
+        Simulation world(upgrade_day(seed));
         std::mt19937_64 rng(seed);
         add_large_jobs(world, rng, 100'000);
         add_services(world, rng, kRollEnds + 10'000, 100'000);
@@ -94,7 +94,7 @@
     for (std::uint64_t i = 0; i < 10; ++i) {
         const auto seed = 5000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
         const auto options = upgrade_day(seed);
-        World world(options);
+        Simulation world(options);
         std::mt19937_64 rng(seed);
         add_large_jobs(world, rng, 100'000);
         for (std::size_t n = 0; n < options.nodes / 2 + i % 2; ++n) {
@@ -116,7 +116,7 @@
     for (std::uint64_t seed = 7000; seed < 7016; ++seed) {
         auto options = upgrade_day(seed);
         options.old_version = false;
-        World world(options);
+        Simulation world(options);
         std::mt19937_64 rng(seed);
         add_large_jobs(world, rng, 100'000);
         roll(world, rng, options.nodes, true);
@@ -145,7 +145,7 @@
         auto options = upgrade_day(seed);
         options.guards.stable_layout = false;
         options.next = {std::nullopt, std::nullopt, 1.0, std::nullopt};
-        World world(options);
+        Simulation world(options);
         std::mt19937_64 rng(seed);
         add_large_jobs(world, rng, 60'000);
         roll(world, rng, options.nodes);
@@ -166,7 +166,7 @@
 // The limits fall in the middle of each kind of write.
 struct Moment {
     const char* name;
-    std::function<void(World&)> bring;
+    std::function<void(Simulation&)> bring;
 };
 
 class LimitsFall : public ::testing::TestWithParam<Moment> {};
@@ -177,7 +177,7 @@
         options.old_version = false;
         options.faults = false;
         options.next = seed % 2 == 0 ? smallest_limits() : small_limits();
-        World world(options);
+        Simulation world(options);
         std::mt19937_64 rng(seed);
         add_large_jobs(world, rng, 60'000);
         add_services(world, rng, 1000, 60'000);
@@ -187,40 +187,40 @@
     }
 }
 
-void crash_leader(World& world) {
+void crash_leader(Simulation& world) {
     if (const auto leader = world.leader()) world.crash(*leader, 2000);
 }
 
 std::vector<Moment> moments() {
     return {
-        {"WhileJobsArrive", [](World& w) { w.at(20'000, [&w] { w.limit_state(); }); }},
+        {"WhileJobsArrive", [](Simulation& w) { w.at(20'000, [&w] { w.limit_state(); }); }},
         {"InAnElection",
-         [](World& w) {
+         [](Simulation& w) {
              w.at(20'000, [&w] { crash_leader(w); });
              w.at(22'500, [&w] { w.limit_state(); });
          }},
         {"InATakeOver",
-         [](World& w) {
+         [](Simulation& w) {
              w.at(20'000, [&w] { crash_leader(w); });
              w.at(23'300, [&w] { w.limit_state(); });
          }},
         {"InAnOutage",
-         [](World& w) {
+         [](Simulation& w) {
              w.at(20'000, [&w] { w.state_outage(9000); });
              w.at(25'000, [&w] { w.limit_state(); });
          }},
         {"WhileJobsAreCancelled",
-         [](World& w) {
+         [](Simulation& w) {
              w.at(20'000, [&w] { w.limit_state(); });
              for (Millis t = 19'000; t < 24'000; t += 500) w.at(t, [&w] { w.cancel_now(1, 0); });
          }},
         {"WhileWritesComeLate",
-         [](World& w) {
+         [](Simulation& w) {
              w.at(15'000, [&w] { w.late_writes(0.3, 15'000); });
              w.at(20'000, [&w] { w.limit_state(); });
          }},
         {"BeforeTheControllersKnowEachOther",
-         [](World& w) { w.at(300, [&w] { w.limit_state(); }); }},
+         [](Simulation& w) { w.at(300, [&w] { w.limit_state(); }); }},
     };
 }
 
@@ -234,7 +234,7 @@
     options.old_version = true;
     options.next = smallest_limits();
     options.machines = 12;
-    World world(options);
+    Simulation world(options);
     auto job = plain("job-000001", 90, 25, 1000);
     job.cpus = 0.5;
     world.jobs().push_back(job);
@@ -252,4 +252,4 @@
 }
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,9 +1,9 @@
 // The users' interface as a new user would try it, bad input included.
 #include <gtest/gtest.h>
 
-#include "standin/world.h"
+#include "simulation/world.h"
 
-namespace lichendrift::standin {
+namespace lichendrift::simulation {
 namespace {
 
 std::string submission(const std::string& change_from = "", const std::string& change_to = "") {
@@ -36,7 +36,7 @@
     net::HttpReply get(const std::string& target, std::size_t node = 1) {
         return world_.ask(node, {"GET", target, ""});
     }
-    World world_;
+    Simulation world_;
 };
 
 TEST_F(UserApi, AcceptsOnceAndKnowsRetries) {
@@ -188,4 +188,4 @@
 }
 
 }  // namespace
-}  // namespace lichendrift::standin
+}  // namespace lichendrift::simulation
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -52,23 +52,23 @@
             EXPECT_LE(r->tasks.size(), 2U);
         }
     }
-    EXPECT_FALSE(decode_beat_answer("\x83\x01\x02\x03"));
+    EXPECT_FALSE(decode_heartbeat_answer("\x83\x01\x02\x03"));
     EXPECT_FALSE(decode_announcement(""));
 }
 
 TEST(Json, RecordsSurviveTheStore) {
-    core::PlaceRecord record;
+    core::PlacementRecord record;
     record.term = 7;
     record.nonce = 9;
     record.placed.push_back({4, 70'000'001, "host-000002", 2});
     record.done = {{0, 3}, {5, 5}};
-    const auto back = parse_place_value(place_value(record));
+    const auto back = parse_placement_value(placement_value(record));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->placed, record.placed);
     EXPECT_EQ(back->done, record.done);
     EXPECT_EQ(back->nonce, 9U);
-    EXPECT_FALSE(parse_place_value(R"({"t":1,"n":1,"p":[[1,2,3,4]]})"));
-    EXPECT_FALSE(parse_place_value("{}"));
+    EXPECT_FALSE(parse_placement_value(R"({"t":1,"n":1,"p":[[1,2,3,4]]})"));
+    EXPECT_FALSE(parse_placement_value("{}"));
 }
 
 TEST(Cbor, CancellationsAndQuestionsAboutThem) {
