--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -79,6 +79,12 @@
     EXPECT_EQ(s.state_txn_ops, 12U);
 }
 
+TEST_F(SettingsFile, SampleThatTheRepositoryShipsIsGood) {
+    const auto loaded = load_settings(LICHENDRIFT_SAMPLE_SETTINGS);
+    const auto* problems = std::get_if<Problems>(&loaded);
+    EXPECT_EQ(problems, nullptr) << (problems == nullptr ? "" : problems->front());
+}
+
 TEST_F(SettingsFile, ProblemsNameTheKey) {
     const std::tuple<const char*, const char*, const char*> cases[] = {
         {"member = \"m-0\"\n", "", "member: is missing"},
