--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -25,6 +25,7 @@
         }
     }
     check_duty_change(key, value);
+    trace("store", key, "", value, static_cast<std::int64_t>(revision_));
     if (value.empty()) {
         store_.erase(key);
         key_grant_.erase(key);
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -21,6 +21,9 @@
     std::uint64_t random() override { return world_.rng_(); }
     void call(const std::string& address, net::HttpRequest request, Millis deadline,
               net::OnReply on_reply) override {
+        world_.trace("request", node_name(node_) + ">" + address,
+                     request.method + " " + request.target, request.body, deadline);
+        world_.trace("bound", node_name(node_), "", "", request.not_after);
         world_.call(node_name(node_), address, std::move(request), deadline,
                     guard(std::move(on_reply)));
     }
@@ -57,6 +60,8 @@
     net::OnReply guard(net::OnReply fn) {
         return [this, fn = std::move(fn), alive = std::weak_ptr<bool>(alive_)](net::HttpReply got) {
             if (alive.expired()) return;
+            world_.trace("reply", node_name(node_), got.sent ? "sent" : "unsent", got.body,
+                         got.status);
             if (frozen_until_ <= world_.now_) return fn(std::move(got));
             fire(frozen_until_, [fn, got = std::move(got)] { fn(got); });
         };
@@ -70,6 +75,8 @@
 };
 
 Simulation::Simulation(Options options) : options_(std::move(options)), rng_(options_.seed) {
+    // Controllers that are processes of their own run in real time.
+    if (Trace::reporter() && !options_.external) trace_ = std::make_unique<Trace>();
     nodes_.resize(options_.nodes);
     for (auto& node : nodes_) node.current = !options_.old_version;
     refused_until_.resize(options_.nodes);
@@ -88,7 +95,15 @@
     if (options_.faults) at(4000, [this] { fault(); });
 }
 
-Simulation::~Simulation() = default;
+Simulation::~Simulation() {
+    if (!trace_) return;
+    Trace::reporter()({options_.seed, options_.nodes, trace_->events(), trace_->digest()});
+}
+
+void Simulation::trace(std::string_view kind, std::string_view peer, std::string_view target,
+                       std::string_view body, std::int64_t number) {
+    if (trace_) trace_->add(now_, kind, peer, target, body, number);
+}
 
 void Simulation::at(Millis when, std::function<void()> fn) {
     events_.push({std::max(when, now_), ++event_number_, std::move(fn)});
@@ -382,8 +397,15 @@
         if (options_.old_peers && request.target.starts_with("/peer/cancel")) {
             return respond({404, ""});
         }
-        if (to.ends_with(":2")) return node.controller->handle_peer(request, std::move(respond));
-        return node.controller->handle(request, std::move(respond));
+        trace("served", from + ">" + to, request.method + " " + request.target, request.body);
+        const auto traced = [this, to, respond = std::move(respond)](net::HttpResponse response) {
+            const auto headers = std::to_string(response.retry_after_s) +
+                                 (response.close ? " close" : "") + (response.cbor ? " cbor" : "");
+            trace("response", to, headers, response.body, response.status);
+            respond(std::move(response));
+        };
+        if (to.ends_with(":2")) return node.controller->handle_peer(request, traced);
+        return node.controller->handle(request, traced);
     }
     auto it = workers_.find(host);
     if (it == workers_.end() || it->second.gone || !it->second.up) return;
--- a/tests/simulation/world.h
+++ b/tests/simulation/world.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "control/controller.h"
+#include "simulation/trace.h"
 
 // The region in virtual time: state service, cloud, workers, users and the network between them,
 // as the protocol page describes them, with a checker of the protocol's rules.
@@ -356,7 +357,12 @@
     std::uint64_t dice(std::uint64_t n) { return rng_() % n; }
     bool chance(double p) { return static_cast<double>(rng_() % 1'000'000) < p * 1e6; }
 
+    // One event of the trace, if one is kept.
+    void trace(std::string_view kind, std::string_view peer, std::string_view target,
+               std::string_view body, std::int64_t number = 0);
+
     Options options_;
+    std::unique_ptr<Trace> trace_;  // none unless digests are wanted
     std::mt19937_64 rng_;
     Millis now_ = 0;
     std::uint64_t event_number_ = 0;
