--- a/src/cli/features.cpp
+++ b/src/cli/features.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr double kLeastCleanupPage = 1;
-constexpr double kMostCleanupPage = 3600;
+constexpr double kMinCleanupPage = 1;
+constexpr double kMaxCleanupPage = 3600;
 
 // What a key does with its value; the text of a problem, or nothing.
 using ReadKey = std::function<std::string(const toml::node&)>;
@@ -39,7 +39,7 @@
 
 std::string read_page_time(const toml::node& node, double& out) {
     const auto value = node.is_number() ? *node.value<double>() : std::nan("");
-    if (!(value >= kLeastCleanupPage && value <= kMostCleanupPage)) {
+    if (!(value >= kMinCleanupPage && value <= kMaxCleanupPage)) {
         return "expected a number from 1 to 3600";
     }
     out = value;
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -25,8 +25,8 @@
 
 namespace {
 
-constexpr std::size_t kMostBody = std::size_t{64} << 10;
-constexpr std::size_t kMostPeerBody = std::size_t{1} << 20;
+constexpr std::size_t kMaxBody = std::size_t{64} << 10;
+constexpr std::size_t kMaxPeerBody = std::size_t{1} << 20;
 
 // The planner's own thread: trial placement never delays an answer by more than a turn.
 class PlannerThread {
@@ -147,18 +147,18 @@
     set_log_context("member=" + settings.member + " role=starting token=0");
     net::EventLoop loop;
     net::SocketBudget budget;
-    budget.most = settings.max_connections > 40 ? settings.max_connections - 20 : 20;
+    budget.max_sockets = settings.max_connections > 40 ? settings.max_connections - 20 : 20;
     net::HttpClient client(loop, budget);
     DaemonPort port(loop, client);
     control::Controller controller(port, settings);
     net::HttpServer users(
-        loop, budget, kMostBody, budget.most * 7 / 10,
+        loop, budget, kMaxBody, budget.max_sockets * 7 / 10,
         [&](const net::HttpRequest& request, net::Respond respond) {
             controller.handle(request, std::move(respond));
         },
         control::Controller::can_wait);
     net::HttpServer peers(
-        loop, budget, kMostPeerBody, budget.most / 10 + 4,
+        loop, budget, kMaxPeerBody, budget.max_sockets / 10 + 4,
         [&](const net::HttpRequest& request, net::Respond respond) {
             controller.handle_peer(request, std::move(respond));
         },
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr double kMost = 1e9;  // of any amount; more can only be a slip, and would overflow later
-constexpr std::size_t kLeastNextOperations = 2;
-constexpr std::size_t kLeastSockets = 40;  // what the process itself, its peers and region need
+constexpr double kMax = 1e9;  // of any amount; more can only be a slip, and would overflow later
+constexpr std::size_t kMinNextOperations = 2;
+constexpr std::size_t kMinSockets = 40;  // what the process itself, its peers and region need
 
 class Reader {
   public:
@@ -39,16 +39,16 @@
         }
     }
 
-    void number(const toml::table& t, const std::string& path, const char* key, double least,
+    void number(const toml::table& t, const std::string& path, const char* key, double minimum,
                 double& out) {
         const auto* node = find(t, path, key);
         if (node == nullptr) return;
         auto value = node->value<double>();
         if (!node->is_number() || !value) return bad(path, key, "expected a number");
-        if (!std::isfinite(*value) || *value < least) {
-            return bad(path, key, "expected a number of at least " + trim(least));
+        if (!std::isfinite(*value) || *value < minimum) {
+            return bad(path, key, "expected a number of at least " + trim(minimum));
         }
-        if (*value > kMost) return bad(path, key, "expected a number of at most " + trim(kMost));
+        if (*value > kMax) return bad(path, key, "expected a number of at most " + trim(kMax));
         out = *value;
     }
 
@@ -58,8 +58,8 @@
         if (!node->is_integer() || *node->value<std::int64_t>() < 1) {
             return bad(path, key, "expected a whole number of at least 1");
         }
-        if (*node->value<std::int64_t>() > static_cast<std::int64_t>(kMost)) {
-            return bad(path, key, "expected a whole number of at most " + trim(kMost));
+        if (*node->value<std::int64_t>() > static_cast<std::int64_t>(kMax)) {
+            return bad(path, key, "expected a whole number of at most " + trim(kMax));
         }
         out = static_cast<std::size_t>(*node->value<std::int64_t>());
     }
@@ -137,11 +137,11 @@
     std::size_t ops = 0;
     in.count(*table, path, "txn_ops", ops);
     // The leader's mark and its token change together, as do a job and its terminal state.
-    if (ops < kLeastNextOperations) {
+    if (ops < kMinNextOperations) {
         in.bad(path, "txn_ops",
-               "expected a whole number of at least " + std::to_string(kLeastNextOperations));
+               "expected a whole number of at least " + std::to_string(kMinNextOperations));
     }
-    next.txn_ops = ops;
+    next.transaction_operations = ops;
 }
 
 // The tables below [settings].
@@ -222,8 +222,8 @@
         in.number(*st, "settings.state", "rps", 1, s.state_rps);
         in.number(*st, "settings.state", "write_rps", 1, s.state_write_rps);
         in.number(*st, "settings.state", "value_kb", 1, s.state_value_kb);
-        in.count(*st, "settings.state", "txn_ops", s.state_txn_ops);
-        if (s.state_txn_ops < 3) {
+        in.count(*st, "settings.state", "txn_ops", s.state_transaction_operations);
+        if (s.state_transaction_operations < 3) {
             in.bad("settings.state", "txn_ops", "expected a whole number of at least 3");
         }
         if (st->contains("next")) read_next_limits(in, *st, s.state_next);
@@ -242,9 +242,9 @@
         if (r->contains("mem_mb")) in.number(*r, "settings.resources", "mem_mb", 1, s.mem_mb);
         if (r->contains("max_connections")) {
             in.count(*r, "settings.resources", "max_connections", s.max_connections);
-            if (s.max_connections < kLeastSockets) {
+            if (s.max_connections < kMinSockets) {
                 in.bad("settings.resources", "max_connections",
-                       "expected at least " + std::to_string(kLeastSockets));
+                       "expected at least " + std::to_string(kMinSockets));
             }
         }
     }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr Millis kTimeout = 4000;
-constexpr std::size_t kMostListed = 100'000;  // only bounds the memory that a broken list takes
-constexpr std::size_t kPageMachines = 500;    // the protocol's limit
-constexpr int kMostPageTries = 40;
+constexpr std::size_t kMaxListed = 100'000;  // only bounds the memory that a broken list takes
+constexpr std::size_t kPageMachines = 500;   // the protocol's limit
+constexpr int kMaxPageTries = 40;
 constexpr Millis kPagePause = 250;
 
 Answer answer_of(const net::HttpReply& reply) {
     if (reply.status == 200) return Answer::Ok;
     if (reply.status == 503 && wire::is_no_capacity(reply.body)) return Answer::NoCapacity;
     if (reply.status == 409) return Answer::Stale;
-    return reply.status == 0 && reply.sent ? Answer::NoAnswer : Answer::Trouble;
+    return reply.status == 0 && reply.sent ? Answer::NoAnswer : Answer::Unavailable;
 }
 
 }  // namespace
@@ -45,24 +45,24 @@
          [this, done = std::move(done)](const net::HttpReply& reply) {
              if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
              auto types = wire::parse_types(reply.body);
-             if (!types) return malformed_.note(port_.now()), done(Answer::Trouble, {});
+             if (!types) return malformed_.note(port_.now()), done(Answer::Unavailable, {});
              done(Answer::Ok, std::move(*types));
          });
 }
 
-void CloudClient::rent(const duty::FencedRental& rental, OnRented done) {
-    call(
-        {"POST", "/rentals", wire::rental_body(rental.order(), rental.epoch()), rental.not_after()},
-        kTimeout, [this, done = std::move(done)](const net::HttpReply& reply) {
-            if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
-            auto names = wire::parse_rented(reply.body);
-            if (!names) return malformed_.note(port_.now()), done(Answer::NoAnswer, {});
-            done(Answer::Ok, std::move(*names));
-        });
+void CloudClient::provision(const duty::FencedProvision& provision, OnProvisioned done) {
+    call({"POST", "/rentals", wire::provision_body(provision.order(), provision.epoch()),
+          provision.not_after()},
+         kTimeout, [this, done = std::move(done)](const net::HttpReply& reply) {
+             if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
+             auto names = wire::parse_provisioned(reply.body);
+             if (!names) return malformed_.note(port_.now()), done(Answer::NoAnswer, {});
+             done(Answer::Ok, std::move(*names));
+         });
 }
 
-void CloudClient::give_back(const duty::FencedRelease& release, OnDone done) {
-    call({"POST", "/rentals/return", wire::return_body(release.machines(), release.epoch()),
+void CloudClient::release(const duty::FencedRelease& release, OnDone done) {
+    call({"POST", "/rentals/return", wire::release_body(release.machines(), release.epoch()),
           release.not_after()},
          kTimeout,
          [done = std::move(done)](const net::HttpReply& reply) { done(answer_of(reply)); });
@@ -71,7 +71,7 @@
 void CloudClient::list(OnListing done) {
     auto listing = std::make_shared<Listing>();
     listing->done = std::move(done);
-    listing->tries_left = kMostPageTries;
+    listing->tries_left = kMaxPageTries;
     list_page(listing);
 }
 
@@ -94,13 +94,13 @@
              auto page =
                  answer_of(reply) == Answer::Ok ? wire::parse_listing(reply.body) : std::nullopt;
              if (!page && reply.status == 200) malformed_.note(port_.now());
-             if (!page) return listing->done(Answer::Trouble, std::move(listing->machines), {});
+             if (!page) return listing->done(Answer::Unavailable, std::move(listing->machines), {});
              const bool go_on =
                  page->more && !page->machines.empty() && page->machines.back().name > since;
              for (auto& m : page->machines) listing->machines.push_back(std::move(m));
-             if (go_on && listing->machines.size() < kMostListed) return list_page(listing);
+             if (go_on && listing->machines.size() < kMaxListed) return list_page(listing);
              // Cut short, it says nothing of those that it lacks.
-             if (go_on) return listing->done(Answer::Trouble, std::move(listing->machines), {});
+             if (go_on) return listing->done(Answer::Unavailable, std::move(listing->machines), {});
              std::set<std::string> names;
              for (const auto& m : listing->machines) names.insert(m.name);
              listing->done(Answer::Ok, std::move(listing->machines), std::move(names));
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -16,9 +16,9 @@
 enum class Answer : std::uint8_t {
     Ok,
     NoCapacity,
-    Trouble,   // certainly not executed
-    Stale,     // refused by a cloud that knows of a later holder of the duty
-    NoAnswer,  // may have been executed, or may still be
+    Unavailable,  // certainly not executed
+    Stale,        // refused by a cloud that knows of a later holder of the duty
+    NoAnswer,     // may have been executed, or may still be
 };
 
 // Client of the cloud: paced, every request with a deadline. Calls beyond the pace are refused
@@ -30,7 +30,7 @@
     void set_share(double share) { share_ = share; }
 
     using OnTypes = std::function<void(Answer, std::vector<core::MachineType>)>;
-    using OnRented = std::function<void(Answer, std::vector<std::string>)>;
+    using OnProvisioned = std::function<void(Answer, std::vector<std::string>)>;
     using OnDone = std::function<void(Answer)>;
     using OnListing =
         std::function<void(Answer, std::vector<core::ListedMachine>, std::set<std::string>)>;
@@ -38,8 +38,8 @@
     void types(OnTypes done);
     // Only a holder of the duty can make these requests. They leave before their `not_after` or
     // never.
-    void rent(const duty::FencedRental& rental, OnRented done);
-    void give_back(const duty::FencedRelease& release, OnDone done);
+    void provision(const duty::FencedProvision& provision, OnProvisioned done);
+    void release(const duty::FencedRelease& release, OnDone done);
     // Reads all pages; the answer is Ok only if every page came.
     void list(OnListing done);
 
--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -16,7 +16,7 @@
 constexpr Millis kClaimRetry = 500;
 constexpr Millis kLeaderStandsAfter = 60'000;  // if no follower takes the duty
 constexpr Millis kRoundPause = 300'000;
-constexpr std::size_t kMostJobs = 20;  // of a page, whose terminal states are read
+constexpr std::size_t kMaxJobs = 20;  // of a page, whose terminal states are read
 constexpr std::string_view kPlacements = "place/";
 constexpr std::string_view kHints = "images/";
 
@@ -52,7 +52,7 @@
         return;
     }
     if (!job_watcher_.loaded() || !store_.has_room_for(1)) return;
-    store_.get(store::Lane::Read, std::string(duty::kCleanupLeaseKey),
+    store_.get(store::RequestPriority::Read, std::string(duty::kCleanupLeaseKey),
                [this](store::Outcome outcome, const wire::Item&) {
                    if (outcome == store::Outcome::Ok) vacant_since_ = -1;
                    if (outcome != store::Outcome::Missing || claim_) return;
@@ -68,26 +68,26 @@
 }
 
 void Cleaner::ask_lease() {
-    store_.grant(kLease, [this](store::Outcome outcome, std::uint64_t grant, Millis sent) {
-        if (outcome == store::Outcome::Ok && !claim_ && !stopped_) take_lease(grant, sent);
+    store_.create_lease(kLease, [this](store::Outcome outcome, std::uint64_t lease, Millis sent) {
+        if (outcome == store::Outcome::Ok && !claim_ && !stopped_) take_lease(lease, sent);
     });
 }
 
-void Cleaner::take_lease(std::uint64_t grant, Millis sent) {
+void Cleaner::take_lease(std::uint64_t lease, Millis sent) {
     const std::string key(duty::kCleanupLeaseKey);
-    store_.txn(store::Lane::Read, {{key, 0}},
-               {{key, wire::leader_value({settings_.member, 0}), grant}},
-               [this, grant, sent](const store::TxnResult& result) {
-                   if (result.outcome == store::Outcome::Ok && !claim_ && !stopped_) {
-                       return won(grant, sent, result.revision);
-                   }
-                   store_.drop_grant(grant);
-               });
+    store_.transact(store::RequestPriority::Read, {{key, 0}},
+                    {{key, wire::leader_value({settings_.member, 0}), lease}},
+                    [this, lease, sent](const store::TransactionResult& result) {
+                        if (result.outcome == store::Outcome::Ok && !claim_ && !stopped_) {
+                            return won(lease, sent, result.revision);
+                        }
+                        store_.release_lease(lease);
+                    });
 }
 
-void Cleaner::won(std::uint64_t grant, Millis sent, std::uint64_t revision) {
+void Cleaner::won(std::uint64_t lease, Millis sent, std::uint64_t revision) {
     ++term_;
-    grant_ = grant;
+    lease_ = lease;
     valid_until_ = sent + kLease - kLeaseMargin;
     duty::Claim::Setup setup;
     setup.duty = duty::Duty::Cleanup;
@@ -116,7 +116,7 @@
 }
 
 void Cleaner::read_duty() {
-    store_.get(store::Lane::Read, duty::record_key(duty::Duty::Cleanup),
+    store_.get(store::RequestPriority::Read, duty::record_key(duty::Duty::Cleanup),
                [this, term = term_](store::Outcome outcome, const wire::Item& item) {
                    if (!claim_ || term != term_) return;
                    auto read = read_outcome(outcome);
@@ -127,7 +127,7 @@
                        lose("gives up");
                        return;
                    }
-                   claim_->on_read(read, record.value_or(duty::DutyRecord{}), item.rev);
+                   claim_->on_read(read, record.value_or(duty::DutyRecord{}), item.revision);
                    if (read == duty::ReadOutcome::Failed) {
                        port_.after(kClaimRetry, [this, term] {
                            if (term == term_) claim();
@@ -146,7 +146,7 @@
         });
         return;
     }
-    send_write(store_, store::Lane::Read, *write,
+    send_write(store_, store::RequestPriority::Read, *write,
                [this, term = term_](const duty::WriteResult& result) {
                    if (!claim_ || term != term_) return;
                    claim_->on_written(result);
@@ -161,14 +161,15 @@
     port_.after(kRenewEvery, [this, term = term_] {
         if (!claim_ || term != term_) return;
         renew();
-        store_.touch(grant_, [this, term](store::Outcome outcome, std::uint64_t, Millis sent) {
-            if (!claim_ || term != term_) return;
-            if (outcome == store::Outcome::Ok) {
-                valid_until_ = std::max(valid_until_, sent + kLease - kLeaseMargin);
-            } else if (outcome == store::Outcome::Missing) {
-                lose("lost");
-            }
-        });
+        store_.renew_lease(
+            lease_, [this, term](store::Outcome outcome, std::uint64_t, Millis sent) {
+                if (!claim_ || term != term_) return;
+                if (outcome == store::Outcome::Ok) {
+                    valid_until_ = std::max(valid_until_, sent + kLease - kLeaseMargin);
+                } else if (outcome == store::Outcome::Missing) {
+                    lose("lost");
+                }
+            });
     });
 }
 
@@ -184,7 +185,7 @@
 void Cleaner::hand_over() {
     if (!claim_) return;
     lose("hands over");
-    store_.drop_grant(grant_);
+    store_.release_lease(lease_);
 }
 
 void Cleaner::stop() {
@@ -221,7 +222,7 @@
 }
 
 void Cleaner::read_placements() {
-    store_.list(store::Lane::Read, std::string(kPlacements), placements_since_,
+    store_.list(store::RequestPriority::Read, std::string(kPlacements), placements_since_,
                 [this, term = term_](store::Outcome outcome, const wire::ItemPage& read) {
                     if (!claim_ || term != term_) return;
                     if (outcome != store::Outcome::Ok) return next_page_soon();
@@ -243,14 +244,14 @@
         if (job_watcher_.open(job) == nullptr) {
             const bool known =
                 std::find(page->jobs.begin(), page->jobs.end(), job) != page->jobs.end();
-            if (!known && page->jobs.size() >= kMostJobs) {
+            if (!known && page->jobs.size() >= kMaxJobs) {
                 whole = false;
                 break;
             }
             if (!known) page->jobs.push_back(job);
             const auto record = wire::parse_placement_value(item.value);
             page->entries.push_back(
-                {item.key, item.rev, record.has_value(), record && record->placed.empty()});
+                {item.key, item.revision, record.has_value(), record && record->placed.empty()});
         }
         placements_since_ = item.key;
     }
@@ -260,10 +261,10 @@
 
 void Cleaner::read_terminal_states(const std::shared_ptr<Page>& page, std::size_t at) {
     if (at >= page->jobs.size()) {
-        judge_placements(*page);
+        check_placements(*page);
         return next_page_soon();
     }
-    store_.get(store::Lane::Read, "over/" + page->jobs[at],
+    store_.get(store::RequestPriority::Read, "over/" + page->jobs[at],
                [this, term = term_, page, at](store::Outcome outcome, const wire::Item& item) {
                    if (!claim_ || term != term_) return;
                    const auto& id = page->jobs[at];
@@ -274,18 +275,18 @@
                        const auto over = wire::parse_over_value(id, item.value);
                        state = over && !over->job ? duty::JobState::OverNothingPlaced
                                                   : duty::JobState::OverMayBePlaced;
-                       page->proofs[id] = {item.key, item.rev};
+                       page->proofs[id] = {item.key, item.revision};
                    }
                    read_terminal_states(page, at + 1);
                });
 }
 
-void Cleaner::judge_placements(const Page& page) {
+void Cleaner::check_placements(const Page& page) {
     duty::RemovalPlan plan;
-    const auto most = store_.txn_ops();
+    const auto limit = store_.transaction_operations();
     for (const auto& entry : page.entries) {
         const auto id = job_of(entry.key);
-        const auto verdict = duty::judge(entry, page.states.at(id));
+        const auto verdict = duty::classify(entry, page.states.at(id));
         if (verdict == duty::Verdict::Suspicious) {
             ++suspicious_;
             host_.log_info("cleanup: " + entry.key + " belongs to no job, it is left in place");
@@ -296,21 +297,21 @@
         if (std::find(plan.proofs.begin(), plan.proofs.end(), proof) == plan.proofs.end()) {
             plan.proofs.push_back(proof);
         }
-        if (plan.records.size() < most) continue;
+        if (plan.records.size() < limit) continue;
         remove(std::exchange(plan, {}));
     }
     remove(std::move(plan));
 }
 
 void Cleaner::read_hints() {
-    store_.list(store::Lane::Read, std::string(kHints), "",
+    store_.list(store::RequestPriority::Read, std::string(kHints), "",
                 [this, term = term_](store::Outcome outcome, const wire::ItemPage& page) {
                     if (!claim_ || term != term_) return;
                     if (outcome != store::Outcome::Ok || page.items.empty()) return end_round();
                     std::vector<duty::HintEntry> hints;
                     for (const auto& item : page.items) {
                         const auto value = wire::parse_image_hints_value(item.value);
-                        duty::HintEntry entry{item.key, item.rev, value.has_value(), {}};
+                        duty::HintEntry entry{item.key, item.revision, value.has_value(), {}};
                         for (const auto& [machine, images] : value.value_or(wire::ImageHints{})) {
                             entry.machines.push_back(machine);
                         }
@@ -320,18 +321,18 @@
                                                     const std::vector<core::ListedMachine>&,
                                                     const std::set<std::string>& listed) {
                         if (!claim_ || term != term_) return;
-                        if (answer == cloud::Answer::Ok) judge_hints(hints, listed);
+                        if (answer == cloud::Answer::Ok) check_hints(hints, listed);
                         end_round();
                     });
                 });
 }
 
-void Cleaner::judge_hints(const std::vector<duty::HintEntry>& hints,
+void Cleaner::check_hints(const std::vector<duty::HintEntry>& hints,
                           const std::set<std::string>& listed) {
     duty::RemovalPlan plan;
     for (const auto& entry : hints) {
-        if (duty::judge(entry, listed) != duty::Verdict::Remove) continue;
-        if (plan.records.size() >= store_.txn_ops()) break;
+        if (duty::classify(entry, listed) != duty::Verdict::Remove) continue;
+        if (plan.records.size() >= store_.transaction_operations()) break;
         plan.records.push_back({entry.key, entry.revision});
     }
     remove(std::move(plan));
@@ -350,7 +351,7 @@
     const auto allowed = permit();
     if (!allowed || !allowed->fenced()) return;
     send_write(
-        store_, store::Lane::Read, duty::removal_write(*allowed, plan),
+        store_, store::RequestPriority::Read, duty::removal_write(*allowed, plan),
         [this, term = term_, first, count](const duty::WriteResult& result) {
             if (!claim_ || term != term_) return;
             if (result.outcome == duty::WriteOutcome::Written) {
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -49,8 +49,8 @@
     void look();
     [[nodiscard]] bool should_stand() const;
     void ask_lease();
-    void take_lease(std::uint64_t grant, Millis sent);
-    void won(std::uint64_t grant, Millis sent, std::uint64_t revision);
+    void take_lease(std::uint64_t lease, Millis sent);
+    void won(std::uint64_t lease, Millis sent, std::uint64_t revision);
     void claim();
     void read_duty();
     void write_duty();
@@ -63,9 +63,9 @@
     void read_placements();
     void choose_placements(const wire::ItemPage& read);
     void read_terminal_states(const std::shared_ptr<Page>& page, std::size_t at);
-    void judge_placements(const Page& page);
+    void check_placements(const Page& page);
     void read_hints();
-    void judge_hints(const std::vector<duty::HintEntry>& hints,
+    void check_hints(const std::vector<duty::HintEntry>& hints,
                      const std::set<std::string>& listed);
     void remove(duty::RemovalPlan plan);
     void end_round();
@@ -78,7 +78,7 @@
     CleanerHost& host_;
     std::optional<duty::Claim> claim_;
     std::uint64_t term_ = 0;  // of the lease; callbacks of earlier ones end
-    std::uint64_t grant_ = 0;
+    std::uint64_t lease_ = 0;
     Millis valid_until_ = 0;
     Millis vacant_since_ = -1;  // since when nobody was seen to hold the duty; -1: somebody does
     std::string placements_since_;
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kMostPassed = 100;
+constexpr int kMaxForwardedRequests = 100;
 constexpr Millis kPassDeadline = 1800;
 constexpr Millis kAloneFor = 2500;
 std::size_t bytes_of(double kilobytes) { return static_cast<std::size_t>(kilobytes * 1024); }
@@ -21,7 +21,8 @@
     return {s.state,
             std::min(s.state_rps, next.rps.value_or(s.state_rps)),
             std::min(s.state_write_rps, next.write_rps.value_or(s.state_write_rps)),
-            std::min(s.state_txn_ops, next.txn_ops.value_or(s.state_txn_ops)),
+            std::min(s.state_transaction_operations,
+                     next.transaction_operations.value_or(s.state_transaction_operations)),
             bytes_of(s.state_value_kb),
             bytes_of(next.value_kb.value_or(s.state_value_kb))};
 }
@@ -40,7 +41,8 @@
     outboxes_.resize(settings_.peers.size());
     peer_is_current_.resize(settings_.peers.size());
     peer_fences_.resize(settings_.peers.size());
-    job_watcher_.on_cancelled([this](const wire::Cancellation& word) { tell_cancelled(word); });
+    job_watcher_.on_cancelled(
+        [this](const wire::Cancellation& cancellation) { announce_cancelled(cancellation); });
 }
 
 Controller::~Controller() {
@@ -49,7 +51,8 @@
 
 void Controller::start() {
     log_info("started");
-    if (settings_.lease_s * 1000 + kVouchMargin + kLeastVouched >= settings_.cancel_s * 1000) {
+    if (settings_.lease_s * 1000 + kCancellationMargin + kMinRenewalTime >=
+        settings_.cancel_s * 1000) {
         log_info(
             "lease_s leaves no time below cancel_s: cut off for long, a leader may keep work "
             "that was cancelled elsewhere for longer than cancel_s");
@@ -104,15 +107,16 @@
         if (!job_watcher_.ever_loaded() && !leader_is_good()) {
             return respond({503, wire::error_body("not ready")});
         }
-        const bool deaf = known_.heard_at > 0 && port_.now() - known_.heard_at > kLeaderFresh;
-        if (!leader_ && store_.failing_for() > kAloneFor && deaf) {
+        const bool leader_silent = known_.last_announcement_at > 0 &&
+                                   port_.now() - known_.last_announcement_at > kLeaderFresh;
+        if (!leader_ && store_.failing_for() > kAloneFor && leader_silent) {
             return respond({503, wire::error_body("cut off")});
         }
         return respond({200, "{}"});
     }
     if (target == "/agent/beat") {
         if (request.method != "POST") return respond({405, wire::error_body("use POST")});
-        return beat(request.body, std::move(respond));
+        return on_heartbeat(request.body, std::move(respond));
     }
     if (!store_.responsive() && leader_is_good()) return pass_on(request, std::move(respond));
     users_.handle(request, std::move(respond));
@@ -120,7 +124,7 @@
 
 void Controller::pass_on(const net::HttpRequest& request, net::Respond respond) {
     const auto* leader = peer(known_.member);
-    if (leader == nullptr || passing_ >= kMostPassed) {
+    if (leader == nullptr || passing_ >= kMaxForwardedRequests) {
         return respond({503, wire::error_body("the state service does not answer"), 1});
     }
     ++passing_;
@@ -140,7 +144,8 @@
 }
 
 bool Controller::leader_is_good() const {
-    return !leader_ && known_.store_good && port_.now() - known_.heard_at < kLeaderFresh;
+    return !leader_ && known_.store_good &&
+           port_.now() - known_.last_announcement_at < kLeaderFresh;
 }
 
 const Peer* Controller::peer(const std::string& member) const {
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -38,9 +38,9 @@
     struct Known {  // the leader as far as known
         std::string member;
         std::uint64_t token = 0;
-        std::uint64_t rev = 0;
+        std::uint64_t revision = 0;
         bool store_good = false;  // by its own word
-        Millis heard_at = 0;
+        Millis last_announcement_at = 0;
         Millis seen_at = 0;  // when the state service showed it
     };
 
@@ -48,11 +48,11 @@
     void look();
     void looked(store::Outcome outcome, const wire::Item& item);
     void watch_leader(std::uint64_t since);
-    void campaign_soon(Millis least, std::uint64_t leader_rev);
-    void campaign(std::uint64_t leader_rev);
-    void stand(std::uint64_t grant, Millis sent, std::uint64_t leader_rev, std::uint64_t token,
-               std::uint64_t token_rev);
-    void won(std::uint64_t token, std::uint64_t rev, std::uint64_t grant, Millis sent);
+    void campaign_soon(Millis minimum, std::uint64_t leader_revision);
+    void campaign(std::uint64_t leader_revision);
+    void stand(std::uint64_t lease, Millis sent, std::uint64_t leader_revision, std::uint64_t token,
+               std::uint64_t token_revision);
+    void won(std::uint64_t token, std::uint64_t revision, std::uint64_t lease, Millis sent);
     void renew();
     void extend(Millis sent);
 
@@ -67,9 +67,9 @@
     void types_found(const std::vector<core::MachineType>& types) override;
     void counts_found(std::vector<wire::JobCounts> counts, bool all) override;
 
-    void beat(const std::string& body, net::Respond respond);
+    void on_heartbeat(const std::string& body, net::Respond respond);
     [[nodiscard]] bool leader_is_good() const;
-    [[nodiscard]] int most_forwards() const;
+    [[nodiscard]] int max_forwards() const;
     void pass_on(const net::HttpRequest& request, net::Respond respond);
     // Here if this controller leads, or else by the leader. `may_retry`: once more if the leader
     // changes.
@@ -101,7 +101,7 @@
     [[nodiscard]] bool has_features() const { return settings_.features.fenced_duties; }
     void announce(const std::vector<wire::JobCounts>& counts, bool all);
     // Cancellations that the state service does not tell this node of.
-    void tell_cancelled(const wire::Cancellation& word);
+    void announce_cancelled(const wire::Cancellation& cancellation);
     void send_cancelled(std::size_t peer);
     // Up to when this node surely knows every cancellation that any node has told.
     [[nodiscard]] Millis cancellations_known_at() const {
@@ -109,7 +109,7 @@
     }
     void watch_over_cancellations();
     void ask_for_cancellations();
-    void hear_cancelled(const wire::CancellationNews& news);
+    void on_cancellation_news(const wire::CancellationNews& news);
     [[nodiscard]] const Peer* peer(const std::string& member) const;
     [[nodiscard]] std::string prefix() const;
 
@@ -122,7 +122,7 @@
     Cleaner cleaner_;
     bool ending_ = false;  // has handed over and takes nothing up again
     std::shared_ptr<Leader> leader_;
-    std::uint64_t grant_ = 0;
+    std::uint64_t lease_ = 0;
     Millis valid_until_ = 0;
     bool campaigning_ = false;
     bool renewing_ = false;
--- a/src/control/controller_election.cpp
+++ b/src/control/controller_election.cpp
@@ -17,7 +17,7 @@
 void Controller::look() {
     if (ending_) return;
     const auto number = ++election_;
-    store_.get(store::Lane::Leadership, "leader",
+    store_.get(store::RequestPriority::Leadership, "leader",
                [this, number](store::Outcome outcome, const wire::Item& item) {
                    if (number == election_ && !leader_ && !campaigning_) looked(outcome, item);
                });
@@ -25,25 +25,26 @@
 
 void Controller::looked(store::Outcome outcome, const wire::Item& item) {
     if (outcome == store::Outcome::Missing) return campaign_soon(0, 0);
-    auto mark = outcome == store::Outcome::Ok ? wire::parse_leader_value(item.value) : std::nullopt;
-    if (!mark) {
+    auto leader_record =
+        outcome == store::Outcome::Ok ? wire::parse_leader_value(item.value) : std::nullopt;
+    if (!leader_record) {
         const auto number = election_;
         port_.after(300 + static_cast<Millis>(port_.random() % 200), [this, number] {
             if (number == election_ && !leader_) look();
         });
         return;
     }
-    known_ = {mark->member, mark->token, item.rev, false, 0, port_.now()};
-    highest_token_ = std::max(highest_token_, mark->token);
+    known_ = {leader_record->member, leader_record->token, item.revision, false, 0, port_.now()};
+    highest_token_ = std::max(highest_token_, leader_record->token);
     // Our own mark from before a restart: nobody else acts under it, so it need not run out.
-    if (mark->member == settings_.member) return campaign_soon(0, item.rev);
-    log_info("leader is " + mark->member);
-    watch_leader(item.rev);
+    if (leader_record->member == settings_.member) return campaign_soon(0, item.revision);
+    log_info("leader is " + leader_record->member);
+    watch_leader(item.revision);
 }
 
 void Controller::watch_leader(std::uint64_t since) {
     const auto number = election_;
-    store_.watch(store::Lane::Leadership, "leader", since, 10000,
+    store_.watch(store::RequestPriority::Leadership, "leader", since, 10000,
                  [this, number, since](store::Outcome outcome, const wire::ItemPage& page) {
                      if (number != election_ || leader_) return;
                      if (outcome != store::Outcome::Ok) return looked(store::Outcome::Unknown, {});
@@ -52,10 +53,16 @@
                      for (const auto& item : page.items) {
                          if (item.key != "leader") continue;
                          gone = item.value.empty();
-                         if (auto mark = wire::parse_leader_value(item.value); !gone && mark) {
-                             known_ = {mark->member, mark->token, item.rev, false, 0, port_.now()};
-                             highest_token_ = std::max(highest_token_, mark->token);
-                             log_info("leader is " + mark->member);
+                         if (auto leader_record = wire::parse_leader_value(item.value);
+                             !gone && leader_record) {
+                             known_ = {leader_record->member,
+                                       leader_record->token,
+                                       item.revision,
+                                       false,
+                                       0,
+                                       port_.now()};
+                             highest_token_ = std::max(highest_token_, leader_record->token);
+                             log_info("leader is " + leader_record->member);
                          }
                      }
                      if (gone) return campaign_soon(0, 0);
@@ -63,78 +70,80 @@
                  });
 }
 
-void Controller::campaign_soon(Millis least, std::uint64_t leader_rev) {
+void Controller::campaign_soon(Millis minimum, std::uint64_t leader_revision) {
     const auto number = ++election_;
     // A random wait keeps the nodes from standing at the same moment again and again.
-    const auto wait = least + static_cast<Millis>(port_.random() % 120);
-    port_.after(wait, [this, number, leader_rev] {
-        if (number == election_ && !leader_ && !campaigning_) campaign(leader_rev);
+    const auto wait = minimum + static_cast<Millis>(port_.random() % 120);
+    port_.after(wait, [this, number, leader_revision] {
+        if (number == election_ && !leader_ && !campaigning_) campaign(leader_revision);
     });
 }
 
-void Controller::campaign(std::uint64_t leader_rev) {
+void Controller::campaign(std::uint64_t leader_revision) {
     if (ending_) return;
     campaigning_ = true;
-    store_.get(store::Lane::Leadership, "token",
-               [this, leader_rev](store::Outcome outcome, const wire::Item& item) {
+    store_.get(store::RequestPriority::Leadership, "token",
+               [this, leader_revision](store::Outcome outcome, const wire::Item& item) {
                    std::uint64_t token = 0;
                    if (outcome == store::Outcome::Ok) {
-                       auto mark = wire::parse_leader_value(item.value);
-                       if (!mark) outcome = store::Outcome::Unknown;
-                       if (mark) token = mark->token;
+                       auto leader_record = wire::parse_leader_value(item.value);
+                       if (!leader_record) outcome = store::Outcome::Unknown;
+                       if (leader_record) token = leader_record->token;
                    }
                    if (outcome != store::Outcome::Ok && outcome != store::Outcome::Missing) {
                        campaigning_ = false;
                        return looked(store::Outcome::Unknown, {});
                    }
-                   const auto rev = outcome == store::Outcome::Ok ? item.rev : 0;
-                   store_.grant(
-                       kLeaderLease, [this, leader_rev, token, rev](
-                                         store::Outcome granted, std::uint64_t grant, Millis sent) {
-                           if (granted != store::Outcome::Ok) {
-                               campaigning_ = false;
-                               return looked(store::Outcome::Unknown, {});
-                           }
-                           // The next block of tokens; the key allocations the last one of a block.
-                           const auto highest = std::max(token, highest_token_);
-                           stand(grant, sent, leader_rev,
-                                 (highest / core::kTokensOfALead + 1) * core::kTokensOfALead, rev);
-                       });
+                   const auto revision = outcome == store::Outcome::Ok ? item.revision : 0;
+                   store_.create_lease(kLeaderLease, [this, leader_revision, token, revision](
+                                                         store::Outcome lease_outcome,
+                                                         std::uint64_t lease, Millis sent) {
+                       if (lease_outcome != store::Outcome::Ok) {
+                           campaigning_ = false;
+                           return looked(store::Outcome::Unknown, {});
+                       }
+                       // The next block of tokens; the key allocations the last one of a block.
+                       const auto highest = std::max(token, highest_token_);
+                       stand(lease, sent, leader_revision,
+                             (highest / core::kTokensOfALead + 1) * core::kTokensOfALead, revision);
+                   });
                });
 }
 
-void Controller::stand(std::uint64_t grant, Millis sent, std::uint64_t leader_rev,
-                       std::uint64_t token, std::uint64_t token_rev) {
+void Controller::stand(std::uint64_t lease, Millis sent, std::uint64_t leader_revision,
+                       std::uint64_t token, std::uint64_t token_revision) {
     const auto last = token + core::kTokensOfALead - 1;
-    store_.txn(store::Lane::Leadership, {{"leader", leader_rev}, {"token", token_rev}},
-               {{"leader", wire::leader_value({settings_.member, token}), grant},
-                {"token", wire::leader_value({settings_.member, last}), 0}},
-               [this, grant, sent, token](const store::TxnResult& result) {
-                   if (result.outcome == store::Outcome::Ok && !ending_) {
-                       campaigning_ = false;
-                       return won(token, result.revision, grant, sent);
-                   }
-                   // In doubt it is left to run out: taking it up again would need care that a
-                   // rare case does not earn. The mark is ours, so look() replaces it at once.
-                   store_.drop_grant(grant);
-                   campaigning_ = false;
-                   const auto number = ++election_;
-                   port_.after(50 + static_cast<Millis>(port_.random() % 150), [this, number] {
-                       if (number == election_ && !leader_) look();
-                   });
-               });
+    store_.transact(store::RequestPriority::Leadership,
+                    {{"leader", leader_revision}, {"token", token_revision}},
+                    {{"leader", wire::leader_value({settings_.member, token}), lease},
+                     {"token", wire::leader_value({settings_.member, last}), 0}},
+                    [this, lease, sent, token](const store::TransactionResult& result) {
+                        if (result.outcome == store::Outcome::Ok && !ending_) {
+                            campaigning_ = false;
+                            return won(token, result.revision, lease, sent);
+                        }
+                        // In doubt it is left to run out: taking it up again would need care that a
+                        // rare case does not earn. The mark is ours, so look() replaces it at once.
+                        store_.release_lease(lease);
+                        campaigning_ = false;
+                        const auto number = ++election_;
+                        port_.after(50 + static_cast<Millis>(port_.random() % 150), [this, number] {
+                            if (number == election_ && !leader_) look();
+                        });
+                    });
 }
 
-void Controller::won(std::uint64_t token, std::uint64_t rev, std::uint64_t grant, Millis sent) {
+void Controller::won(std::uint64_t token, std::uint64_t revision, std::uint64_t lease,
+                     Millis sent) {
     ++election_;
-    grant_ = grant;
-    known_ = {settings_.member, token, rev, false, 0, port_.now()};
+    lease_ = lease;
+    known_ = {settings_.member, token, revision, false, 0, port_.now()};
     highest_token_ = std::max(highest_token_, token);
     store_.set_share(kLeaderShare);
     cloud_.set_share(0.8);
     valid_until_ = sent + kLeaderLease - kLeaderLeaseMargin;
     leader_ = std::make_shared<Leader>(port_, settings_, store_, cloud_, job_watcher_,
-                                       static_cast<LeaderHost&>(*this), token, rev);
+                                       static_cast<LeaderHost&>(*this), token, revision);
     log_info("won the election");
     peers_know_at_ = 0;
     renewals_held_ = false;
@@ -151,12 +160,14 @@
         renew();
         if (renewing_) return;
         renewing_ = true;
-        store_.touch(grant_, [this, number](store::Outcome outcome, std::uint64_t, Millis sent) {
-            renewing_ = false;
-            if (number != election_ || !leader_) return;
-            if (outcome == store::Outcome::Ok) return extend(sent);
-            if (outcome == store::Outcome::Missing) step_down("the grant has run out");
-        });
+        store_.renew_lease(lease_,
+                           [this, number](store::Outcome outcome, std::uint64_t, Millis sent) {
+                               renewing_ = false;
+                               if (number != election_ || !leader_) return;
+                               if (outcome == store::Outcome::Ok) return extend(sent);
+                               if (outcome == store::Outcome::Missing)
+                                   step_down("the grant has run out");
+                           });
     });
 }
 
@@ -175,7 +186,7 @@
     // The leader may be the caller: it must live until its own call is over.
     port_.after(0, [old = std::move(leader_)] {});
     leader_.reset();
-    store_.drop_grant(grant_);
+    store_.release_lease(lease_);
     store_.set_share(follower_share(settings_));
     cloud_.set_share(0.1);
     known_ = {};
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr int kMostTellings = 4;  // of cancellations under way to one peer
-constexpr std::size_t kMostToTell = 1000;
-constexpr Millis kTellDeadline = 1500;
+constexpr int kMaxAnnouncementsInFlight = 4;  // of cancellations under way to one peer
+constexpr std::size_t kMaxQueuedAnnouncements = 1000;
+constexpr Millis kAnnounceDeadline = 1500;
 constexpr Millis kAskEvery = 500;  // the peers for cancellations, while the copy is old
 constexpr Millis kCopyIsOld = 1200;
-constexpr Millis kRunOnCopy = 1200;           // no run is sent on a copy that is older
-constexpr std::size_t kMostCancelled = 2000;  // in one answer
+constexpr Millis kRunOnCopy = 1200;          // no run is sent on a copy that is older
+constexpr std::size_t kMaxCancelled = 2000;  // in one answer
 constexpr Millis kVersionDeadline = 1500;
 constexpr Millis kAskVersionsEvery = 2000;
 
@@ -55,7 +55,7 @@
     if (!report) return refuse_malformed(respond);
     if (!leader_ && relayed) return pass_relayed(*report, respond);
     if (!leader_) return respond(peer_answer(503));
-    const auto answer = leader_->beat(*report);
+    const auto answer = leader_->on_heartbeat(*report);
     if (!answer) return respond(peer_answer(503));
     respond(peer_answer(200, wire::encode_heartbeat_answer(*answer)));
 }
@@ -76,7 +76,7 @@
 void Controller::on_cancellations(const std::string& body, const net::Respond& respond) {
     const auto news = wire::decode_cancellation_news(body);
     if (!news) return refuse_malformed(respond);
-    hear_cancelled(*news);
+    on_cancellation_news(*news);
     respond(peer_answer(200));
 }
 
@@ -84,9 +84,9 @@
     const auto since = wire::decode_cancellation_query(body);
     if (!since) return refuse_malformed(respond);
     wire::CancellationNews news{job_watcher_.cancellations_from(),
-                                job_watcher_.cancelled_after(*since, kMostCancelled)};
+                                job_watcher_.cancelled_after(*since, kMaxCancelled)};
     // Cut short, it says nothing of the rest.
-    if (news.cancelled.size() >= kMostCancelled) {
+    if (news.cancelled.size() >= kMaxCancelled) {
         news.from = std::numeric_limits<std::uint64_t>::max();
     }
     respond(peer_answer(200, wire::encode_cancellation_news(news)));
@@ -103,7 +103,7 @@
         known_.member = announcement->member;
         known_.token = announcement->token;
         known_.store_good = announcement->store_good;
-        known_.heard_at = port_.now();
+        known_.last_announcement_at = port_.now();
         users_.set_counts(announcement->counts, announcement->all);
     }
     respond(peer_answer(200));
@@ -189,31 +189,32 @@
 // A leader that the state service refuses alone goes on renewing the leases of its workers, while
 // another node tells users that jobs are cancelled. If then the state service is out for all, no
 // other leader can come: so the news goes from node to node as well.
-void Controller::tell_cancelled(const wire::Cancellation& word) {
-    if (!settings_.guards.cancels_told) return;
+void Controller::announce_cancelled(const wire::Cancellation& cancellation) {
+    if (!settings_.guards.cancellations_announced) return;
     for (std::size_t i = 0; i < outboxes_.size(); ++i) {
         // What finds no room is told when it is asked for.
-        if (outboxes_[i].waiting.size() < kMostToTell) outboxes_[i].waiting.push_back(word);
+        if (outboxes_[i].waiting.size() < kMaxQueuedAnnouncements)
+            outboxes_[i].waiting.push_back(cancellation);
         send_cancelled(i);
     }
 }
 
 void Controller::send_cancelled(std::size_t peer) {
     auto& box = outboxes_[peer];
-    if (box.waiting.empty() || box.under_way >= kMostTellings) return;
+    if (box.waiting.empty() || box.under_way >= kMaxAnnouncementsInFlight) return;
     ++box.under_way;
     port_.call(settings_.peers[peer].address,
                {"POST", "/peer/cancelled",
                 wire::encode_cancellation_news({0, std::exchange(box.waiting, {})})},
-               kTellDeadline, [this, peer](const net::HttpReply&) {
+               kAnnounceDeadline, [this, peer](const net::HttpReply&) {
                    --outboxes_[peer].under_way;
                    send_cancelled(peer);
                });
 }
 
-void Controller::hear_cancelled(const wire::CancellationNews& news) {
-    for (const auto& word : news.cancelled) {
-        if (wire::valid_job_id(word.id)) job_watcher_.heard_cancelled(word);
+void Controller::on_cancellation_news(const wire::CancellationNews& news) {
+    for (const auto& cancellation : news.cancelled) {
+        if (wire::valid_job_id(cancellation.id)) job_watcher_.learn_cancelled(cancellation);
     }
 }
 
@@ -230,7 +231,7 @@
 }
 
 void Controller::ask_for_cancellations() {
-    if (!settings_.guards.cancels_told) return;
+    if (!settings_.guards.cancellations_announced) return;
     // What a peer tells later than now has cancel_s from then on; so once all have answered,
     // everything told before now is known. One that has forgotten, or is not there, covers nothing.
     const auto sent = port_.read_clock();
@@ -240,11 +241,11 @@
     for (const auto& s : settings_.peers) {
         port_.call(s.address,
                    {"POST", "/peer/cancellations", wire::encode_cancellation_query(since)},
-                   kTellDeadline, [this, sent, since, left](const net::HttpReply& reply) {
+                   kAnnounceDeadline, [this, sent, since, left](const net::HttpReply& reply) {
                        if (reply.status != 200) return;
                        const auto news = wire::decode_cancellation_news(reply.body);
                        if (!news) return malformed_peers_.note(port_.now());
-                       hear_cancelled(*news);
+                       on_cancellation_news(*news);
                        if (news->from > since || --*left > 0) return;
                        peers_know_at_ = std::max(peers_know_at_, sent);
                    });
@@ -262,9 +263,9 @@
 // The last word on cancellations that needs no message: a lease that is renewed now ends lease_s
 // from now at the latest, and that must be within cancel_s of any confirmation not known here.
 bool Controller::may_renew_leases() {
-    if (!settings_.guards.cancels_known) return true;
+    if (!settings_.guards.cancellations_bound_leases) return true;
     const auto spare = static_cast<Millis>((settings_.cancel_s - settings_.lease_s) * 1000);
-    const auto bound = std::max(spare - kVouchMargin, kLeastVouched);
+    const auto bound = std::max(spare - kCancellationMargin, kMinRenewalTime);
     const bool may = port_.read_clock() - cancellations_known_at() <= bound;
     if (may == renewals_held_) {
         renewals_held_ = !may;
--- a/src/control/controller_reports.cpp
+++ b/src/control/controller_reports.cpp
@@ -15,11 +15,11 @@
 constexpr Millis kForwardAgain = 1000;
 constexpr Millis kRelayDeadline = 1200;
 constexpr Millis kRelayAgain = 700;
-constexpr std::size_t kMostRelays = 2;
+constexpr std::size_t kMaxRelays = 2;
 
 }  // namespace
 
-void Controller::beat(const std::string& body, net::Respond respond) {
+void Controller::on_heartbeat(const std::string& body, net::Respond respond) {
     auto report = wire::parse_report(body);
     if (!report) {
         malformed_workers_.note(port_.now());
@@ -31,24 +31,24 @@
 
 void Controller::take_report(const core::Report& report, net::Respond respond, bool may_retry) {
     if (!leader_) return forward(report, std::move(respond), may_retry);
-    auto answer = leader_->beat(report);
+    auto answer = leader_->on_heartbeat(report);
     if (!answer) return respond({503, wire::error_body("not the leader"), 1});
     respond({200, wire::commands_body(answer->token, answer->commands)});
 }
 
-int Controller::most_forwards() const {
-    constexpr std::size_t kLeast = 100;
-    return static_cast<int>(std::max(kLeast, settings_.max_connections / kForwardSockets));
+int Controller::max_forwards() const {
+    constexpr std::size_t kMin = 100;
+    return static_cast<int>(std::max(kMin, settings_.max_connections / kForwardSockets));
 }
 
 bool Controller::leader_is_quiet() const {
-    return port_.now() - std::max(known_.heard_at, known_.seen_at) > kLeaderFresh;
+    return port_.now() - std::max(known_.last_announcement_at, known_.seen_at) > kLeaderFresh;
 }
 
 void Controller::forward(const core::Report& report, net::Respond respond, bool may_retry) {
     const auto* leader = peer(known_.member);
     if (leader == nullptr) return respond({503, wire::error_body("no leader is known"), 1});
-    if (forwarding_ >= most_forwards()) {
+    if (forwarding_ >= max_forwards()) {
         return respond({503, wire::error_body("too many reports under way"), 1});
     }
     // A leader that has gone quiet is not worth waiting for at each report: its answer would come
@@ -60,13 +60,13 @@
     forward_tried_ = port_.now();
     const bool short_of_time = quiet || !may_retry;
     send_report(*leader, "/peer/beat", report, short_of_time ? kRelayDeadline : kForwardDeadline,
-                [this, report, respond, asked = known_.token,
+                [this, report, respond, requested = known_.token,
                  may_retry](std::optional<wire::HeartbeatAnswer> answer) mutable {
                     if (answer) {
                         return respond({200, wire::commands_body(answer->token, answer->commands)});
                     }
                     // Another leader has come while the old one was waited for.
-                    if (may_retry && (leader_ || known_.token != asked)) {
+                    if (may_retry && (leader_ || known_.token != requested)) {
                         return take_report(report, std::move(respond), false);
                     }
                     // After a second try the worker's own deadline leaves no time for more.
@@ -102,8 +102,8 @@
     const bool vain = port_.now() - relay_failed_at_ < kRelayAgain;
     // A leader that was heard just now has rather ended: little time is spent on the way round.
     const bool quiet = leader_is_quiet();
-    const auto most = std::min(quiet ? kMostRelays : 1, others.size());
-    if (tries >= most || vain) {
+    const auto limit = std::min(quiet ? kMaxRelays : 1, others.size());
+    if (tries >= limit || vain) {
         if (!vain) relay_failed_at_ = port_.now();
         return unanswered(respond);
     }
@@ -121,7 +121,7 @@
 // all, so that it can't go round in circles.
 void Controller::pass_relayed(const core::Report& report, const net::Respond& respond) {
     const auto* leader = peer(known_.member);
-    if (leader == nullptr || leader_is_quiet() || forwarding_ >= most_forwards()) {
+    if (leader == nullptr || leader_is_quiet() || forwarding_ >= max_forwards()) {
         return respond({503, "", 0, false, true});
     }
     send_report(*leader, "/peer/beat", report, kRelayDeadline,
@@ -135,7 +135,7 @@
     // With the way between the nodes refused the worker may still reach the leader itself. A leader
     // that has ended must not be named, as its worker would lose seconds of its lease there: one
     // that is quiet for longer than its grant lasts, while the state service still shows it, is up.
-    const auto quiet = port_.now() - std::max(known_.heard_at, known_.seen_at);
+    const auto quiet = port_.now() - std::max(known_.last_announcement_at, known_.seen_at);
     if (store_.responsive() && quiet > kLeaderLease + 1000 && peer(known_.member) != nullptr) {
         return respond({421, wire::redirect_body(known_.member), 1});
     }
--- a/src/control/fenced_store.cpp
+++ b/src/control/fenced_store.cpp
@@ -19,7 +19,7 @@
     return duty::ReadOutcome::Failed;
 }
 
-duty::WriteResult write_result(const store::TxnResult& result) {
+duty::WriteResult write_result(const store::TransactionResult& result) {
     using duty::WriteOutcome;
     auto outcome = WriteOutcome::Unknown;
     switch (result.outcome) {
@@ -42,8 +42,8 @@
     return {outcome, result.revision, result.failed};
 }
 
-void send_write(store::StoreClient& store, store::Lane lane, const duty::FencedWrite& write,
-                std::function<void(duty::WriteResult)> done) {
+void send_write(store::StoreClient& store, store::RequestPriority priority,
+                const duty::FencedWrite& write, std::function<void(duty::WriteResult)> done) {
     std::vector<wire::Condition> when;
     for (const auto& condition : write.conditions()) {
         when.push_back({condition.key, condition.revision});
@@ -52,9 +52,10 @@
     for (const auto& change : write.changes()) {
         then.push_back({change.key, encoded(change.value), 0});
     }
-    store.txn(lane, when, then, [done = std::move(done)](const store::TxnResult& result) {
-        done(write_result(result));
-    });
+    store.transact(priority, when, then,
+                   [done = std::move(done)](const store::TransactionResult& result) {
+                       done(write_result(result));
+                   });
 }
 
 }  // namespace lichendrift::control
--- a/src/control/fenced_store.h
+++ b/src/control/fenced_store.h
@@ -7,9 +7,9 @@
 namespace lichendrift::control {
 
 [[nodiscard]] duty::ReadOutcome read_outcome(store::Outcome outcome);
-[[nodiscard]] duty::WriteResult write_result(const store::TxnResult& result);
+[[nodiscard]] duty::WriteResult write_result(const store::TransactionResult& result);
 
-void send_write(store::StoreClient& store, store::Lane lane, const duty::FencedWrite& write,
-                std::function<void(duty::WriteResult)> done);
+void send_write(store::StoreClient& store, store::RequestPriority priority,
+                const duty::FencedWrite& write, std::function<void(duty::WriteResult)> done);
 
 }  // namespace lichendrift::control
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::string_view kOpen = "open/";
 constexpr std::string_view kOver = "over/";
-constexpr std::size_t kMostFinals = 20'000;
-constexpr std::size_t kMostCancellations = 4000;
-constexpr std::size_t kMostWaiting = 500;
+constexpr std::size_t kMaxFinals = 20'000;
+constexpr std::size_t kMaxCancellations = 4000;
+constexpr std::size_t kMaxWaiting = 500;
 constexpr Millis kAskSpacing = 120;  // polls that come closer share one read
 
 }  // namespace
@@ -25,7 +25,7 @@
 void JobWatcher::keep_up() {
     // Without users the copy would fall behind what the state service keeps of changes.
     port_.after(3000, [this] {
-        if (loaded_ && !asking_ && waiting_.empty() && port_.now() - asked_at_ > 2500) {
+        if (loaded_ && !asking_ && waiting_.empty() && port_.now() - requested_at_ > 2500) {
             barrier([](bool) {});
         }
         keep_up();
@@ -36,7 +36,7 @@
                       std::uint64_t revision) {
     loading_ = true;
     if (revision == 0) load_sent_ = port_.now();
-    store_.list(store::Lane::Place, std::string(kOpen), since,
+    store_.list(store::RequestPriority::Place, std::string(kOpen), since,
                 [this, so_far = std::move(so_far), revision](store::Outcome outcome,
                                                              const wire::ItemPage& page) mutable {
                     if (outcome != store::Outcome::Ok) {
@@ -51,7 +51,7 @@
                         last = item.key;
                         const auto id = item.key.substr(kOpen.size());
                         if (auto text = wire::parse_job_value(id, item.value)) {
-                            so_far[id] = {std::move(*text), item.rev};
+                            so_far[id] = {std::move(*text), item.revision};
                         }
                     }
                     if (page.more && !last.empty()) {
@@ -75,7 +75,7 @@
     ever_loaded_ = true;
     loading_ = false;
     if (listener_) {
-        for (const auto& [id, job] : open_) listener_->on_open(job.text, job.rev);
+        for (const auto& [id, job] : open_) listener_->on_open(job.text, job.revision);
         for (const auto& [id, job] : before) {
             // Which final word it was is read when somebody asks; its tasks end either way.
             if (!open_.contains(id)) listener_->on_over(id, true);
@@ -89,62 +89,63 @@
     return it == open_.end() ? nullptr : &it->second;
 }
 
-std::optional<bool> JobWatcher::final_word(const std::string& id) const {
+std::optional<bool> JobWatcher::terminal_state(const std::string& id) const {
     auto it = finals_.find(id);
     if (it == finals_.end()) return std::nullopt;
     return it->second;
 }
 
-void JobWatcher::remember_final(const std::string& id, bool aborted, std::uint64_t rev) {
+void JobWatcher::remember_final(const std::string& id, bool aborted, std::uint64_t revision) {
     if (!finals_.emplace(id, aborted).second) return;
     final_order_.push_back(id);
     if (aborted) {
-        cancellations_.push_back({rev, id});
-        if (cancellations_.size() > kMostCancellations) {
-            cancellations_from_ = std::max(cancellations_from_, cancellations_.front().rev);
+        cancellations_.push_back({revision, id});
+        if (cancellations_.size() > kMaxCancellations) {
+            cancellations_from_ = std::max(cancellations_from_, cancellations_.front().revision);
             cancellations_.pop_front();
         }
     }
-    if (final_order_.size() > kMostFinals) {
+    if (final_order_.size() > kMaxFinals) {
         finals_.erase(final_order_.front());
         final_order_.pop_front();
     }
 }
 
-void JobWatcher::wrote_open(const core::JobText& text, std::uint64_t rev) {
+void JobWatcher::wrote_open(const core::JobText& text, std::uint64_t revision) {
     // The watch may have told of this, and of what came after, already.
-    if (rev <= revision_ || finals_.contains(text.id)) return;
-    open_[text.id] = {text, rev};
-    if (listener_) listener_->on_open(text, rev);
+    if (revision <= revision_ || finals_.contains(text.id)) return;
+    open_[text.id] = {text, revision};
+    if (listener_) listener_->on_open(text, revision);
 }
 
-void JobWatcher::wrote_final(const std::string& id, bool aborted, std::uint64_t rev) {
-    remember_final(id, aborted, rev);
+void JobWatcher::wrote_final(const std::string& id, bool aborted, std::uint64_t revision) {
+    remember_final(id, aborted, revision);
     open_.erase(id);
     if (listener_) listener_->on_over(id, aborted);
-    if (aborted && tell_cancelled_) tell_cancelled_({rev, id});
+    if (aborted && announce_cancelled_) announce_cancelled_({revision, id});
 }
 
-JobWatcher::Cancellations JobWatcher::cancelled_after(std::uint64_t rev, std::size_t most) const {
+JobWatcher::Cancellations JobWatcher::cancelled_after(std::uint64_t revision,
+                                                      std::size_t limit) const {
     Cancellations out;
-    for (auto it = cancellations_.rbegin(); it != cancellations_.rend() && out.size() < most;
+    for (auto it = cancellations_.rbegin(); it != cancellations_.rend() && out.size() < limit;
          ++it) {
-        if (it->rev > rev) out.push_back(*it);
+        if (it->revision > revision) out.push_back(*it);
     }
     return out;
 }
 
-void JobWatcher::heard_cancelled(const wire::Cancellation& word) {
+void JobWatcher::learn_cancelled(const wire::Cancellation& cancellation) {
     // A final word never changes, so it can be believed whoever passes it on.
-    if (finals_.contains(word.id)) return;
-    remember_final(word.id, true, word.rev);
-    open_.erase(word.id);
-    if (listener_) listener_->on_over(word.id, true);
+    if (finals_.contains(cancellation.id)) return;
+    remember_final(cancellation.id, true, cancellation.revision);
+    open_.erase(cancellation.id);
+    if (listener_) listener_->on_over(cancellation.id, true);
 }
 
 void JobWatcher::apply(const wire::ItemPage& page) {
     for (const auto& item : page.items) {
-        if (item.rev <= revision_) continue;
+        if (item.revision <= revision_) continue;
         if (item.key.starts_with(kOpen)) {
             const auto id = item.key.substr(kOpen.size());
             if (item.value.empty()) {
@@ -154,13 +155,13 @@
             // An answer of the state service can come after news of what followed it.
             if (finals_.contains(id)) continue;
             if (auto text = wire::parse_job_value(id, item.value)) {
-                if (listener_) listener_->on_open(*text, item.rev);
-                open_[id] = {std::move(*text), item.rev};
+                if (listener_) listener_->on_open(*text, item.revision);
+                open_[id] = {std::move(*text), item.revision};
             }
         } else if (item.key.starts_with(kOver) && !item.value.empty()) {
             const auto id = item.key.substr(kOver.size());
             if (auto over = wire::parse_over_value(id, item.value)) {
-                remember_final(id, over->aborted, item.rev);
+                remember_final(id, over->aborted, item.revision);
                 open_.erase(id);
                 if (listener_) listener_->on_over(id, over->aborted);
             }
@@ -170,7 +171,7 @@
 }
 
 void JobWatcher::barrier(std::function<void(bool)> done) {
-    if (!store_.responsive() || waiting_.size() >= kMostWaiting) {
+    if (!store_.responsive() || waiting_.size() >= kMaxWaiting) {
         port_.after(0, [done = std::move(done)] { done(false); });
         return;
     }
@@ -184,9 +185,9 @@
         return;
     }
     const auto now = port_.now();
-    if (now - asked_at_ < kAskSpacing) {
+    if (now - requested_at_ < kAskSpacing) {
         ask_timer_ = true;
-        port_.after(kAskSpacing - (now - asked_at_), [this] {
+        port_.after(kAskSpacing - (now - requested_at_), [this] {
             ask_timer_ = false;
             ask();
         });
@@ -197,11 +198,11 @@
 
 void JobWatcher::issue() {
     asking_ = true;
-    asked_at_ = port_.now();
+    requested_at_ = port_.now();
     auto waiting = std::move(waiting_);
     waiting_.clear();
-    const auto sent = asked_at_;
-    store_.watch(store::Lane::Read, "o", revision_, 0,
+    const auto sent = requested_at_;
+    store_.watch(store::RequestPriority::Read, "o", revision_, 0,
                  [this, sent, waiting = std::move(waiting)](store::Outcome outcome,
                                                             const wire::ItemPage& page) mutable {
                      asking_ = false;
@@ -226,19 +227,19 @@
     auto [it, fresh] = lookups_.try_emplace(id);
     it->second.push_back(std::move(done));
     if (!fresh) return;
-    store_.get(store::Lane::Read, std::string(kOver) + id,
+    store_.get(store::RequestPriority::Read, std::string(kOver) + id,
                [this, id](store::Outcome outcome, const wire::Item& item) {
-                   std::optional<bool> word;
+                   std::optional<bool> cancellation;
                    if (outcome == store::Outcome::Ok) {
                        if (auto over = wire::parse_over_value(id, item.value)) {
-                           word = over->aborted;
-                           remember_final(id, over->aborted, item.rev);
+                           cancellation = over->aborted;
+                           remember_final(id, over->aborted, item.revision);
                        } else {
                            outcome = store::Outcome::Unknown;
                        }
                    }
                    auto node = lookups_.extract(id);
-                   for (auto& waiting : node.mapped()) waiting(outcome, word);
+                   for (auto& waiting : node.mapped()) waiting(outcome, cancellation);
                });
 }
 
@@ -256,7 +257,7 @@
 void JobWatcher::long_watch() {
     const auto number = follow_number_;
     const auto sent = port_.now();
-    store_.watch(store::Lane::Place, "o", revision_, 8000,
+    store_.watch(store::RequestPriority::Place, "o", revision_, 8000,
                  [this, number, sent](store::Outcome outcome, const wire::ItemPage& page) {
                      if (number != follow_number_) return;
                      Millis pause = 60;
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -22,7 +22,7 @@
   public:
     struct Open {
         core::JobText text;
-        std::uint64_t rev = 0;
+        std::uint64_t revision = 0;
     };
     struct Listener {
         std::function<void(const core::JobText&, std::uint64_t)> on_open;
@@ -38,22 +38,22 @@
     [[nodiscard]] bool loaded() const { return loaded_; }
     [[nodiscard]] bool ever_loaded() const { return ever_loaded_; }
     [[nodiscard]] const Open* open(const std::string& id) const;
-    [[nodiscard]] std::optional<bool> final_word(const std::string& id) const;  // aborted?
+    [[nodiscard]] std::optional<bool> terminal_state(const std::string& id) const;  // aborted?
     [[nodiscard]] const std::map<std::string, Open>& all_open() const { return open_; }
 
     // What this node wrote itself, known before the watch tells.
-    void wrote_open(const core::JobText& text, std::uint64_t rev);
-    void wrote_final(const std::string& id, bool aborted, std::uint64_t rev);
+    void wrote_open(const core::JobText& text, std::uint64_t revision);
+    void wrote_final(const std::string& id, bool aborted, std::uint64_t revision);
 
     // The cancellations that this node has learned of, so that one that can't read the state
     // service learns of them from its peers.
     using Cancellations = std::vector<wire::Cancellation>;
-    [[nodiscard]] Cancellations cancelled_after(std::uint64_t rev, std::size_t most) const;
+    [[nodiscard]] Cancellations cancelled_after(std::uint64_t revision, std::size_t limit) const;
     // No cancellation of a later revision that any run of this node may have told is missing above.
     [[nodiscard]] std::uint64_t cancellations_from() const { return cancellations_from_; }
-    void heard_cancelled(const wire::Cancellation& word);
+    void learn_cancelled(const wire::Cancellation& cancellation);
     void on_cancelled(std::function<void(const wire::Cancellation&)> tell) {
-        tell_cancelled_ = std::move(tell);
+        announce_cancelled_ = std::move(tell);
     }
     [[nodiscard]] std::uint64_t revision() const { return revision_; }
     // When the newest read was sent that brought this copy up to its moment; 0: none yet.
@@ -76,7 +76,7 @@
     static void answer(const std::vector<std::function<void(bool)>>& waiting, bool ok);
     void long_watch();
     void keep_up();
-    void remember_final(const std::string& id, bool aborted, std::uint64_t rev);
+    void remember_final(const std::string& id, bool aborted, std::uint64_t revision);
 
     net::Port& port_;
     store::StoreClient& store_;
@@ -89,13 +89,13 @@
     std::deque<std::string> final_order_;
     std::deque<wire::Cancellation> cancellations_;  // as they were learned of
     std::uint64_t cancellations_from_ = std::numeric_limits<std::uint64_t>::max();
-    std::function<void(const wire::Cancellation&)> tell_cancelled_;
+    std::function<void(const wire::Cancellation&)> announce_cancelled_;
     Millis read_at_ = 0;
     Millis load_sent_ = 0;
     std::vector<std::function<void(bool)>> waiting_;
     bool asking_ = false;
     bool ask_timer_ = false;
-    Millis asked_at_ = -100000;
+    Millis requested_at_ = -100000;
     std::optional<Listener> listener_;
     std::uint64_t follow_number_ = 0;
     std::unordered_map<std::string,
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -15,16 +15,16 @@
 constexpr Millis kPlanPause = 3;  // times as long as the last plan took
 constexpr int kCountsFull = 10;   // every so many tellings of counts, all are told
 constexpr Millis kListWait = 6000;
-constexpr Millis kRentSpacing = 700;
-constexpr std::uint32_t kMostRent = 50;  // the protocol's limit for one request
+constexpr Millis kProvisionSpacing = 700;
+constexpr std::uint32_t kMaxProvisionCount = 50;  // the protocol's limit for one request
 constexpr Millis kDirectDeadline = 1500;
-constexpr std::size_t kMostDirect = 24;
+constexpr std::size_t kMaxDirectCommands = 24;
 
 }  // namespace
 
 Leader::Leader(net::Port& port, const Settings& settings, store::StoreClient& store,
                cloud::CloudClient& cloud, JobWatcher& job_watcher, LeaderHost& host,
-               std::uint64_t token, std::uint64_t leader_rev)
+               std::uint64_t token, std::uint64_t leader_revision)
     : port_(port),
       settings_(settings),
       store_(store),
@@ -32,7 +32,7 @@
       job_watcher_(job_watcher),
       host_(host),
       token_(token),
-      leader_rev_(leader_rev) {
+      leader_revision_(leader_revision) {
     core::ClusterSettings cs;
     cs.teams = settings.teams;
     cs.token = token;
@@ -43,10 +43,10 @@
     cs.guards = settings.guards;
     cs.policy = std::make_shared<OperatorPolicy>(settings.policy);
     for (const auto& o : settings.objectives) {
-        using Kind = core::Aim::Kind;
-        if (o.kind == "wait") cs.aims.push_back({Kind::Start, o.cls, o.within_s});
-        if (o.kind == "finished") cs.aims.push_back({Kind::Finish, o.cls, o.within_s});
-        if (o.kind == "guarantee") cs.aims.push_back({Kind::Guarantee, "", o.within_s});
+        using Kind = core::Objective::Kind;
+        if (o.kind == "wait") cs.objectives.push_back({Kind::Start, o.cls, o.within_s});
+        if (o.kind == "finished") cs.objectives.push_back({Kind::Finish, o.cls, o.within_s});
+        if (o.kind == "guarantee") cs.objectives.push_back({Kind::Guarantee, "", o.within_s});
     }
     // A placed task takes about 50 bytes of its record; the margin is for long machine names.
     // The version in production computes it like this: it is a part of the stored format.
@@ -54,11 +54,11 @@
     if (!settings.guards.stable_layout && settings.guards.current_version) {
         kilobytes = settings.state_next.value_kb.value_or(kilobytes);
     }
-    cs.chunk_tasks = std::max(8U, static_cast<std::uint32_t>(kilobytes * 1024 / 80));
+    cs.tasks_per_record = std::max(8U, static_cast<std::uint32_t>(kilobytes * 1024 / 80));
     for (const auto& zone : settings.zones) shared_->zones.intern(zone);
     duties_ = std::make_shared<MachineDuties>(port, settings, store, cloud, host,
                                               static_cast<MachineDutiesListener&>(*this), token,
-                                              leader_rev);
+                                              leader_revision);
     shared_->cluster = std::make_unique<core::Cluster>(cs, shared_->types, shared_->zones);
 }
 
@@ -99,7 +99,7 @@
     if (now - counted_at_ > 800) {
         counted_at_ = now;
         // Only what changed, so that telling costs by change and not by the number of jobs.
-        const bool all = counts_told_++ % kCountsFull == 0;
+        const bool all = counts_announced_++ % kCountsFull == 0;
         std::vector<wire::JobCounts> counts;
         for (const auto& [id, n] : with([&](core::Cluster& c) { return c.job_counts(all); })) {
             if (counts.size() < 1000) counts.push_back({id, n.done, n.running});
@@ -120,7 +120,7 @@
     ask_plan();
 }
 
-std::optional<wire::HeartbeatAnswer> Leader::beat(const core::Report& report) {
+std::optional<wire::HeartbeatAnswer> Leader::on_heartbeat(const core::Report& report) {
     if (report.token >= token_ + core::kTokensOfALead) {
         host_.step_down("a worker has seen token " + std::to_string(report.token));
         return std::nullopt;
@@ -152,12 +152,12 @@
     const core::Report& report) const {
     if (!host_.may_renew_leases()) return std::nullopt;
     wire::HeartbeatAnswer answer{token_, {}};
-    if (!settings_.guards.cancels_known) return answer;
+    if (!settings_.guards.cancellations_bound_leases) return answer;
     for (const auto& task : report.tasks) {
         if (task.phase == core::TaskPhase::Exited || job_watcher_.open(task.job) != nullptr)
             continue;
         // Read since this lead began, the copy allocations every job that an earlier one started.
-        if (!jobs_read_ && !job_watcher_.final_word(task.job)) return std::nullopt;
+        if (!jobs_read_ && !job_watcher_.terminal_state(task.job)) return std::nullopt;
         answer.commands.push_back(
             {core::Command::Kind::Halt, task.job, task.task, task.attempt, 0});
     }
@@ -167,21 +167,21 @@
 void Leader::sync_machines() {
     // Raises the token at machines whose reports still carry an older one, so that commands of
     // earlier leaders, late copies included, end there.
-    if (calls_open_ >= kMostDirect) return;
+    if (calls_open_ >= kMaxDirectCommands) return;
     const auto now = port_.now();
-    const auto most = kMostDirect - calls_open_;
-    for (const auto& name : with([&](core::Cluster& c) { return c.machines_to_ask(most, now); })) {
+    const auto limit = kMaxDirectCommands - calls_open_;
+    for (const auto& name : with([&](core::Cluster& c) { return c.machines_to_ask(limit, now); })) {
         direct(name);
     }
 }
 
 void Leader::dispatch() {
-    if (!ready_ || calls_open_ >= kMostDirect) return;
+    if (!ready_ || calls_open_ >= kMaxDirectCommands) return;
     const bool may_start = host_.may_run();
     const auto now = port_.now();
-    const auto most = kMostDirect - calls_open_;
+    const auto limit = kMaxDirectCommands - calls_open_;
     for (const auto& name :
-         with([&](core::Cluster& c) { return c.machines_with_commands(may_start, most, now); })) {
+         with([&](core::Cluster& c) { return c.machines_with_commands(may_start, limit, now); })) {
         direct(name);
     }
 }
@@ -223,7 +223,7 @@
             }
             if (outcome.changed) self->changed();
             // The next ones that were kept waiting by the bound on calls under way.
-            if (self->calls_open_ + 1 == kMostDirect) {
+            if (self->calls_open_ + 1 == kMaxDirectCommands) {
                 self->dispatch();
                 self->sync_machines();
             }
@@ -281,16 +281,16 @@
     if (!listed_ && now - ready_at_ < kListWait) return;
     // Demand comes in bits; renting at every plan would use up the cloud's pace.
     // A plan made before the last rental was answered does not know its machines.
-    if (!duties_->renting() && now >= rent_pause_ && plan.taken_at >= rented_at_ &&
-        !applied.rents.empty()) {
-        rent_pause_ = now + kRentSpacing;
-        for (auto r : applied.rents) {
-            for (; r.number > kMostRent; r.number -= kMostRent) {
+    if (!duties_->provisioning_in_flight() && now >= provision_pause_until_ &&
+        plan.taken_at >= provisioned_at_ && !applied.provisions.empty()) {
+        provision_pause_until_ = now + kProvisionSpacing;
+        for (auto r : applied.provisions) {
+            for (; r.number > kMaxProvisionCount; r.number -= kMaxProvisionCount) {
                 auto part = r;
-                part.number = kMostRent;
-                rent(part);
+                part.number = kMaxProvisionCount;
+                request_provision(part);
             }
-            rent(r);
+            request_provision(r);
         }
         duties_->pump();
     }
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -42,12 +42,12 @@
   public:
     Leader(net::Port& port, const Settings& settings, store::StoreClient& store,
            cloud::CloudClient& cloud, JobWatcher& job_watcher, LeaderHost& host,
-           std::uint64_t token, std::uint64_t leader_rev);
+           std::uint64_t token, std::uint64_t leader_revision);
 
     void start(const std::vector<core::MachineType>& known_types);
     void stop();
     // Empty: a higher token was seen and this leader must step down, or it must not renew leases.
-    std::optional<wire::HeartbeatAnswer> beat(const core::Report& report);
+    std::optional<wire::HeartbeatAnswer> on_heartbeat(const core::Report& report);
     [[nodiscard]] std::uint64_t token() const { return token_; }
     [[nodiscard]] bool ready() const { return ready_; }
     [[nodiscard]] bool knows_machine(const std::string& name);
@@ -79,29 +79,30 @@
     void sync_machines();
     void write();
     [[nodiscard]] core::Cluster::RecordLimits record_limits() const;
-    void write_chunks();
+    void write_placement_records();
     void write_finals();
     void write_orphans();
-    void reread(const core::ChunkWrite& write);
+    void reread(const core::RecordWrite& write);
     void release_machines();
     void dispatch();
     void direct(const std::string& machine);
     void ask_plan();
     void planned(const core::Plan& plan);
-    void rent(const core::Rent& rent);
+    void request_provision(const core::Provision& provision);
     // MachineDutiesListener.
     void on_releases_inherited(const std::vector<std::string>& machines) override;
     void on_released(const std::vector<std::string>& machines) override;
-    void on_rented(const duty::RentalOrder& order, const std::vector<std::string>& machines,
-                   bool refused, cloud::Answer answer) override;
+    void on_provisioned(const duty::ProvisionRequest& order,
+                        const std::vector<std::string>& machines, bool refused,
+                        cloud::Answer answer) override;
     void on_lease_lost() override;
     void changed();
     // Every write carries it, so that a late one of a leader that has lost fails.
     wire::Condition mine() const {
         if (!settings_.guards.leader_condition) return {"no-such-key", 0};
-        return {"leader", leader_rev_};
+        return {"leader", leader_revision_};
     }
-    bool lost(const store::TxnResult& result);
+    bool lost(const store::TransactionResult& result);
     [[nodiscard]] std::optional<wire::HeartbeatAnswer> heartbeat_before_ready(
         const core::Report& report) const;
     [[nodiscard]] Millis age_of(const core::JobText& job) {
@@ -115,7 +116,7 @@
     JobWatcher& job_watcher_;
     LeaderHost& host_;
     std::uint64_t token_;
-    std::uint64_t leader_rev_;
+    std::uint64_t leader_revision_;
     std::shared_ptr<Shared> shared_ = std::make_shared<Shared>();
     bool stopped_ = false;
     bool jobs_read_ = false;  // what was open when this lead had begun
@@ -131,8 +132,8 @@
     bool plan_timer_ = false;
     Millis planned_at_ = -10000;
     Millis plan_took_ = 0;
-    int counts_told_ = 0;
-    int chunk_writes_ = 0;
+    int counts_announced_ = 0;
+    int record_writes_in_flight_ = 0;
     int final_writes_ = 0;
     bool orphan_write_ = false;
     bool listing_ = false;
@@ -140,16 +141,16 @@
     Millis types_at_ = -100000;
     bool asking_types_ = false;
     Millis counted_at_ = 0;
-    Millis rent_pause_ = 0;
-    Millis rented_at_ = -10000;  // the last rental's answer, or the first list
-    std::uint64_t rentals_ = 0;
+    Millis provision_pause_until_ = 0;
+    Millis provisioned_at_ = -10000;  // the last rental's answer, or the first list
+    std::uint64_t provisions_ = 0;
     net::Malformed malformed_{"a worker's direct answer"};
     std::size_t calls_open_ = 0;  // direct commands under way
     struct Place {
         std::string job;
-        std::uint32_t chunk = 0;
+        std::uint32_t record_number = 0;
         core::PlacementRecord record;
-        std::uint64_t rev = 0;
+        std::uint64_t revision = 0;
     };
     std::shared_ptr<MachineDuties> duties_;
     bool records_read_ = false;  // of placements; what remains are intents
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-constexpr Millis kRentTrouble = 1500;
-constexpr std::size_t kMostReleases = 500;  // looked at in one go
+constexpr Millis kProvisionFaultPause = 1500;
+constexpr std::size_t kMaxReleases = 500;  // looked at in one go
 
 }  // namespace
 
@@ -41,7 +41,7 @@
         });
         if (answer == cloud::Answer::Ok && !self->listed_) {
             // Plans made before know neither these machines nor which zone is cut off.
-            self->rented_at_ = now;
+            self->provisioned_at_ = now;
             self->listed_ = true;
         }
         self->sync_machines();
@@ -52,13 +52,13 @@
     const auto now = port_.now();
     std::vector<std::pair<std::string, bool>> wanted;
     with([&](core::Cluster& c) {
-        for (auto& name : c.next_returns(kMostReleases, now)) {
-            const bool holds_tasks = c.holds_tasks(name);
-            wanted.emplace_back(std::move(name), holds_tasks);
+        for (auto& name : c.next_releases(kMaxReleases, now)) {
+            const bool has_tasks = c.has_tasks(name);
+            wanted.emplace_back(std::move(name), has_tasks);
         }
     });
     // Tasks wait for the release of theirs; the others only cost money.
-    for (const auto& [name, holds_tasks] : wanted) duties_->want_release(name, holds_tasks);
+    for (const auto& [name, has_tasks] : wanted) duties_->want_release(name, has_tasks);
     duties_->pump();
 }
 
@@ -70,7 +70,7 @@
 }
 
 void Leader::on_released(const std::vector<std::string>& machines) {
-    with([&](core::Cluster& c) { c.returned(machines, true, port_.now()); });
+    with([&](core::Cluster& c) { c.on_released(machines, true, port_.now()); });
     host_.log_info("returned " + std::to_string(machines.size()) + " machines, " +
                    machines.front());
     changed();
@@ -78,31 +78,32 @@
 
 void Leader::on_lease_lost() { host_.step_down("another leader has won"); }
 
-void Leader::rent(const core::Rent& rent) {
+void Leader::request_provision(const core::Provision& provision) {
     // Token and counter: no request name is ever used twice, by any node.
-    duty::RentalOrder order;
-    order.request = "r-" + std::to_string(token_) + "-" + std::to_string(++rentals_);
-    order.spot = rent.spot;
-    order.number = rent.number;
+    duty::ProvisionRequest order;
+    order.request = "r-" + std::to_string(token_) + "-" + std::to_string(++provisions_);
+    order.spot = provision.spot;
+    order.number = provision.number;
     with([&](core::Cluster&) {
-        order.type = shared_->types.name(rent.type);
-        order.zone = shared_->zones.name(rent.zone);
+        order.type = shared_->types.name(provision.type);
+        order.zone = shared_->zones.name(provision.zone);
     });
     host_.log_info("rent " + std::to_string(order.number) + " " + order.type + " in " + order.zone +
                    (order.spot ? " (spot) as " : " as ") + order.request);
-    duties_->want_rental(std::move(order));
+    duties_->want_provision(std::move(order));
 }
 
-void Leader::on_rented(const duty::RentalOrder& order, const std::vector<std::string>& machines,
-                       bool refused, cloud::Answer answer) {
+void Leader::on_provisioned(const duty::ProvisionRequest& order,
+                            const std::vector<std::string>& machines, bool refused,
+                            cloud::Answer answer) {
     const auto now = port_.now();
     // Without an answer it is asked again; the next plan waits for what comes of it.
-    if (answer == cloud::Answer::NoAnswer && duties_->renting()) return;
-    rented_at_ = now;
-    if (answer == cloud::Answer::Trouble) rent_pause_ = now + kRentTrouble;
+    if (answer == cloud::Answer::NoAnswer && duties_->provisioning_in_flight()) return;
+    provisioned_at_ = now;
+    if (answer == cloud::Answer::Unavailable) provision_pause_until_ = now + kProvisionFaultPause;
     with([&](core::Cluster& c) {
         if (answer == cloud::Answer::Ok) {
-            c.on_rented(order.type, order.zone, order.spot, machines, now);
+            c.on_provisioned(order.type, order.zone, order.spot, machines, now);
         }
         if (refused) {
             c.on_refused(shared_->types.intern(order.type), shared_->zones.intern(order.zone),
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -11,12 +11,13 @@
 constexpr Millis kHintPause = 500;      // between two records of images
 constexpr std::size_t kHintBytes = 90;  // of a machine in such a record
 constexpr std::size_t kRecordBytes = 40'000;
-constexpr int kMostChunkWrites = 2;   // transactions under way
-constexpr int kMostUrgentWrites = 2;  // beyond these, of records that starts of replicas wait for
+constexpr int kMaxRecordWrites = 2;  // transactions under way
+constexpr int kMaxUrgentRecordWrites =
+    2;  // beyond these, of records that starts of replicas wait for
 
 }  // namespace
 
-bool Leader::lost(const store::TxnResult& result) {
+bool Leader::lost(const store::TransactionResult& result) {
     if (result.outcome != store::Outcome::Conflict) return false;
     if (std::find(result.failed.begin(), result.failed.end(), "leader") == result.failed.end()) {
         return false;
@@ -28,7 +29,7 @@
 void Leader::write() {
     if (!ready_ || !host_.may_start()) return;
     write_finals();
-    write_chunks();
+    write_placement_records();
     write_orphans();
 }
 
@@ -37,75 +38,80 @@
 core::Cluster::RecordLimits Leader::record_limits() const {
     const bool may_refine =
         settings_.guards.current_version && (host_.peers_are_current() || store_.limits_fell());
-    return {store_.txn_ops(), kRecordBytes,
+    return {store_.transaction_operations(), kRecordBytes,
             may_refine ? store_.lasting_value_bytes() : store_.value_bytes(), may_refine,
-            chunk_writes_ >= kMostChunkWrites};
+            record_writes_in_flight_ >= kMaxRecordWrites};
 }
 
-void Leader::write_chunks() {
-    if (chunk_writes_ >= kMostChunkWrites + kMostUrgentWrites) return;
+void Leader::write_placement_records() {
+    if (record_writes_in_flight_ >= kMaxRecordWrites + kMaxUrgentRecordWrites) return;
     const auto now = port_.now();
-    const bool lazy = store_.has_room_for(store_.txn_ops());
+    const bool lazy = store_.has_room_for(store_.transaction_operations());
     auto writes =
-        with([&](core::Cluster& c) { return c.next_chunk_writes(record_limits(), lazy, now); });
+        with([&](core::Cluster& c) { return c.next_record_writes(record_limits(), lazy, now); });
     if (writes.empty()) return;
     // What waits for its pace must not hold up the start of a replica.
-    const auto lane = writes.front().urgent ? store::Lane::Submit : store::Lane::Place;
+    const auto priority =
+        writes.front().urgent ? store::RequestPriority::Submit : store::RequestPriority::Place;
     std::vector<wire::Condition> when{mine()};
     std::vector<wire::Change> then;
     for (const auto& w : writes) {
-        const auto key = "place/" + w.job_id + "/" + std::to_string(w.chunk);
-        when.push_back({key, w.rev});
+        const auto key = "place/" + w.job_id + "/" + std::to_string(w.record_number);
+        when.push_back({key, w.revision});
         // A record that becomes durable after its job is over, late or from a copy that lags, would
         // be followed by starts.
-        if (settings_.guards.record_of_open) when.push_back({"open/" + w.job_id, w.open_rev});
+        if (settings_.guards.record_of_open) when.push_back({"open/" + w.job_id, w.open_revision});
         then.push_back({key, wire::placement_value(w.record), 0});
     }
-    ++chunk_writes_;
-    store_.txn(
-        lane, when, then,
-        [self = shared_from_this(), writes = std::move(writes)](const store::TxnResult& result) {
-            --self->chunk_writes_;
-            if (self->stopped_ || self->lost(result)) return;
-            const auto at = self->port_.now();
-            for (const auto& w : writes) {
-                const auto key = "place/" + w.job_id + "/" + std::to_string(w.chunk);
-                const bool clash = result.outcome == store::Outcome::Unknown ||
-                                   std::find(result.failed.begin(), result.failed.end(), key) !=
-                                       result.failed.end();
-                if (clash) {
-                    // In doubt, or an earlier write in doubt came late: read back first.
-                    self->reread(w);
-                    continue;
-                }
-                const bool over = std::find(result.failed.begin(), result.failed.end(),
-                                            "open/" + w.job_id) != result.failed.end();
-                self->with([&](core::Cluster& c) {
-                    if (result.outcome == store::Outcome::Conflict) {
-                        return c.chunk_refused(w, over, at);
-                    }
-                    c.chunk_written(w, result.outcome == store::Outcome::Ok, result.revision, at);
-                });
-                // Which final word it is comes with the next read.
-                if (over) self->job_watcher_.barrier([](bool) {});
-            }
-            self->write();
-            self->dispatch();
-        });
+    ++record_writes_in_flight_;
+    store_.transact(priority, when, then,
+                    [self = shared_from_this(),
+                     writes = std::move(writes)](const store::TransactionResult& result) {
+                        --self->record_writes_in_flight_;
+                        if (self->stopped_ || self->lost(result)) return;
+                        const auto at = self->port_.now();
+                        for (const auto& w : writes) {
+                            const auto key =
+                                "place/" + w.job_id + "/" + std::to_string(w.record_number);
+                            const bool clash = result.outcome == store::Outcome::Unknown ||
+                                               std::find(result.failed.begin(), result.failed.end(),
+                                                         key) != result.failed.end();
+                            if (clash) {
+                                // In doubt, or an earlier write in doubt came late: read back
+                                // first.
+                                self->reread(w);
+                                continue;
+                            }
+                            const bool over = std::find(result.failed.begin(), result.failed.end(),
+                                                        "open/" + w.job_id) != result.failed.end();
+                            self->with([&](core::Cluster& c) {
+                                if (result.outcome == store::Outcome::Conflict) {
+                                    return c.on_record_refused(w, over, at);
+                                }
+                                c.on_record_written(w, result.outcome == store::Outcome::Ok,
+                                                    result.revision, at);
+                            });
+                            // Which final word it is comes with the next read.
+                            if (over) self->job_watcher_.barrier([](bool) {});
+                        }
+                        self->write();
+                        self->dispatch();
+                    });
 }
 
-void Leader::reread(const core::ChunkWrite& write) {
-    store_.get(store::Lane::Place, "place/" + write.job_id + "/" + std::to_string(write.chunk),
+void Leader::reread(const core::RecordWrite& write) {
+    store_.get(store::RequestPriority::Place,
+               "place/" + write.job_id + "/" + std::to_string(write.record_number),
                [self = shared_from_this(), write](store::Outcome outcome, const wire::Item& item) {
                    if (self->stopped_) return;
                    const auto now = self->port_.now();
                    if (outcome == store::Outcome::Missing) {
-                       self->with([&](core::Cluster& c) { c.chunk_reread(write, 0, 0, now); });
+                       self->with([&](core::Cluster& c) { c.on_record_reread(write, 0, 0, now); });
                    } else if (auto record = outcome == store::Outcome::Ok
                                                 ? wire::parse_placement_value(item.value)
                                                 : std::nullopt) {
                        self->with([&](core::Cluster& c) {
-                           c.chunk_reread(write, item.rev, record->nonce, now);
+                           c.on_record_reread(write, item.revision, record->nonce, now);
                        });
                    } else {
                        self->port_.after(300, [self, write] {
@@ -123,61 +129,62 @@
         const auto now = port_.now();
         core::JobText text;
         auto write = with([&](core::Cluster& c) {
-            auto w = c.next_final_write(store_.txn_ops() - 2, now);
+            auto w = c.next_final_write(store_.transaction_operations() - 2, now);
             if (w && w->with_job) text = c.jobs().at(w->job).text;
             return w;
         });
         if (!write) return;
         std::vector<wire::Condition> when{
-            mine(), {"open/" + write->job_id, write->open_rev}, {"over/" + write->job_id, 0}};
+            mine(), {"open/" + write->job_id, write->open_revision}, {"over/" + write->job_id, 0}};
         std::vector<wire::Change> then{
             {"open/" + write->job_id, "", 0},
             {"over/" + write->job_id,
              write->with_job ? wire::over_value_within(false, text, store_.lasting_value_bytes())
                              : wire::over_value(false, nullptr),
              0}};
-        for (auto chunk : write->chunks) {
-            then.push_back({"place/" + write->job_id + "/" + std::to_string(chunk), "", 0});
+        for (auto record_number : write->record_numbers) {
+            then.push_back({"place/" + write->job_id + "/" + std::to_string(record_number), "", 0});
         }
         ++final_writes_;
-        store_.txn(store::Lane::Place, when, then,
-                   [self = shared_from_this(), write = *write](const store::TxnResult& result) {
-                       --self->final_writes_;
-                       if (self->stopped_ || self->lost(result)) return;
-                       const bool ok = result.outcome == store::Outcome::Ok;
-                       self->with([&](core::Cluster& c) {
-                           c.final_written(write, ok, self->port_.now());
-                       });
-                       if (ok) {
-                           self->host_.log_info("job " + write.job_id + " done");
-                           self->job_watcher_.wrote_final(write.job_id, false, result.revision);
-                       }
-                       self->write();
-                   });
+        store_.transact(
+            store::RequestPriority::Place, when, then,
+            [self = shared_from_this(), write = *write](const store::TransactionResult& result) {
+                --self->final_writes_;
+                if (self->stopped_ || self->lost(result)) return;
+                const bool ok = result.outcome == store::Outcome::Ok;
+                self->with(
+                    [&](core::Cluster& c) { c.final_written(write, ok, self->port_.now()); });
+                if (ok) {
+                    self->host_.log_info("job " + write.job_id + " done");
+                    self->job_watcher_.wrote_final(write.job_id, false, result.revision);
+                }
+                self->write();
+            });
     }
 }
 
 void Leader::write_orphans() {
     if (orphan_write_) return;
-    auto keys = with([&](core::Cluster& c) { return c.next_orphans(store_.txn_ops()); });
+    auto keys =
+        with([&](core::Cluster& c) { return c.next_orphans(store_.transaction_operations()); });
     if (keys.empty()) return;
     std::vector<wire::Change> then;
     then.reserve(keys.size());
     for (const auto& key : keys) then.push_back({key, "", 0});
     orphan_write_ = true;
-    store_.txn(store::Lane::Read, {mine()}, then,
-               [self = shared_from_this(), keys](const store::TxnResult& result) {
-                   self->orphan_write_ = false;
-                   if (self->stopped_ || self->lost(result)) return;
-                   self->with([&](core::Cluster& c) {
-                       c.orphans_removed(keys, result.outcome == store::Outcome::Ok);
-                   });
-               });
+    store_.transact(store::RequestPriority::Read, {mine()}, then,
+                    [self = shared_from_this(), keys](const store::TransactionResult& result) {
+                        self->orphan_write_ = false;
+                        if (self->stopped_ || self->lost(result)) return;
+                        self->with([&](core::Cluster& c) {
+                            c.orphans_removed(keys, result.outcome == store::Outcome::Ok);
+                        });
+                    });
 }
 
 void Leader::load_hints() {
     // Without them a new leader would fetch again what is there, and late starts follow.
-    store_.list(store::Lane::Place, "images/", "",
+    store_.list(store::RequestPriority::Place, "images/", "",
                 [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& page) {
                     if (self->stopped_ || outcome != store::Outcome::Ok) return;
                     for (const auto& item : page.items) {
@@ -206,11 +213,11 @@
         with([&](core::Cluster& c) { return c.image_hints(hint_part_, parts); }), value_bytes);
     if (value == hints_[hint_part_]) return;
     hints_[hint_part_] = value;
-    store_.txn(store::Lane::Read, {mine()},
-               {{"images/" + std::to_string(hint_part_), std::move(value), 0}},
-               [self = shared_from_this()](const store::TxnResult& result) {
-                   if (!self->stopped_) self->lost(result);
-               });
+    store_.transact(store::RequestPriority::Read, {mine()},
+                    {{"images/" + std::to_string(hint_part_), std::move(value), 0}},
+                    [self = shared_from_this()](const store::TransactionResult& result) {
+                        if (!self->stopped_) self->lost(result);
+                    });
 }
 
 }  // namespace lichendrift::control
--- a/src/control/leader_takeover.cpp
+++ b/src/control/leader_takeover.cpp
@@ -25,14 +25,14 @@
         self->with([&](core::Cluster& c) {
             c.records_to_come();
             for (const auto& [id, job] : self->job_watcher_.all_open()) {
-                c.add_job(job.text, job.rev, now, false, self->age_of(job.text));
+                c.add_job(job.text, job.revision, now, false, self->age_of(job.text));
             }
         });
         self->job_watcher_.follow(
-            {[self](const core::JobText& text, std::uint64_t rev) {
+            {[self](const core::JobText& text, std::uint64_t revision) {
                  if (self->stopped_) return;
                  self->with([&](core::Cluster& c) {
-                     c.add_job(text, rev, self->port_.now(), false, self->age_of(text));
+                     c.add_job(text, revision, self->port_.now(), false, self->age_of(text));
                  });
                  self->host_.log_info("job " + text.id + " (" + text.cls + ") is open, " +
                                       std::to_string(text.count) + " tasks");
@@ -49,7 +49,7 @@
 
 void Leader::load_places(const std::string& since) {
     store_.list(
-        store::Lane::Leadership, "place/", since,
+        store::RequestPriority::Leadership, "place/", since,
         [self = shared_from_this(), since](store::Outcome outcome, const wire::ItemPage& page) {
             if (self->stopped_) return;
             if (outcome != store::Outcome::Ok) {
@@ -65,14 +65,15 @@
                 Place place;
                 place.job = item.key.substr(6, slash - 6);
                 const char* end = item.key.data() + item.key.size();
-                const auto number = std::from_chars(item.key.data() + slash + 1, end, place.chunk);
+                const auto number =
+                    std::from_chars(item.key.data() + slash + 1, end, place.record_number);
                 auto record = wire::parse_placement_value(item.value);
                 if (!record || number.ptr != end) {
                     self->host_.log_info("record " + item.key + " is not readable");
                     continue;
                 }
                 place.record = std::move(*record);
-                place.rev = item.rev;
+                place.revision = item.revision;
                 self->places_.push_back(std::move(place));
             }
             if (page.more && !last.empty()) return self->load_places(last);
@@ -93,7 +94,7 @@
         return loaded();
     }
     const auto id = closed_[at];
-    store_.get(store::Lane::Leadership, "over/" + id,
+    store_.get(store::RequestPriority::Leadership, "over/" + id,
                [self = shared_from_this(), id, at](store::Outcome outcome, const wire::Item& item) {
                    if (self->stopped_) return;
                    if (outcome == store::Outcome::Ok) {
@@ -125,10 +126,10 @@
     with([&](core::Cluster& c) {
         for (const auto& place : places_) {
             if (c.has_job(place.job)) {
-                c.load_record(place.job, place.chunk, place.record, place.rev, now);
+                c.load_record(place.job, place.record_number, place.record, place.revision, now);
             } else {
                 // All its tasks are done, or it was never accepted: nothing can be on a machine.
-                c.add_orphan("place/" + place.job + "/" + std::to_string(place.chunk));
+                c.add_orphan("place/" + place.job + "/" + std::to_string(place.record_number));
             }
         }
         c.records_loaded();
--- a/src/control/limits.h
+++ b/src/control/limits.h
@@ -17,20 +17,20 @@
 
 // How long before the bound on unknown cancellations leases are no longer renewed, and the least
 // time for which they are, where the settings leave none.
-inline constexpr core::Millis kVouchMargin = 1000;
-inline constexpr core::Millis kLeastVouched = 3000;
+inline constexpr core::Millis kCancellationMargin = 1000;
+inline constexpr core::Millis kMinRenewalTime = 3000;
 
 // Parts of the state service's limits. Most changes are the leader's; followers only write what
 // users ask of them. Together all keep below the limits, as clocks and bursts differ.
 inline constexpr store::StoreClient::Share kLeaderShare = {0.5, 0.65};
 inline constexpr store::StoreClient::Share kSharedOut = {0.92, 0.95};
-inline constexpr double kMostOfAFollower = 0.2;
+inline constexpr double kMaxFollowerShare = 0.2;
 
 [[nodiscard]] inline store::StoreClient::Share follower_share(const Settings& settings) {
     if (settings.size <= 1) return kLeaderShare;
     const auto followers = static_cast<double>(settings.size - 1);
     const auto part = [&](double all, double leader) {
-        return std::min(kMostOfAFollower, (all - leader) / followers);
+        return std::min(kMaxFollowerShare, (all - leader) / followers);
     };
     return {part(kSharedOut.requests, kLeaderShare.requests),
             part(kSharedOut.changes, kLeaderShare.changes)};
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -16,9 +16,9 @@
             return duty::CloudOutcome::Done;
         case cloud::Answer::NoCapacity:
             return duty::CloudOutcome::NoCapacity;
-        case cloud::Answer::Trouble:
+        case cloud::Answer::Unavailable:
         case cloud::Answer::Stale:
-            return duty::CloudOutcome::Trouble;
+            return duty::CloudOutcome::Unavailable;
         case cloud::Answer::NoAnswer:
             return duty::CloudOutcome::NoAnswer;
     }
@@ -59,8 +59,8 @@
     moment.records_known = records_known_;
     moment.not_after = host_.sure_until();
     moment.may_activate = host_.peers_fence_duties();
-    moment.idle_writes = store_.has_room_for(store_.txn_ops());
-    moment.limits = {store_.lasting_value_bytes(), store_.txn_ops()};
+    moment.idle_writes = store_.has_room_for(store_.transaction_operations());
+    moment.limits = {store_.lasting_value_bytes(), store_.transaction_operations()};
     return moment;
 }
 
@@ -90,14 +90,14 @@
     holder_.want_release(machine, urgent, port_.now());
 }
 
-void MachineDuties::want_rental(duty::RentalOrder order) {
-    holder_.want_rental(std::move(order), port_.now());
+void MachineDuties::want_provision(duty::ProvisionRequest order) {
+    holder_.want_provision(std::move(order), port_.now());
 }
 
 // ---- the state service ----
 
 void MachineDuties::carry_out(const duty::MachineHolder::ReadDuty& action) {
-    store_.get(store::Lane::Leadership, duty::record_key(action.duty),
+    store_.get(store::RequestPriority::Leadership, duty::record_key(action.duty),
                [self = shared_from_this(), duty = action.duty](store::Outcome outcome,
                                                                const wire::Item& item) {
                    if (self->stopped_) return;
@@ -112,14 +112,14 @@
                    }
                    const bool held = self->holder_.claim(duty).held();
                    self->holder_.on_duty_read(duty, read, record.value_or(duty::DutyRecord{}),
-                                              item.rev, self->port_.now());
+                                              item.revision, self->port_.now());
                    self->note_claim(duty, held);
                    if (read != duty::ReadOutcome::Failed) self->pump_again();
                });
 }
 
 void MachineDuties::carry_out(const duty::MachineHolder::ReadIntents& action) {
-    store_.list(store::Lane::Leadership, std::string(duty::kIntentPrefix), action.since,
+    store_.list(store::RequestPriority::Leadership, std::string(duty::kIntentPrefix), action.since,
                 [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& page) {
                     if (self->stopped_) return;
                     std::vector<duty::StoredIntent> stored;
@@ -137,7 +137,7 @@
 }
 
 void MachineDuties::carry_out(const duty::MachineHolder::ReadIntent& action) {
-    store_.get(store::Lane::Submit, duty::intent_key(action.slot),
+    store_.get(store::RequestPriority::Submit, duty::intent_key(action.slot),
                [self = shared_from_this(), slot = action.slot](store::Outcome outcome,
                                                                const wire::Item& item) {
                    if (self->stopped_) return;
@@ -145,14 +145,14 @@
                    duty::StoredIntent stored;
                    if (read == duty::ReadOutcome::Found) stored = wire::parse_intent(item);
                    if (stored.damaged) read = duty::ReadOutcome::Damaged;
-                   self->holder_.on_intent_read(slot, read, stored.intent, item.rev,
+                   self->holder_.on_intent_read(slot, read, stored.intent, item.revision,
                                                 self->port_.now());
                    self->pump_again();
                });
 }
 
 void MachineDuties::carry_out(const duty::MachineHolder::WriteDuty& action) {
-    send_write(store_, store::Lane::Leadership, action.write,
+    send_write(store_, store::RequestPriority::Leadership, action.write,
                [self = shared_from_this(), duty = action.duty](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    const bool held = self->holder_.claim(duty).held();
@@ -163,7 +163,7 @@
 }
 
 void MachineDuties::carry_out(const duty::MachineHolder::WriteIntent& action) {
-    send_write(store_, store::Lane::Submit, action.write,
+    send_write(store_, store::RequestPriority::Submit, action.write,
                [self = shared_from_this(), slot = action.slot](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    self->holder_.on_intent_written(slot, result, self->port_.now());
@@ -172,7 +172,7 @@
 }
 
 void MachineDuties::carry_out(const duty::MachineHolder::RemoveIntents& action) {
-    send_write(store_, store::Lane::Read, action.write,
+    send_write(store_, store::RequestPriority::Read, action.write,
                [self = shared_from_this(), slots = action.slots](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    self->holder_.on_intents_removed(slots, result, self->port_.now());
@@ -182,9 +182,9 @@
 
 // ---- the cloud ----
 
-void MachineDuties::carry_out(const duty::MachineHolder::AskRelease& action) {
-    cloud_.give_back(action.request, [self = shared_from_this(), slot = action.slot,
-                                      machines = action.request.machines()](cloud::Answer answer) {
+void MachineDuties::carry_out(const duty::MachineHolder::RequestRelease& action) {
+    cloud_.release(action.request, [self = shared_from_this(), slot = action.slot,
+                                    machines = action.request.machines()](cloud::Answer answer) {
         if (self->stopped_) return;
         const bool doubtful = answer == cloud::Answer::NoAnswer;
         if (doubtful && !self->intents_kept_) answer = cloud::Answer::Ok;
@@ -196,18 +196,18 @@
     });
 }
 
-void MachineDuties::carry_out(const duty::MachineHolder::AskRental& action) {
-    cloud_.rent(action.request,
-                [self = shared_from_this(), slot = action.slot, order = action.request.order()](
-                    cloud::Answer answer, const std::vector<std::string>& machines) {
-                    if (self->stopped_) return;
-                    if (answer == cloud::Answer::Stale) self->note_stale("rental " + order.request);
-                    self->holder_.on_rented(slot, order.request, cloud_outcome(answer),
-                                            self->port_.now());
-                    const bool few = answer == cloud::Answer::Ok && machines.size() < order.number;
-                    self->listener_.on_rented(order, machines,
-                                              few || answer == cloud::Answer::NoCapacity, answer);
-                });
+void MachineDuties::carry_out(const duty::MachineHolder::RequestProvision& action) {
+    cloud_.provision(action.request, [self = shared_from_this(), slot = action.slot,
+                                      order = action.request.order()](
+                                         cloud::Answer answer,
+                                         const std::vector<std::string>& machines) {
+        if (self->stopped_) return;
+        if (answer == cloud::Answer::Stale) self->note_stale("rental " + order.request);
+        self->holder_.on_provisioned(slot, order.request, cloud_outcome(answer), self->port_.now());
+        const bool few = answer == cloud::Answer::Ok && machines.size() < order.number;
+        self->listener_.on_provisioned(order, machines, few || answer == cloud::Answer::NoCapacity,
+                                       answer);
+    });
 }
 
 // ---- what operators see ----
@@ -233,8 +233,8 @@
     const auto now = port_.now();
     const auto& ledger = holder_.ledger();
     if (const auto oldest = ledger.oldest_open();
-        oldest && now - oldest->since > kStuckAfter && now - told_stuck_at_ > kStuckAfter) {
-        told_stuck_at_ = now;
+        oldest && now - oldest->since > kStuckAfter && now - reported_stuck_at_ > kStuckAfter) {
+        reported_stuck_at_ = now;
         host_.log_info(duty::intent_key(oldest->slot) + " is open for " +
                        std::to_string((now - oldest->since) / 1000) + " s: " + oldest->what);
     }
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -19,8 +19,9 @@
     virtual void on_releases_inherited(const std::vector<std::string>& machines) = 0;
     virtual void on_released(const std::vector<std::string>& machines) = 0;
     // `machines` is what came; `refused`: there was not enough of this kind.
-    virtual void on_rented(const duty::RentalOrder& order, const std::vector<std::string>& machines,
-                           bool refused, cloud::Answer answer) = 0;
+    virtual void on_provisioned(const duty::ProvisionRequest& order,
+                                const std::vector<std::string>& machines, bool refused,
+                                cloud::Answer answer) = 0;
     // A write failed because another controller leads.
     virtual void on_lease_lost() = 0;
 };
@@ -40,8 +41,10 @@
     void records_known() { records_known_ = true; }
 
     void want_release(const std::string& machine, bool urgent);
-    void want_rental(duty::RentalOrder order);
-    [[nodiscard]] bool renting() const { return holder_.ledger().renting(); }
+    void want_provision(duty::ProvisionRequest order);
+    [[nodiscard]] bool provisioning_in_flight() const {
+        return holder_.ledger().provisioning_in_flight();
+    }
     // Whether all intents of earlier holders are known: before that nothing is placed.
     [[nodiscard]] bool inherited_known() const { return holder_.inherited_known(); }
 
@@ -53,8 +56,8 @@
     void carry_out(const duty::MachineHolder::WriteDuty& action);
     void carry_out(const duty::MachineHolder::WriteIntent& action);
     void carry_out(const duty::MachineHolder::RemoveIntents& action);
-    void carry_out(const duty::MachineHolder::AskRelease& action);
-    void carry_out(const duty::MachineHolder::AskRental& action);
+    void carry_out(const duty::MachineHolder::RequestRelease& action);
+    void carry_out(const duty::MachineHolder::RequestProvision& action);
     void note_claim(duty::Duty duty, bool held_before);
     void note_stale(const std::string& what);
     void report();
@@ -73,7 +76,7 @@
     bool pump_wanted_ = false;
     std::uint64_t refused_as_stale_ = 0;
     core::Millis reported_at_ = 0;
-    core::Millis told_stuck_at_ = 0;
+    core::Millis reported_stuck_at_ = 0;
 };
 
 }  // namespace lichendrift::control
--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -68,7 +68,7 @@
     return list;
 }
 
-const std::vector<Variable>& dear_variables() {
+const std::vector<Variable>& on_demand_variables() {
     static const std::vector<Variable> list = [] {
         auto all = job_variables();
         all.push_back({"job.rent_patience", Type::Duration, "what rent_patience gives for it"});
@@ -112,8 +112,8 @@
     kOrder,
     kStarving,
     kRetry,
-    kRentPatience,
-    kDearPatience,
+    kProvisionPatience,
+    kOnDemandPatience,
     kIdleKeep,
     kSpare,
     kWarmFor,
@@ -121,8 +121,8 @@
 };
 
 struct Range {
-    double least;
-    double most;
+    double minimum;
+    double maximum;
 };
 constexpr std::array<Range, 15> kRanges = {
     {{0, 1000},
@@ -178,7 +178,7 @@
         {"starving_after", Type::Duration, job_variables()},
         {"retry_after", Type::Duration, job_variables()},
         {"rent_patience", Type::Duration, job_variables()},
-        {"dear_patience", Type::Duration, dear_variables()},
+        {"dear_patience", Type::Duration, on_demand_variables()},
         {"idle_keep", Type::Duration, machine_variables()},
         {"spare_machines", Type::Number, fleet_variables()},
         {"warm_for", Type::Duration, fleet_variables()},
@@ -209,21 +209,21 @@
 
 double OperatorPolicy::evaluate(std::size_t setting, const std::vector<Value>& variables) {
     Entry& entry = entries_[setting];
-    const auto least = kRanges[setting].least;
-    const auto most = kRanges[setting].most;
-    const auto fine = [&](double v) { return std::isfinite(v) && v >= least && v <= most; };
+    const auto minimum = kRanges[setting].minimum;
+    const auto maximum = kRanges[setting].maximum;
+    const auto fine = [&](double v) { return std::isfinite(v) && v >= minimum && v <= maximum; };
     if (entry.own) {
         const auto value = entry.program.evaluate(variables).number;
         if (fine(value)) return value;
-        if (!entry.told) {
-            entry.told = true;
+        if (!entry.reported) {
+            entry.reported = true;
             complaints_.push_back("policy: " + std::string(settings()[setting].name) + " = " +
                                   entry.program.source() + " gives " + std::to_string(value) +
-                                  ", outside " + std::to_string(least) + " to " +
-                                  std::to_string(most) + "; the built-in value is used");
+                                  ", outside " + std::to_string(minimum) + " to " +
+                                  std::to_string(maximum) + "; the built-in value is used");
         }
     }
-    return std::clamp(entry.standard.evaluate(variables).number, least, most);
+    return std::clamp(entry.standard.evaluate(variables).number, minimum, maximum);
 }
 
 const std::vector<Value>& OperatorPolicy::of(const core::JobFacts& job) {
@@ -252,13 +252,13 @@
 }
 double OperatorPolicy::order_s(const core::JobFacts& job) { return evaluate(kOrder, of(job)); }
 double OperatorPolicy::retry_s(const core::JobFacts& job) { return evaluate(kRetry, of(job)); }
-double OperatorPolicy::rent_patience_s(const core::JobFacts& job) {
-    return evaluate(kRentPatience, of(job));
+double OperatorPolicy::provision_patience_s(const core::JobFacts& job) {
+    return evaluate(kProvisionPatience, of(job));
 }
-double OperatorPolicy::dear_patience_s(const core::JobFacts& job) {
-    const auto least = rent_patience_s(job);
-    values_.push_back(seconds(least));
-    return std::max(least, evaluate(kDearPatience, values_));
+double OperatorPolicy::on_demand_patience_s(const core::JobFacts& job) {
+    const auto minimum = provision_patience_s(job);
+    values_.push_back(seconds(minimum));
+    return std::max(minimum, evaluate(kOnDemandPatience, values_));
 }
 
 double OperatorPolicy::idle_keep_s(const core::MachineFacts& machine,
--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -25,8 +25,8 @@
     core::Weights weights(const core::JobFacts& job) override;
     double starving_s(const core::JobFacts& job) override;
     double order_s(const core::JobFacts& job) override;
-    double rent_patience_s(const core::JobFacts& job) override;
-    double dear_patience_s(const core::JobFacts& job) override;
+    double provision_patience_s(const core::JobFacts& job) override;
+    double on_demand_patience_s(const core::JobFacts& job) override;
     double retry_s(const core::JobFacts& job) override;
     double idle_keep_s(const core::MachineFacts& machine, const core::FleetFacts& fleet) override;
     double silent_s(const core::FleetFacts& fleet) override;
@@ -39,7 +39,7 @@
         policy::Program program;   // the operator's, or none
         policy::Program standard;  // the built-in one
         bool own = false;
-        bool told = false;
+        bool reported = false;
     };
     double evaluate(std::size_t setting, const std::vector<policy::Value>& variables);
     const std::vector<policy::Value>& of(const core::JobFacts& job);
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -29,7 +29,7 @@
     std::optional<double> rps;
     std::optional<double> write_rps;
     std::optional<double> value_kb;
-    std::optional<std::size_t> txn_ops;
+    std::optional<std::size_t> transaction_operations;
 };
 
 // The platform's settings file, checked.
@@ -54,7 +54,7 @@
     double state_rps = 100;
     double state_write_rps = 30;
     double state_value_kb = 8;
-    std::size_t state_txn_ops = 8;
+    std::size_t state_transaction_operations = 8;
     NextStateLimits state_next;
     double cloud_rps = 4;
     double cloud_list_lag_s = 3;
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr std::string_view kRuns = "/v2/runs";
-constexpr std::size_t kMostQueued = 300;
+constexpr std::size_t kMaxQueued = 300;
 constexpr std::size_t kBatchBytes = 40'000;
-constexpr int kMostBatches = 2;
+constexpr int kMaxBatches = 2;
 constexpr int kRetryAfterS = 1;
-constexpr Millis kTellEvery = 3000;
+constexpr Millis kReportInterval = 3000;
 
-const char* word(bool aborted) { return aborted ? "aborted" : "done"; }
+const char* state_name(bool aborted) { return aborted ? "aborted" : "done"; }
 
 }  // namespace
 
@@ -31,8 +31,9 @@
 void UserApi::refuse(const net::Respond& respond, const char* reason) {
     ++refused_;
     // Counted, and told once in a while: a flood of refusals must not become a flood of lines.
-    if (port_.now() - refusals_told_ > kTellEvery && spdlog::should_log(spdlog::level::info)) {
-        refusals_told_ = port_.now();
+    if (port_.now() - refusals_reported_at_ > kReportInterval &&
+        spdlog::should_log(spdlog::level::info)) {
+        refusals_reported_at_ = port_.now();
         spdlog::info("refused {} requests since the start, the last: {}", refused_, reason);
     }
     respond({503, wire::error_body(reason), kRetryAfterS});
@@ -103,8 +104,8 @@
         return respond({400, wire::error_body(*error)});
     }
     auto& job = std::get<core::JobText>(parsed);
-    if (auto final_word = job_watcher_.final_word(job.id)) {
-        return respond({200, wire::job_answer(job.id, word(*final_word))});
+    if (auto terminal_state = job_watcher_.terminal_state(job.id)) {
+        return respond({200, wire::job_answer(job.id, state_name(*terminal_state))});
     }
     if (job_watcher_.open(job.id) != nullptr) return poll(job.id, std::move(respond), true);
     if (!store_.responsive()) return refuse(respond, "the state service does not answer");
@@ -117,7 +118,7 @@
             if (job_watcher_.open(id) != nullptr) return answer_open(id, respond);
             job_watcher_.lookup_final(id, [this, id, reason, respond](store::Outcome outcome,
                                                                       std::optional<bool> aborted) {
-                if (aborted) return respond({200, wire::job_answer(id, word(*aborted))});
+                if (aborted) return respond({200, wire::job_answer(id, state_name(*aborted))});
                 if (outcome != store::Outcome::Missing) {
                     return refuse(respond, "the state service does not answer");
                 }
@@ -131,7 +132,7 @@
         it->second.push_back(std::move(respond));
         return;
     }
-    if (queue_.size() >= kMostQueued) return refuse(respond, "too many submissions at once");
+    if (queue_.size() >= kMaxQueued) return refuse(respond, "too many submissions at once");
     job.submitted_ms = port_.wall_ms();
     Submission submission;
     submission.value = wire::job_value(job);
@@ -146,12 +147,13 @@
 }
 
 void UserApi::flush() {
-    while (batches_ < kMostBatches && !queue_.empty()) {
+    while (batches_ < kMaxBatches && !queue_.empty()) {
         std::vector<Submission> batch;
         std::vector<wire::Condition> when;
         std::vector<wire::Change> then;
         std::size_t bytes = 0;
-        while (!queue_.empty() && batch.size() < store_.txn_ops() && bytes < kBatchBytes) {
+        while (!queue_.empty() && batch.size() < store_.transaction_operations() &&
+               bytes < kBatchBytes) {
             auto& next = queue_.front();
             when.push_back({"open/" + next.job.id, 0});
             when.push_back({"over/" + next.job.id, 0});
@@ -161,16 +163,17 @@
             queue_.pop_front();
         }
         ++batches_;
-        store_.txn(store::Lane::Submit, when, then,
-                   [this, batch = std::move(batch)](const store::TxnResult& result) mutable {
-                       --batches_;
-                       written(std::move(batch), result);
-                       flush();
-                   });
+        store_.transact(
+            store::RequestPriority::Submit, when, then,
+            [this, batch = std::move(batch)](const store::TransactionResult& result) mutable {
+                --batches_;
+                written(std::move(batch), result);
+                flush();
+            });
     }
 }
 
-void UserApi::written(std::vector<Submission> batch, const store::TxnResult& result) {
+void UserApi::written(std::vector<Submission> batch, const store::TransactionResult& result) {
     for (auto& submission : batch) {
         const auto id = submission.job.id;
         const bool clash =
@@ -217,8 +220,8 @@
 }
 
 void UserApi::poll(const std::string& id, net::Respond respond, bool submission) {
-    if (auto aborted = job_watcher_.final_word(id)) {
-        return respond({200, wire::job_answer(id, word(*aborted))});
+    if (auto aborted = job_watcher_.terminal_state(id)) {
+        return respond({200, wire::job_answer(id, state_name(*aborted))});
     }
     if (!settings_.guards.fresh_reads && job_watcher_.open(id) != nullptr) {
         return answer_open(id, respond);
@@ -228,7 +231,7 @@
         if (job_watcher_.open(id) != nullptr) return answer_open(id, respond);
         job_watcher_.lookup_final(id, [this, id, submission, respond](store::Outcome outcome,
                                                                       std::optional<bool> aborted) {
-            if (aborted) return respond({200, wire::job_answer(id, word(*aborted))});
+            if (aborted) return respond({200, wire::job_answer(id, state_name(*aborted))});
             if (outcome != store::Outcome::Missing || submission) {
                 return refuse(respond, "the state service does not answer");
             }
@@ -238,29 +241,30 @@
 }
 
 void UserApi::cancel(const std::string& id, net::Respond respond, int tries) {
-    if (auto aborted = job_watcher_.final_word(id)) {
-        return respond({200, wire::job_answer(id, word(*aborted))});
+    if (auto aborted = job_watcher_.terminal_state(id)) {
+        return respond({200, wire::job_answer(id, state_name(*aborted))});
     }
     job_watcher_.barrier([this, id, tries, respond = std::move(respond)](bool ok) mutable {
         if (!ok) return refuse(respond, "the state service does not answer");
         const auto* open = job_watcher_.open(id);
         if (open == nullptr) return poll(id, std::move(respond), false);
         // The job's description stays with the final word: its tasks count until they are gone.
-        store_.txn(store::Lane::Submit, {{"open/" + id, open->rev}, {"over/" + id, 0}},
-                   {{"open/" + id, "", 0},
-                    {"over/" + id,
-                     wire::over_value_within(true, open->text, store_.lasting_value_bytes()), 0}},
-                   [this, id, tries,
-                    respond = std::move(respond)](const store::TxnResult& result) mutable {
-                       if (result.outcome == store::Outcome::Ok) {
-                           job_watcher_.wrote_final(id, true, result.revision);
-                           return respond({200, wire::job_answer(id, "aborted")});
-                       }
-                       if (result.outcome == store::Outcome::Conflict && tries > 0) {
-                           return cancel(id, std::move(respond), tries - 1);
-                       }
-                       refuse(respond, "the state service does not answer");
-                   });
+        store_.transact(
+            store::RequestPriority::Submit, {{"open/" + id, open->revision}, {"over/" + id, 0}},
+            {{"open/" + id, "", 0},
+             {"over/" + id, wire::over_value_within(true, open->text, store_.lasting_value_bytes()),
+              0}},
+            [this, id, tries,
+             respond = std::move(respond)](const store::TransactionResult& result) mutable {
+                if (result.outcome == store::Outcome::Ok) {
+                    job_watcher_.wrote_final(id, true, result.revision);
+                    return respond({200, wire::job_answer(id, "aborted")});
+                }
+                if (result.outcome == store::Outcome::Conflict && tries > 0) {
+                    return cancel(id, std::move(respond), tries - 1);
+                }
+                refuse(respond, "the state service does not answer");
+            });
     });
 }
 
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -35,7 +35,7 @@
     void cancel(const std::string& id, net::Respond respond, int tries);
     [[nodiscard]] bool fits(const Submission& submission) const;
     void flush();
-    void written(std::vector<Submission> batch, const store::TxnResult& result);
+    void written(std::vector<Submission> batch, const store::TransactionResult& result);
     void answer_open(const std::string& id, const net::Respond& respond) const;
     void refuse(const net::Respond& respond, const char* reason);
     [[nodiscard]] std::string check(const core::JobText& job) const;
@@ -50,7 +50,7 @@
     std::unordered_map<std::string, std::vector<net::Respond>> doubles_;  // under way already
     int batches_ = 0;
     std::uint64_t refused_ = 0;
-    Millis refusals_told_ = -100000;
+    Millis refusals_reported_at_ = -100000;
 };
 
 }  // namespace lichendrift::control
--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -14,41 +14,41 @@
 }  // namespace
 
 AllocationIndex Cluster::add_allocation(const Allocation& h) {
-    AllocationIndex ix;
+    AllocationIndex index;
     if (free_allocations_.empty()) {
-        ix = static_cast<AllocationIndex>(allocations_.size());
+        index = static_cast<AllocationIndex>(allocations_.size());
         allocations_.push_back(h);
     } else {
-        ix = free_allocations_.back();
+        index = free_allocations_.back();
         free_allocations_.pop_back();
-        allocations_[ix] = h;
+        allocations_[index] = h;
     }
     Job& job = jobs_[h.job];
-    job.allocations.emplace(h.task, ix);
-    machines_[h.machine].allocations.push_back(ix);
+    job.allocations.emplace(h.task, index);
+    machines_[h.machine].allocations.push_back(index);
     machines_[h.machine].used += job.spec.need;
     attention_.insert(h.machine);
     if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] += job.spec.need;
-    return ix;
+    return index;
 }
 
-void Cluster::release(AllocationIndex ix, bool requeue, Millis now) {
-    const Allocation h = allocations_[ix];
+void Cluster::release(AllocationIndex index, bool requeue, Millis now) {
+    const Allocation h = allocations_[index];
     Job& job = jobs_[h.job];
     Machine& machine = machines_[h.machine];
-    std::erase(machine.allocations, ix);
+    std::erase(machine.allocations, index);
     machine.used -= job.spec.need;
     if (machine.allocations.empty()) machine.idle_since = now;
     if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] -= job.spec.need;
     auto [from, to] = job.allocations.equal_range(h.task);
     for (auto it = from; it != to; ++it) {
-        if (it->second == ix) {
+        if (it->second == index) {
             job.allocations.erase(it);
             break;
         }
     }
-    allocations_[ix] = Allocation{};
-    free_allocations_.push_back(ix);
+    allocations_[index] = Allocation{};
+    free_allocations_.push_back(index);
     if (requeue && !job.over && job.done_flags[h.task] == 0 && !job.allocations.contains(h.task)) {
         if (h.task < job.next_fresh) job.again.insert(h.task);
         if (job.allocations.empty() || !job.spec.gang) job.waiting_since = now;
@@ -78,13 +78,13 @@
     }
 }
 
-void Cluster::drop_if_gone(JobIndex ix) {
-    auto it = jobs_.find(ix);
+void Cluster::drop_if_gone(JobIndex index) {
+    auto it = jobs_.find(index);
     if (it == jobs_.end() || !it->second.over || !it->second.allocations.empty()) return;
     if (records_to_come_ && settings_.guards.kept_until_loaded) return;
-    for (auto& [number, chunk] : it->second.chunks) {
+    for (auto& [number, record_number] : it->second.record_numbers) {
         // A write in flight may still create the record: removing it later is harmless.
-        if (chunk.rev != 0 || chunk.writing || chunk.dirty) {
+        if (record_number.revision != 0 || record_number.writing || record_number.dirty) {
             orphans_.push_back("place/" + it->second.id + "/" + std::to_string(number));
         }
     }
@@ -92,8 +92,8 @@
     jobs_.erase(it);
 }
 
-void Cluster::mark_done(JobIndex ix, std::uint32_t task, Millis now) {
-    Job& job = jobs_[ix];
+void Cluster::mark_done(JobIndex index, std::uint32_t task, Millis now) {
+    Job& job = jobs_[index];
     // A replica of a service that has ended runs again.
     if (job.spec.service) return;
     auto one = [&](std::uint32_t t) {
@@ -110,14 +110,14 @@
     } else {
         one(task);
     }
-    if (job.done == job.spec.count) all_done_.insert(ix);
+    if (job.done == job.spec.count) all_done_.insert(index);
 }
 
-void Cluster::stop_allocation(AllocationIndex ix, double grace_s, Millis now) {
-    Allocation& h = allocations_[ix];
+void Cluster::stop_allocation(AllocationIndex index, double grace_s, Millis now) {
+    Allocation& h = allocations_[index];
     if (h.state == Allocation::State::Planned || h.state == Allocation::State::Ready) {
         // Nothing was sent, so it can be taken back at once.
-        release(ix, true, now);
+        release(index, true, now);
         return;
     }
     attention_.insert(h.machine);
@@ -133,23 +133,23 @@
 // A run that was sent and surely comes to nothing. What is to be stopped by now is over with it:
 // kept as one to be sent, it would be neither sent nor halted and would count against its machine
 // for ever.
-void Cluster::run_came_to_nothing(AllocationIndex ix, Millis now) {
-    Allocation& h = allocations_[ix];
+void Cluster::run_came_to_nothing(AllocationIndex index, Millis now) {
+    Allocation& h = allocations_[index];
     if (h.stop) {
-        release(ix, true, now);
+        release(index, true, now);
         return;
     }
     h.state = Allocation::State::Ready;
     attention_.insert(h.machine);
 }
 
-void Cluster::stop_with_gang(AllocationIndex ix, double grace_s, Millis now) {
-    Job& job = jobs_[allocations_[ix].job];
+void Cluster::stop_with_gang(AllocationIndex index, double grace_s, Millis now) {
+    Job& job = jobs_[allocations_[index].job];
     if (!job.spec.gang) {
-        stop_allocation(ix, grace_s, now);
+        stop_allocation(index, grace_s, now);
         return;
     }
-    const auto jix = allocations_[ix].job;
+    const auto jix = allocations_[index].job;
     std::vector<AllocationIndex> all;
     for (auto& [task, other] : job.allocations) all.push_back(other);
     for (auto other : all) {
@@ -157,12 +157,12 @@
     }
 }
 
-void Cluster::on_exit(AllocationIndex ix, const TaskReport& task, Millis now) {
-    const Allocation h = allocations_[ix];
+void Cluster::on_exit(AllocationIndex index, const TaskReport& task, Millis now) {
+    const Allocation h = allocations_[index];
     Job& job = jobs_[h.job];
     Machine& machine = machines_[h.machine];
     if (job.spec.service && (task.why == ExitWhy::Done || task.why == ExitWhy::Error)) {
-        note_replica_exit(ix, task.why == ExitWhy::Error, now);
+        note_replica_exit(index, task.why == ExitWhy::Error, now);
         return;
     }
     switch (task.why) {
@@ -185,13 +185,13 @@
         default:
             break;
     }
-    release(ix, true, now);
+    release(index, true, now);
 }
 
 // A replica that ended runs again at once. One that ends again and again within a short time backs
 // off by itself, so that it allocations up none of the others and uses no starts that they need.
-void Cluster::note_replica_exit(AllocationIndex ix, bool failed, Millis now) {
-    const Allocation h = allocations_[ix];
+void Cluster::note_replica_exit(AllocationIndex index, bool failed, Millis now) {
+    const Allocation h = allocations_[index];
     Job& job = jobs_[h.job];
     const auto ran = h.running_since > 0 ? now - h.running_since : 0;
     auto& failures = job.replica_failures[h.task];
@@ -202,7 +202,7 @@
     const auto failures_in_a_row = failures;
     const auto task = h.task;
     const auto jix = h.job;
-    release(ix, true, now);
+    release(index, true, now);
     const auto found = jobs_.find(jix);
     if (failures_in_a_row <= 1 || found == jobs_.end()) return;
     if (found->second.again.erase(task) == 0) return;
@@ -238,17 +238,17 @@
     return static_cast<std::uint32_t>(job.again.size()) + (job.spec.count - job.next_fresh);
 }
 
-std::vector<std::uint32_t> Cluster::take_waiting(const Job& job, std::uint32_t most) const {
+std::vector<std::uint32_t> Cluster::take_waiting(const Job& job, std::uint32_t limit) const {
     std::vector<std::uint32_t> out;
     if (job.spec.gang) {
-        for (std::uint32_t t = 0; t < std::min(most, job.spec.count); ++t) out.push_back(t);
+        for (std::uint32_t t = 0; t < std::min(limit, job.spec.count); ++t) out.push_back(t);
         return out;
     }
     for (auto t : job.again) {
-        if (out.size() >= most) return out;
+        if (out.size() >= limit) return out;
         out.push_back(t);
     }
-    for (auto t = job.next_fresh; t < job.spec.count && out.size() < most; ++t) out.push_back(t);
+    for (auto t = job.next_fresh; t < job.spec.count && out.size() < limit; ++t) out.push_back(t);
     return out;
 }
 
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMostWarm = 16;
+constexpr std::size_t kMaxWarm = 16;
 
 std::int64_t need_thousandths(double amount) {
     return static_cast<std::int64_t>(std::ceil(amount * 1000.0 - 1e-6));
@@ -23,29 +23,29 @@
     team_used_.resize(team_list_.size());
     team_busy_.resize(team_list_.size(), -1);
     settings_.tuning.claims = settings_.guards.claims;
-    for (const auto& aim : settings_.aims) {
-        if (aim.kind == Aim::Kind::Guarantee) guarantee_s_ = aim.within_s;
+    for (const auto& objective : settings_.objectives) {
+        if (objective.kind == Objective::Kind::Guarantee) guarantee_s_ = objective.within_s;
     }
 }
 
 void Cluster::set_types(const std::vector<MachineType>& types) {
     for (const auto& type : types) {
-        const auto ix = types_.intern(type.name);
-        if (type_info_.size() <= ix) type_info_.resize(ix + 1);
-        type_info_[ix] = type;
+        const auto index = types_.intern(type.name);
+        if (type_info_.size() <= index) type_info_.resize(index + 1);
+        type_info_[index] = type;
         for (const auto& zone : type.zones) zones_.intern(zone);
     }
 }
 
-void Cluster::add_job(const JobText& text, std::uint64_t open_rev, Millis now, bool over,
+void Cluster::add_job(const JobText& text, std::uint64_t open_revision, Millis now, bool over,
                       Millis age_ms) {
     if (job_ids_.contains(text.id)) return;
-    const auto ix = next_job_++;
-    job_ids_.emplace(text.id, ix);
-    Job& job = jobs_[ix];
+    const auto index = next_job_++;
+    job_ids_.emplace(text.id, index);
+    Job& job = jobs_[index];
     job.id = text.id;
     job.text = text;
-    job.open_rev = open_rev;
+    job.open_revision = open_revision;
     job.over = over;
     job.aborted = over;
     // A new leader goes on counting: with a change of leader every few minutes nothing would ever
@@ -78,17 +78,19 @@
     spec.save_s = text.save_s;
     spec.deadline_s = text.deadline_s;
     spec.submitted_ms = text.submitted_ms;
-    if (class_aims_.size() <= spec.cls) {
-        class_aims_.resize(spec.cls + 1);
-        for (const auto& aim : settings_.aims) {
-            if (aim.cls != text.cls) continue;
-            auto& aims = class_aims_[spec.cls];
-            if (aim.kind == Aim::Kind::Start) aims.start_within_s.push_back(aim.within_s);
-            if (aim.kind == Aim::Kind::Finish) aims.finish_within_s.push_back(aim.within_s);
+    if (class_objectives_.size() <= spec.cls) {
+        class_objectives_.resize(spec.cls + 1);
+        for (const auto& objective : settings_.objectives) {
+            if (objective.cls != text.cls) continue;
+            auto& objectives = class_objectives_[spec.cls];
+            if (objective.kind == Objective::Kind::Start)
+                objectives.start_within_s.push_back(objective.within_s);
+            if (objective.kind == Objective::Kind::Finish)
+                objectives.finish_within_s.push_back(objective.within_s);
         }
     }
     // A replica that is not up is a loss for as long as it is not.
-    spec.soon = spec.service || !class_aims_[spec.cls].start_within_s.empty();
+    spec.soon = spec.service || !class_objectives_[spec.cls].start_within_s.empty();
     spec.starving_ms = spec.gang ? 60000 : 120000;
     if (settings_.policy) {
         const auto about = facts(job);
@@ -102,7 +104,7 @@
         arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kRateFor;
         arrivals.at = now;
         arrivals.spec = spec;
-        if (warm_.size() > kMostWarm) {
+        if (warm_.size() > kMaxWarm) {
             warm_.erase(std::min_element(warm_.begin(), warm_.end(),
                                          [](auto& a, auto& b) { return a.second < b.second; }));
         }
@@ -112,8 +114,8 @@
 void Cluster::job_over(const std::string& job_id, bool aborted, Millis now) {
     auto found = job_ids_.find(job_id);
     if (found == job_ids_.end()) return;
-    const auto ix = found->second;
-    Job& job = jobs_[ix];
+    const auto index = found->second;
+    Job& job = jobs_[index];
     if (job.over) return;
     job.over = true;
     job.aborted = aborted;
@@ -121,14 +123,14 @@
     std::vector<AllocationIndex> held;
     for (auto& [task, allocation_index] : job.allocations) held.push_back(allocation_index);
     for (auto allocation_index : held) {
-        Allocation& h = hold(allocation_index);
+        Allocation& h = allocation(allocation_index);
         if (h.state == Allocation::State::Planned || h.state == Allocation::State::Ready) {
             release(allocation_index, false, now);
         } else if (aborted) {
             stop_allocation(allocation_index, 0, now);
         }
     }
-    drop_if_gone(ix);
+    drop_if_gone(index);
 }
 
 std::vector<std::string> Cluster::policy_complaints() {
@@ -176,9 +178,9 @@
         auto it = jobs_.find(start.job);
         if (it == jobs_.end()) continue;
         Job& job = it->second;
-        const auto most = static_cast<std::uint32_t>(start.machines.size());
-        if (waiting(job) < most || job.retry_at > now) continue;
-        const auto tasks = take_waiting(job, most);
+        const auto limit = static_cast<std::uint32_t>(start.machines.size());
+        if (waiting(job) < limit || job.retry_at > now) continue;
+        const auto tasks = take_waiting(job, limit);
         if (job.spec.gang && tasks.size() != job.spec.count) continue;
         std::vector<std::pair<std::uint32_t, MachineIndex>> on;
         for (std::size_t i = 0; i < tasks.size(); ++i) on.emplace_back(tasks[i], start.machines[i]);
@@ -233,10 +235,10 @@
         stop_with_gang(allocation_index, save ? spec.save_s : 0, now);
         ++applied.stops;
     }
-    for (auto mix : plan.returns) {
+    for (auto mix : plan.releases) {
         Machine& machine = machines_[mix];
         if (machine.life != Machine::Life::Up || !machine.allocations.empty()) continue;
-        machine.life = Machine::Life::Returning;
+        machine.life = Machine::Life::Releasing;
         applied.lines.push_back("idle machine " + machine.name + " is returned");
     }
     // Emptying several machines in a row left jobs waiting beside half-empty machines that took
@@ -271,7 +273,7 @@
             stop_with_gang(allocation_index, spec.save_s, now);
         }
     }
-    applied.rents = plan.rents;
+    applied.provisions = plan.provisions;
     return applied;
 }
 
@@ -283,10 +285,11 @@
         for (const auto& [task, allocation_index] : job.allocations) {
             if (allocations_[allocation_index].phase == TaskPhase::Running) ++counts.running;
         }
-        const bool changed = counts.done != job.told_done || counts.running != job.told_running;
+        const bool changed =
+            counts.done != job.reported_done || counts.running != job.reported_running;
         if (!changed && (!all || counts.done + counts.running == 0)) continue;
-        job.told_done = counts.done;
-        job.told_running = counts.running;
+        job.reported_done = counts.done;
+        job.reported_running = counts.running;
         out.emplace_back(job.id, counts);
     }
     return out;
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -16,15 +16,15 @@
     Millis lease_ms = 10000;
     Millis cancel_ms = 30000;
     double gang_peer_s = 4;
-    std::uint32_t chunk_tasks = 100;  // tasks of an array in one place record
-    std::vector<Aim> aims;
+    std::uint32_t tasks_per_record = 100;  // tasks of an array in one place record
+    std::vector<Objective> objectives;
     PlannerTuning tuning;
     Guards guards;
     std::shared_ptr<Policy> policy;  // none: the tuning as it is
 };
 
 // What is expected of a class of jobs.
-struct ClassAims {
+struct ClassObjectives {
     std::vector<double> start_within_s;
     std::vector<double> finish_within_s;
 };
@@ -60,7 +60,7 @@
 };
 
 struct Machine {
-    enum class Life : std::uint8_t { Booting, Up, Returning, Gone };
+    enum class Life : std::uint8_t { Booting, Up, Releasing, Gone };
     std::string name;
     std::string endpoint;
     TypeIndex type = kInvalidIndex;
@@ -78,10 +78,10 @@
     std::uint64_t seq = 0;
     std::optional<Millis> taken_at;  // spot notice: when the cloud takes it
     Millis first_seen = 0;
-    Millis rented_at = 0;
-    Millis heard_at = 0;
+    Millis provisioned_at = 0;
+    Millis last_heartbeat_at = 0;
     Millis idle_since = 0;
-    Millis return_asked = 0;
+    Millis release_requested_at = 0;
     // What it was sent has no effect, while its reports go on: neither answers nor commands reach
     // it. Such a machine never looks silent, and its tasks die with each of its leases.
     int misses = 0;                    // in a row
@@ -101,8 +101,8 @@
 };
 
 // One placement record of a job. Its number tells the layout; see core/record_layout.h.
-struct Chunk {
-    std::uint64_t rev = 0;  // revision of the record; 0: none
+struct RecordState {
+    std::uint64_t revision = 0;  // revision of the record; 0: none
     std::uint64_t nonce = 0;
     bool dirty = false;
     bool writing = false;
@@ -114,19 +114,19 @@
     std::string id;
     JobSpec spec;
     JobText text;
-    std::uint64_t open_rev = 0;
+    std::uint64_t open_revision = 0;
     bool over = false;  // cancelled or done: only waits for its tasks to be gone
     bool aborted = false;
     bool finishing = false;  // its final word is being written
     Millis finish_retry_at = 0;
     std::uint32_t done = 0;
-    std::uint32_t told_done = 0;  // as given out last for display
-    std::uint32_t told_running = 0;
+    std::uint32_t reported_done = 0;  // as given out last for display
+    std::uint32_t reported_running = 0;
     std::vector<std::uint8_t> done_flags;
     std::uint32_t next_fresh = 0;   // tasks from here on were never tried
     std::set<std::uint32_t> again;  // tasks before next_fresh that wait
     std::multimap<std::uint32_t, AllocationIndex> allocations;
-    std::map<std::uint32_t, Chunk> chunks;
+    std::map<std::uint32_t, RecordState> record_numbers;
     Millis waiting_since = 0;
     Millis started_at = std::numeric_limits<Millis>::min();  // when a task was placed last
     Millis retry_at = 0;
@@ -139,12 +139,12 @@
     std::map<std::uint32_t, std::uint32_t> replica_failures;  // of a service, in a row, by task
 };
 
-struct ChunkWrite {
+struct RecordWrite {
     JobIndex job = kInvalidIndex;
-    std::uint32_t chunk = 0;
+    std::uint32_t record_number = 0;
     std::string job_id;
-    std::uint64_t rev = 0;
-    std::uint64_t open_rev = 0;
+    std::uint64_t revision = 0;
+    std::uint64_t open_revision = 0;
     bool urgent = false;  // of a service or a critical job: its start waits for this write
     PlacementRecord record;
 };
@@ -152,8 +152,8 @@
 struct FinalWrite {
     JobIndex job = kInvalidIndex;
     std::string job_id;
-    std::uint64_t open_rev = 0;
-    std::vector<std::uint32_t> chunks;
+    std::uint64_t open_revision = 0;
+    std::vector<std::uint32_t> record_numbers;
     bool with_job = false;  // tasks may still be on machines: the final word keeps the job
 };
 
@@ -172,10 +172,10 @@
     // What the region told.
     void set_types(const std::vector<MachineType>& types);
     // `age_ms`: since its submission, by the time of day.
-    void add_job(const JobText& text, std::uint64_t open_rev, Millis now, bool over = false,
+    void add_job(const JobText& text, std::uint64_t open_revision, Millis now, bool over = false,
                  Millis age_ms = 0);
-    void load_record(const std::string& job_id, std::uint32_t chunk, const PlacementRecord& record,
-                     std::uint64_t rev, Millis now);
+    void load_record(const std::string& job_id, std::uint32_t record_number,
+                     const PlacementRecord& record, std::uint64_t revision, Millis now);
     void job_over(const std::string& job_id, bool aborted, Millis now);
     // Until the records of earlier leaders are read, a job that is over may have tasks that only a
     // record names: it is not forgotten before.
@@ -184,8 +184,8 @@
     ReportOutcome on_report(const Report& report, bool is_heartbeat, Millis now);
     void on_list(const std::vector<ListedMachine>& page, Millis now);
     void on_list_complete(const std::set<std::string>& names, Millis now);
-    void on_rented(const std::string& type, const std::string& zone, bool spot,
-                   const std::vector<std::string>& names, Millis now);
+    void on_provisioned(const std::string& type, const std::string& zone, bool spot,
+                        const std::vector<std::string>& names, Millis now);
     void on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now);
 
     // Orders for the answer to a beat, or for a direct command. `may_start` is false while the
@@ -201,12 +201,12 @@
         std::uint64_t token = 0;
         std::vector<Command> commands;
     };
-    std::vector<std::string> machines_with_commands(bool may_start, std::size_t most, Millis now);
+    std::vector<std::string> machines_with_commands(bool may_start, std::size_t limit, Millis now);
     // Marks the machine as being called until direct_result().
     Direct direct_commands(const std::string& machine, bool may_start, Millis now);
     enum class DirectResult : std::uint8_t { Executed, NotExecuted, NoAnswer };
     void direct_result(const Direct& direct, DirectResult result, Millis now);
-    std::vector<std::string> machines_to_ask(std::size_t most, Millis now);
+    std::vector<std::string> machines_to_ask(std::size_t limit, Millis now);
     [[nodiscard]] bool calling(const std::string& machine) const;
 
     // Records to write, and what came of it. Lazy ones only tell which tasks are done, which is
@@ -220,23 +220,24 @@
         bool may_refine = false;
         bool urgent_only = false;
     };
-    std::vector<ChunkWrite> next_chunk_writes(const RecordLimits& limits, bool lazy, Millis now);
-    void chunk_written(const ChunkWrite& write, bool ok, std::uint64_t rev, Millis now);
+    std::vector<RecordWrite> next_record_writes(const RecordLimits& limits, bool lazy, Millis now);
+    void on_record_written(const RecordWrite& write, bool ok, std::uint64_t revision, Millis now);
     // Certainly not written, since a condition failed: of its own job, or of another of its batch.
-    void chunk_refused(const ChunkWrite& write, bool job_over, Millis now);
-    void chunk_reread(const ChunkWrite& write, std::uint64_t rev, std::uint64_t nonce, Millis now);
-    std::optional<FinalWrite> next_final_write(std::size_t most_chunks, Millis now);
+    void on_record_refused(const RecordWrite& write, bool job_over, Millis now);
+    void on_record_reread(const RecordWrite& write, std::uint64_t revision, std::uint64_t nonce,
+                          Millis now);
+    std::optional<FinalWrite> next_final_write(std::size_t max_records, Millis now);
     void final_written(const FinalWrite& write, bool ok, Millis now);
-    std::vector<std::string> next_orphans(std::size_t most);  // records nobody needs any more
+    std::vector<std::string> next_orphans(std::size_t limit);  // records nobody needs any more
     void orphans_removed(const std::vector<std::string>& keys, bool ok);
     void add_orphan(const std::string& key) { orphans_.push_back(key); }
 
     // Machines to give back, and what came of it.
-    std::vector<std::string> next_returns(std::size_t most, Millis now);
-    void returned(const std::vector<std::string>& names, bool ok, Millis now);
+    std::vector<std::string> next_releases(std::size_t limit, Millis now);
+    void on_released(const std::vector<std::string>& names, bool ok, Millis now);
     // An earlier leader may have asked for the release of these: nothing is placed there.
     void release_pending(const std::vector<std::string>& names, Millis now);
-    [[nodiscard]] bool holds_tasks(const std::string& name) const;
+    [[nodiscard]] bool has_tasks(const std::string& name) const;
 
     // Which images are on which machines: only a hint for placing, kept over a change of leader.
     using ImageHints = std::vector<std::pair<std::string, std::vector<std::string>>>;
@@ -251,7 +252,7 @@
         std::uint32_t starts = 0;
         std::uint32_t stops = 0;
         std::uint32_t refused = 0;
-        std::vector<Rent> rents;
+        std::vector<Provision> provisions;
         std::vector<std::string> lines;  // for the log, formatted outside the lock
     };
     Applied apply(const Plan& plan, Millis now);
@@ -281,13 +282,13 @@
     [[nodiscard]] bool has_job(const std::string& id) const { return job_ids_.contains(id); }
 
   private:
-    static constexpr double kRateFor = 120'000;  // ms over which arrivals are counted
-    static constexpr int kDeafMisses = 2;        // a single answer may be lost or late
+    static constexpr double kRateFor = 120'000;   // ms over which arrivals are counted
+    static constexpr int kUnreachableMisses = 2;  // a single answer may be lost or late
 
     MachineIndex machine_for(const std::string& name, const std::string& type,
                              const std::string& zone, bool spot, Millis now);
-    AllocationIndex add_allocation(const Allocation& hold);
-    void release(AllocationIndex ix, bool requeue, Millis now);
+    AllocationIndex add_allocation(const Allocation& allocation);
+    void release(AllocationIndex index, bool requeue, Millis now);
     void release_all(MachineIndex machine, std::uint64_t below_session, Millis now);
     void mark_done(JobIndex job, std::uint32_t task, Millis now);
     // A record that is to be written; more urgent jobs first, then older ones.
@@ -299,47 +300,47 @@
     };
     [[nodiscard]] RecordKey record_key(JobIndex job, std::uint32_t number) const;
     [[nodiscard]] std::uint32_t record_of(const Job& job, std::uint32_t task) const;
-    [[nodiscard]] ChunkWrite chunk_write(JobIndex ix, std::uint32_t number);
-    void refine_layout(JobIndex ix);
-    void move_records(JobIndex ix);
-    void drop_superseded(JobIndex ix);
-    void take_lazy_records(std::size_t most, Millis due_now);
-    [[nodiscard]] Chunk* find_chunk(const ChunkWrite& write);
-    [[nodiscard]] bool holds_attempt(const Job& job, const PlacedTask& placed,
-                                     MachineIndex machine) const;
-    void note_replica_exit(AllocationIndex ix, bool failed, Millis now);
+    [[nodiscard]] RecordWrite make_record_write(JobIndex index, std::uint32_t number);
+    void refine_layout(JobIndex index);
+    void move_records(JobIndex index);
+    void drop_superseded(JobIndex index);
+    void take_lazy_records(std::size_t limit, Millis due_now);
+    [[nodiscard]] RecordState* find_record(const RecordWrite& write);
+    [[nodiscard]] bool has_attempt(const Job& job, const PlacedTask& placed,
+                                   MachineIndex machine) const;
+    void note_replica_exit(AllocationIndex index, bool failed, Millis now);
     void wake_replicas(Millis now);
     void stop_replicas(MachineIndex machine, Millis now);
     void mark_dirty(Job& job, std::uint32_t task);
     void mark_lazy(Job& job, std::uint32_t task, Millis now);
-    void stop_allocation(AllocationIndex ix, double grace_s, Millis now);
-    void run_came_to_nothing(AllocationIndex ix, Millis now);
-    void stop_with_gang(AllocationIndex ix, double grace_s, Millis now);
-    void on_exit(AllocationIndex ix, const TaskReport& task, Millis now);
+    void stop_allocation(AllocationIndex index, double grace_s, Millis now);
+    void run_came_to_nothing(AllocationIndex index, Millis now);
+    void stop_with_gang(AllocationIndex index, double grace_s, Millis now);
+    void on_exit(AllocationIndex index, const TaskReport& task, Millis now);
     void note_failure(Job& job, MachineIndex machine, Millis now);
     void note_machine_failure(Job& job, MachineIndex machine, Millis now);
     [[nodiscard]] bool has_run_well(const Job& job, Millis now) const;
     [[nodiscard]] bool only_replicas(const Machine& machine) const;
-    [[nodiscard]] bool holds_replicas(const Machine& machine) const;
+    [[nodiscard]] bool has_replicas(const Machine& machine) const;
     [[nodiscard]] JobFacts facts(const Job& job) const;
     [[nodiscard]] FleetFacts fleet_facts() const;
     [[nodiscard]] bool raise(Machine& machine) const;
     void note_effect(MachineIndex machine, bool reached, int weight, Millis now);
     void note_image(Machine& machine, ImageIndex image);
-    void drop_if_gone(JobIndex ix);
-    void notice(MachineIndex ix, double notice_s, Millis now);
+    void drop_if_gone(JobIndex index);
+    void notice(MachineIndex index, double notice_s, Millis now);
     bool start_allowed(const Job& job,
                        const std::vector<std::pair<std::uint32_t, MachineIndex>>& on,
                        Millis now) const;
     [[nodiscard]] bool usable(const Machine& machine, Millis now) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
-    std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t most) const;
-    [[nodiscard]] Allocation& hold(AllocationIndex ix) { return allocations_[ix]; }
-    void append_commands(MachineIndex ix, bool direct, std::uint64_t heartbeat_seq, bool may_start,
-                         std::vector<Command>& out, Millis now);
+    std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t limit) const;
+    [[nodiscard]] Allocation& allocation(AllocationIndex index) { return allocations_[index]; }
+    void append_commands(MachineIndex index, bool direct, std::uint64_t heartbeat_seq,
+                         bool may_start, std::vector<Command>& out, Millis now);
     void fill_guarantees(Millis now);
     void note_cut_zones(Millis now);
-    [[nodiscard]] bool holds_cancelled(const Machine& machine) const;
+    [[nodiscard]] bool has_cancelled_work(const Machine& machine) const;
     [[nodiscard]] bool in_cut_zone(const Machine& machine) const {
         return machine.zone < zone_cut_.size() && zone_cut_[machine.zone] != 0;
     }
@@ -364,7 +365,7 @@
         Millis at = 0;
     };
     std::map<ClassIndex, Arrivals> arrivals_;
-    std::vector<ClassAims> class_aims_;
+    std::vector<ClassObjectives> class_objectives_;
     std::vector<Millis> team_busy_;  // when the team last had work; -1: never
     double guarantee_s_ = 0;         // how soon work within a guarantee should start
     std::vector<MachineType> type_info_;
@@ -377,8 +378,8 @@
     std::vector<char> zone_cut_;     // nearly all machines of the zone fell silent together
     std::vector<Millis> zone_back_;  // when the zone was cut off last; -1: never
     Millis drained_at_ = -1'000'000;
-    Millis sure_since_ = -1;      // -1: not sure to lead
-    Millis most_silent_at_ = -1;  // when most machines were silent at once last; -1: never
+    Millis sure_since_ = -1;          // -1: not sure to lead
+    Millis majority_silent_at_ = -1;  // when most machines were silent at once last; -1: never
     std::vector<MachineIndex> free_machines_;
     std::vector<AllocationIndex> free_allocations_;
     std::set<RecordKey> dirty_;  // records to write, urgent jobs first
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -30,7 +30,7 @@
             // Its lease ended though its reports came: until something is seen to reach it, nothing
             // is placed there. After a trouble of ours a single command clears it.
             if (machine.session != 0 && machine.life == Machine::Life::Up) {
-                note_effect(mix, false, kDeafMisses, now);
+                note_effect(mix, false, kUnreachableMisses, now);
                 const bool again = now - machine.session_at < settings_.lease_ms * 3;
                 machine.lost_leases = again ? machine.lost_leases + 1 : 1;
                 machine.session_at = now;
@@ -52,7 +52,7 @@
         // A copy of a report may come late by more than a lease, and a new leader cannot tell it
         // from a new one. Only what carries the leader's own token is a sign of life, and the first
         // of all, so that late copies do not hold off the return of a machine that is gone.
-        if (synced || machine.heard_at == 0) machine.heard_at = now;
+        if (synced || machine.last_heartbeat_at == 0) machine.last_heartbeat_at = now;
         if (is_heartbeat && !synced && machine.owed_token_seq != 0 &&
             report.seq > machine.owed_token_seq) {
             note_effect(mix, false, 1, now);
@@ -281,11 +281,11 @@
     return out;
 }
 
-std::vector<std::string> Cluster::machines_with_commands(bool may_start, std::size_t most,
+std::vector<std::string> Cluster::machines_with_commands(bool may_start, std::size_t limit,
                                                          Millis now) {
     // Only machines where something was placed or stopped are looked at, not the fleet.
     std::vector<std::string> out;
-    for (auto it = attention_.begin(); it != attention_.end() && out.size() < most;) {
+    for (auto it = attention_.begin(); it != attention_.end() && out.size() < limit;) {
         ++work_;
         const Machine& machine = machines_[*it];
         bool due = false;
@@ -377,11 +377,11 @@
     }
 }
 
-std::vector<std::string> Cluster::machines_to_ask(std::size_t most, Millis now) {
+std::vector<std::string> Cluster::machines_to_ask(std::size_t limit, Millis now) {
     std::vector<std::string> out;
     // From where the last look ended: asked for a few at a time, a take-over that began anew each
     // time looked at half of the fleet for each machine.
-    for (std::size_t n = machines_.size(); n > 0 && out.size() < most; --n) {
+    for (std::size_t n = machines_.size(); n > 0 && out.size() < limit; --n) {
         if (ask_from_ >= machines_.size()) ask_from_ = 0;
         const auto& machine = machines_[ask_from_++];
         ++work_;
@@ -389,7 +389,7 @@
         if (machine.calling || machine.call_after > now) continue;
         // One that has gone silent is asked directly as well: its way here may be what is broken.
         const bool silent = machine.life == Machine::Life::Up &&
-                            now - machine.heard_at > settings_.report_ms * 3 / 2 + 500;
+                            now - machine.last_heartbeat_at > settings_.report_ms * 3 / 2 + 500;
         if (machine.synced && !silent && machine.unreachable_since == 0) continue;
         out.push_back(machine.name);
     }
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -9,10 +9,10 @@
 
 constexpr Millis kForgetGone = 900'000;
 constexpr Millis kTakenMargin = 1500;
-constexpr int kLostLeases = 3;                 // in a row
-constexpr std::uint32_t kLeastOfAZone = 8;     // fewer may well have ended together
-constexpr std::uint32_t kHeardOfACutZone = 3;  // of so many, less than one is heard
-constexpr Millis kCutPatience = 3;             // leases
+constexpr int kLostLeases = 3;                   // in a row
+constexpr std::uint32_t kMinMachinesOfZone = 8;  // fewer may well have ended together
+constexpr std::uint32_t kCutZoneDivisor = 3;     // of so many, less than one is heard
+constexpr Millis kCutPatience = 3;               // leases
 constexpr Millis kManySilent = 60'000;   // the least time for which many may be silent at once
 constexpr Millis kUnlistedFor = 12'000;  // no list is that late
 constexpr Millis kUnheardMargin = 3000;  // for a question to it that gets no answer
@@ -20,8 +20,8 @@
 // well within the 90 s for which no job may be left waiting beside capacity that fits.
 constexpr double kLongestBackoffSeconds = 30;
 constexpr Millis kReplicaRunsWell = 10'000;
-constexpr std::size_t kMostFailedOn = 16;  // machines that a service keeps off
-constexpr Millis kFailedPause = 3000;  // for which a machine on which a task failed gets no work
+constexpr std::size_t kMaxFailedOn = 16;  // machines that a service keeps off
+constexpr Millis kFailedPause = 3000;     // for which a machine on which a task failed gets no work
 
 }  // namespace
 
@@ -33,7 +33,7 @@
         machine.name = name;
         machine.token = settings_.token;
         machine.first_seen = now;
-        machine.rented_at = now;
+        machine.provisioned_at = now;
         if (free_machines_.empty()) {
             machines_.push_back(std::move(machine));
         } else {
@@ -56,12 +56,12 @@
     return machine.life == Machine::Life::Up && machine.synced && !machine.drain &&
            !machine.taken_at && machine.type != kInvalidIndex && machine.quarantine_until <= now &&
            machine.unreachable_since == 0 &&
-           now - machine.heard_at <= settings_.report_ms * 2 + 500;
+           now - machine.last_heartbeat_at <= settings_.report_ms * 2 + 500;
 }
 
 // Judges a machine by the effect of what it was sent.
 void Cluster::note_effect(MachineIndex mix, bool reached, int weight, Millis now) {
-    if (!settings_.guards.judged_by_effect) return;
+    if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[mix];
     if (reached) {
         machine.misses = 0;
@@ -69,7 +69,7 @@
         return;
     }
     machine.misses += weight;
-    if (machine.misses >= kDeafMisses && machine.unreachable_since == 0)
+    if (machine.misses >= kUnreachableMisses && machine.unreachable_since == 0)
         machine.unreachable_since = now;
 }
 
@@ -97,16 +97,16 @@
 bool Cluster::has_run_well(const Job& job, Millis now) const {
     if (!job.spec.service) return job.done > 0;
     return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& held) {
-        const Allocation& hold = allocations_[held.second];
-        return hold.phase == TaskPhase::Running && hold.running_since > 0 &&
-               now - hold.running_since >= kReplicaRunsWell;
+        const Allocation& allocation = allocations_[held.second];
+        return allocation.phase == TaskPhase::Running && allocation.running_since > 0 &&
+               now - allocation.running_since >= kReplicaRunsWell;
     });
 }
 
 // What fails for several jobs in a row is faulty: it gets no new work and is given up.
 void Cluster::note_machine_failure(Job& job, MachineIndex mix, Millis now) {
     // A service lives for long: what failed for it long ago says nothing any more.
-    if (job.spec.service && job.failed_on.size() >= kMostFailedOn) job.failed_on.clear();
+    if (job.spec.service && job.failed_on.size() >= kMaxFailedOn) job.failed_on.clear();
     job.failed_on.insert(mix);
     if (job.failed_on.size() > 2 && !has_run_well(job, now)) return;
     Machine& machine = machines_[mix];
@@ -141,15 +141,15 @@
         Machine& machine = machines_[mix];
         if (!machine.listed) {
             machine.listed = true;
-            machine.rented_at =
-                std::min(machine.rented_at, now - static_cast<Millis>(listed.age_s * 1000));
+            machine.provisioned_at =
+                std::min(machine.provisioned_at, now - static_cast<Millis>(listed.age_s * 1000));
         }
         if (machine.endpoint.empty()) machine.endpoint = listed.endpoint;
         if (listed.state == ListedMachine::State::Running) machine.running = true;
         if (listed.state == ListedMachine::State::Failed && !machine.failed &&
             machine.life != Machine::Life::Gone) {
             machine.failed = true;
-            machine.life = Machine::Life::Returning;
+            machine.life = Machine::Life::Releasing;
         }
     }
 }
@@ -159,9 +159,9 @@
         // A record names it and newer machines are listed, it is not: it was given back before its
         // tasks were placed anew. Only its return proves that, but nothing has to be waited for.
         if (machine.life == Machine::Life::Booting && !machine.listed &&
-            !machine.allocations.empty() && machine.heard_at == 0 && !names.empty() &&
+            !machine.allocations.empty() && machine.last_heartbeat_at == 0 && !names.empty() &&
             machine.name < *names.rbegin()) {
-            machine.life = Machine::Life::Returning;
+            machine.life = Machine::Life::Releasing;
             continue;
         }
         // A late copy of a report makes a machine look up that was gone before this lead began.
@@ -172,16 +172,17 @@
             continue;
         }
         // Lists go back at times, so silence is asked for as well.
-        if (now - std::max(machine.heard_at, machine.first_seen) > settings_.report_ms * 2 + 2000) {
-            machine.life = Machine::Life::Returning;
+        if (now - std::max(machine.last_heartbeat_at, machine.first_seen) >
+            settings_.report_ms * 2 + 2000) {
+            machine.life = Machine::Life::Releasing;
         }
     }
     // A new leader learns here of machines that it has not heard: nothing is rented beside them.
     note_cut_zones(now);
 }
 
-void Cluster::on_rented(const std::string& type, const std::string& zone, bool spot,
-                        const std::vector<std::string>& names, Millis now) {
+void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
+                             const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) machine_for(name, type, zone, spot, now);
     refused_.erase({types_.intern(type), zones_.intern(zone), spot});
 }
@@ -192,19 +193,20 @@
     until = now + step;
 }
 
-std::vector<std::string> Cluster::next_returns(std::size_t most, Millis now) {
+std::vector<std::string> Cluster::next_releases(std::size_t limit, Millis now) {
     std::vector<std::string> out;
     for (auto& machine : machines_) {
-        if (out.size() >= most) break;
-        if (machine.life != Machine::Life::Returning) continue;
-        if (machine.return_asked != 0 && now - machine.return_asked < 3000) continue;
-        machine.return_asked = now;
+        if (out.size() >= limit) break;
+        if (machine.life != Machine::Life::Releasing) continue;
+        if (machine.release_requested_at != 0 && now - machine.release_requested_at < 3000)
+            continue;
+        machine.release_requested_at = now;
         out.push_back(machine.name);
     }
     return out;
 }
 
-void Cluster::returned(const std::vector<std::string>& names, bool ok, Millis now) {
+void Cluster::on_released(const std::vector<std::string>& names, bool ok, Millis now) {
     if (!ok) return;
     for (const auto& name : names) {
         auto it = machine_ids_.find(name);
@@ -222,11 +224,11 @@
 void Cluster::release_pending(const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) {
         Machine& machine = machines_[machine_for(name, "", "", false, now)];
-        if (machine.life != Machine::Life::Gone) machine.life = Machine::Life::Returning;
+        if (machine.life != Machine::Life::Gone) machine.life = Machine::Life::Releasing;
     }
 }
 
-bool Cluster::holds_tasks(const std::string& name) const {
+bool Cluster::has_tasks(const std::string& name) const {
     const auto it = machine_ids_.find(name);
     return it != machine_ids_.end() && !machines_[it->second].allocations.empty();
 }
@@ -242,13 +244,13 @@
         if (!up && !(machine.life == Machine::Life::Booting && machine.running)) continue;
         auto& [there, heard] = zones[machine.zone];
         ++there;
-        if (up && now - machine.heard_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
+        if (up && now - machine.last_heartbeat_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
     }
     zone_cut_.assign(zones.size(), 0);
     zone_back_.resize(zones.size(), -1);
     for (std::size_t z = 0; z < zones.size(); ++z) {
         const auto [there, heard] = zones[z];
-        zone_cut_[z] = there >= kLeastOfAZone && heard * kHeardOfACutZone < there ? 1 : 0;
+        zone_cut_[z] = there >= kMinMachinesOfZone && heard * kCutZoneDivisor < there ? 1 : 0;
         // The first reports after a cut must not cost those whose report is still to come.
         if (zone_cut_[z] != 0) zone_back_[z] = now;
     }
@@ -271,12 +273,12 @@
         ++up;
         // With a wider bound some still counted as heard when the first were given up, although
         // all had fallen silent at once.
-        if (now - machine.heard_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
+        if (now - machine.last_heartbeat_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
         if (machine.unreachable_since != 0) ++deaf;
         if (machine.lost_leases >= kLostLeases) ++losing;
     }
-    const bool most_silent = heard * 2 < up;
-    if (most_silent) most_silent_at_ = now;
+    const bool majority_silent = heard * 2 < up;
+    if (majority_silent) majority_silent_at_ = now;
     // A report goes missing, the worker waits 4 s for its answer and a second for the next node.
     auto patience = settings_.report_ms * 5 / 4 + 5000 + 1500;
     if (settings_.policy) {
@@ -290,7 +292,7 @@
         if (machine.life == Machine::Life::Gone) {
             // Its place is used again once no late report or list is to be expected; without that
             // a leader of many days would grow without bound.
-            if (machine.name.empty() || now - machine.return_asked < kForgetGone ||
+            if (machine.name.empty() || now - machine.release_requested_at < kForgetGone ||
                 !machine.allocations.empty()) {
                 continue;
             }
@@ -300,46 +302,47 @@
             machine.life = Machine::Life::Gone;
             continue;
         }
-        if (machine.life == Machine::Life::Returning) continue;
+        if (machine.life == Machine::Life::Releasing) continue;
         if (machine.life == Machine::Life::Up) {
             const auto silent_since =
-                std::max({machine.heard_at, expected_since(machine), sure_since_});
+                std::max({machine.last_heartbeat_at, expected_since(machine), sure_since_});
             // Once most are heard again, the others' reports are on their way: their time counts
             // anew.
             const auto silent =
-                now - (most_silent ? silent_since : std::max(silent_since, most_silent_at_));
+                now -
+                (majority_silent ? silent_since : std::max(silent_since, majority_silent_at_));
             // Many silent at once is a cut of ours rather than their fault.
             // Without an answer its lease has ended by then, and its replicas are down: they run
             // elsewhere as soon as its release proves them gone.
-            const auto bound = !in_cut_zone(machine)     ? patience
-                               : holds_replicas(machine) ? std::max(patience, lease_over)
-                                                         : cut_patience;
+            const auto bound = !in_cut_zone(machine)   ? patience
+                               : has_replicas(machine) ? std::max(patience, lease_over)
+                                                       : cut_patience;
             // For ever it is not: a fleet that had shrunk to one hanging machine kept its tasks.
-            const bool many = most_silent && silent <= std::max(cut_patience, kManySilent);
+            const bool many = majority_silent && silent <= std::max(cut_patience, kManySilent);
             if (silent > bound && !many) {
                 if (!settings_.guards.silence_is_no_proof) {
                     const auto mix = static_cast<MachineIndex>(&machine - machines_.data());
                     release_all(mix, std::numeric_limits<std::uint64_t>::max(), now);
                 }
-                machine.life = Machine::Life::Returning;
+                machine.life = Machine::Life::Releasing;
                 lines.push_back("machine " + machine.name + " silent for " +
                                 std::to_string(silent) + " ms, returned");
                 continue;
             }
             // Many deaf at once is a trouble of ours as well.
-            const auto deaf_patience =
+            const auto unreachable_patience =
                 std::max(patience, settings_.lease_ms + settings_.report_ms * 3);
-            if (machine.unreachable_since != 0 && now - machine.unreachable_since > deaf_patience &&
-                deaf * 2 <= up) {
-                machine.life = Machine::Life::Returning;
+            if (machine.unreachable_since != 0 &&
+                now - machine.unreachable_since > unreachable_patience && deaf * 2 <= up) {
+                machine.life = Machine::Life::Releasing;
                 lines.push_back("machine " + machine.name + " is not reached for " +
                                 std::to_string(now - machine.unreachable_since) + " ms, returned");
                 continue;
             }
             // Commands may reach it while answers don't: then its tasks die with each lease.
-            if (settings_.guards.judged_by_effect && machine.lost_leases >= kLostLeases &&
+            if (settings_.guards.command_effect_check && machine.lost_leases >= kLostLeases &&
                 losing * 4 <= up) {
-                machine.life = Machine::Life::Returning;
+                machine.life = Machine::Life::Releasing;
                 lines.push_back("machine " + machine.name +
                                 " loses one lease after the other, returned");
                 continue;
@@ -348,15 +351,15 @@
                 machine.lost_leases = 0;
             }
             if (machine.drain && machine.allocations.empty())
-                machine.life = Machine::Life::Returning;
+                machine.life = Machine::Life::Releasing;
             // Replicas never end by themselves and would keep it for ever.
             if (machine.drain && only_replicas(machine)) {
                 stop_replicas(static_cast<MachineIndex>(&machine - machines_.data()), now);
             }
             // Taken as announced: its place can be rented again before its silence would show.
             if (machine.taken_at && now > *machine.taken_at + kTakenMargin &&
-                machine.heard_at < *machine.taken_at) {
-                machine.life = Machine::Life::Returning;
+                machine.last_heartbeat_at < *machine.taken_at) {
+                machine.life = Machine::Life::Releasing;
                 lines.push_back("machine " + machine.name + " was taken as announced");
                 continue;
             }
@@ -366,7 +369,7 @@
                 // Unwanted and still in doubt: only the machine's return gives certainty.
                 if (h.stop && h.state == Allocation::State::Sent && h.direct_unconfirmed &&
                     now - h.stop_since > settings_.cancel_ms / 3) {
-                    machine.life = Machine::Life::Returning;
+                    machine.life = Machine::Life::Releasing;
                     lines.push_back("machine " + machine.name + " may still get a late run of " +
                                     jobs_[h.job].id + ", returned");
                     break;
@@ -385,16 +388,16 @@
             auto listed_patience = in_cut_zone(machine) ? cut_patience : 2 * patience;
             // Cancelled work that may be there has little time left: it was cancelled under an
             // earlier leader, and a machine that hangs hears no halt.
-            if (!in_cut_zone(machine) && holds_cancelled(machine)) {
+            if (!in_cut_zone(machine) && has_cancelled_work(machine)) {
                 listed_patience =
                     std::min(listed_patience, settings_.report_ms * 5 / 4 + 1000 + kUnheardMargin);
             }
-            const auto least = machine.running ? listed_patience : std::min(limit, 2 * patience);
-            const auto age = machine.running ? known : now - machine.rented_at;
+            const auto minimum = machine.running ? listed_patience : std::min(limit, 2 * patience);
+            const auto age = machine.running ? known : now - machine.provisioned_at;
             const bool stale = !machine.listed && !machine.allocations.empty() &&
                                now - machine.first_seen > patience + 6000;
-            if (stale || (known > least && age > (machine.running ? least : limit))) {
-                machine.life = Machine::Life::Returning;
+            if (stale || (known > minimum && age > (machine.running ? minimum : limit))) {
+                machine.life = Machine::Life::Releasing;
                 lines.push_back("machine " + machine.name + " never came up, returned");
             }
         }
@@ -402,7 +405,7 @@
     return lines;
 }
 
-bool Cluster::holds_replicas(const Machine& machine) const {
+bool Cluster::has_replicas(const Machine& machine) const {
     return std::any_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](AllocationIndex allocation_index) {
                            return jobs_.at(allocations_[allocation_index].job).spec.service;
@@ -417,7 +420,7 @@
                        });
 }
 
-bool Cluster::holds_cancelled(const Machine& machine) const {
+bool Cluster::has_cancelled_work(const Machine& machine) const {
     return std::any_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](AllocationIndex allocation_index) {
                            return jobs_.at(allocations_[allocation_index].job).aborted;
--- a/src/core/plan_builder.cpp
+++ b/src/core/plan_builder.cpp
@@ -12,7 +12,7 @@
     MachineIndex last = 0;
     for (const auto& m : machines_) {
         free_.push_back(m.free);
-        last = std::max(last, m.ix);
+        last = std::max(last, m.index);
         total_ += m.room;
     }
     releasing_.resize(n);
@@ -20,13 +20,13 @@
     reserved_.resize(n);
     planned_fetch_.resize(n);
     position_.resize(n == 0 ? 0 : last + 1);
-    for (std::size_t i = 0; i < n; ++i) position_[machines_[i].ix] = i;
+    for (std::size_t i = 0; i < n; ++i) position_[machines_[i].index] = i;
     for (const auto& item : s_.items) {
-        longest_patience_ = std::max(longest_patience_, item.dear_patience_s);
+        longest_patience_ = std::max(longest_patience_, item.on_demand_patience_s);
     }
     index_allocations();
-    most_hourly_ = 1e-9;
-    for (const auto& type : s_.types) most_hourly_ = std::max(most_hourly_, type.hourly);
+    max_hourly_ = 1e-9;
+    for (const auto& type : s_.types) max_hourly_ = std::max(max_hourly_, type.hourly);
     index_items();
     index_room();
 }
@@ -45,7 +45,7 @@
     if (!warm_reserved_) {
         for (const auto& warm : s_.warm_classes) reserve_places(warm);
     }
-    rent_all();
+    provision_all();
     return_idle();
     drain_some();
     plan_.taken_at = s_.now;
@@ -84,10 +84,10 @@
 void PlanBuilder::index_items() {
     bool any = false;
     const auto smallest = [&](const Resources& need) {
-        if (!any) least_ = need;
+        if (!any) minimum_ = need;
         any = true;
-        least_ = {std::min(least_.cpus, need.cpus), std::min(least_.gpus, need.gpus),
-                  std::min(least_.mem, need.mem)};
+        minimum_ = {std::min(minimum_.cpus, need.cpus), std::min(minimum_.gpus, need.gpus),
+                    std::min(minimum_.mem, need.mem)};
     };
     for (const auto& item : s_.items) {
         item_jobs_.emplace(&item, &s_.jobs.at(item.job));
@@ -103,7 +103,7 @@
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         const auto& m = machines_[i];
         if (claimed_[i] || !(m.usable || m.booting)) continue;
-        if (!room_in(i, Pass::Releasing).covers(least_)) continue;
+        if (!room_in(i, Pass::Releasing).covers(minimum_)) continue;
         if (m.usable) releasing_list_.push_back(i);
         booting_list_.push_back(i);
     }
@@ -121,7 +121,7 @@
                      [](const auto* a, const auto* b) { return a->waited_ms > b->waited_ms; });
     std::map<std::pair<bool, Priority>, std::size_t> of_rank;
     for (const auto* item : starving) {
-        if (of_rank[{item->in_guarantee, spec(*item).priority}]++ < s_.tuning.most_starving) {
+        if (of_rank[{item->in_guarantee, spec(*item).priority}]++ < s_.tuning.max_starving) {
             first_.push_back(item);
         }
     }
@@ -152,10 +152,10 @@
     return items;
 }
 
-std::uint32_t PlanBuilder::team_room(const JobSpec& spec, std::uint32_t most) const {
+std::uint32_t PlanBuilder::team_room(const JobSpec& spec, std::uint32_t limit) const {
     Resources left = s_.teams[spec.team].limit;
     const Resources& used = used_[spec.team];
-    std::int64_t n = most;
+    std::int64_t n = limit;
     if (left.cpus > 0 && spec.need.cpus > 0) {
         n = std::min(n, (left.cpus - used.cpus) / spec.need.cpus);
     }
@@ -170,7 +170,7 @@
     taken_since_ = 0;
     for (auto pass : {Pass::Free, Pass::Releasing, Pass::Booting}) {
         std::erase_if(list_of(pass), [&](std::size_t i) {
-            return claimed_[i] || !room_in(i, pass).covers(least_);
+            return claimed_[i] || !room_in(i, pass).covers(minimum_);
         });
     }
 }
@@ -179,7 +179,7 @@
     const auto& m = machines_[i];
     if (s_.guarantee_s <= 0 || s_.guarantee_s > s_.types[m.type].boot_s) return false;
     Resources rest = total_;
-    rest -= returning_;
+    rest -= scaled_in_;
     rest -= m.room;
     return (s_.kept_guarantee.cpus > 0 && rest.cpus < s_.kept_guarantee.cpus) ||
            (s_.kept_guarantee.gpus > 0 && rest.gpus < s_.kept_guarantee.gpus);
--- a/src/core/plan_builder.h
+++ b/src/core/plan_builder.h
@@ -54,7 +54,7 @@
     void index_items();
     void index_room() {
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (machines_[i].usable && free_[i].covers(least_)) free_list_.push_back(i);
+            if (machines_[i].usable && free_[i].covers(minimum_)) free_list_.push_back(i);
         }
         index_releasing();
     }
@@ -80,7 +80,7 @@
                (spec.zone == kInvalidIndex || spec.zone == m.zone) && (spec.spot || !m.spot);
     }
 
-    std::uint32_t team_room(const JobSpec& spec, std::uint32_t most) const;
+    std::uint32_t team_room(const JobSpec& spec, std::uint32_t limit) const;
     static bool among(const std::vector<ImageIndex>& images, ImageIndex image) {
         return std::find(images.begin(), images.end(), image) != images.end();
     }
@@ -151,7 +151,7 @@
     // a class could displace needs no keeping.
     void keep_warm(const ItemView& item);
     void reserve_places(const WarmClass& warm);
-    bool may_stop(const ItemView& item, std::size_t hold) const;
+    bool may_stop(const ItemView& item, std::size_t allocation) const;
     bool too_late(const ItemView& item, const Choice& choice) const;
     struct Displacement {
         double cost = 0;
@@ -200,7 +200,7 @@
 
     bool take_virtual(const JobSpec& sp, ZoneIndex zone);
     bool add_virtual(const JobSpec& sp, ZoneIndex only_zone, bool spot);
-    void rent_all();
+    void provision_all();
     // What the first of the waiting gangs could use already is kept until the rest has come. Where
     // the cloud has few machines to give they come one by one, and each was idle for long enough to
     // be released before the next one was there; kept for several gangs, none ever got enough.
@@ -218,9 +218,9 @@
     std::uint32_t wait_for_places(const JobSpec& sp, std::uint32_t count, double patience_s);
     // No zone gets more than half of the job: what lies there beyond that, free or rented, is of no
     // use to it. Rented as any other, it got machine after machine in the zone that had room.
-    void rent_apart(const ItemView& item, std::uint32_t count);
+    void provision_apart(const ItemView& item, std::uint32_t count);
     // How many of `count` no machine could be planned for.
-    std::uint32_t rent_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count, bool spot);
+    std::uint32_t provision_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count, bool spot);
     // Where guaranteed work should start sooner than a machine boots, room for the guarantees has
     // to be up already.
     bool kept_for_guarantees(std::size_t i) const;
@@ -239,8 +239,8 @@
     // machine. One at a time took most of an hour to shrink a fleet of a thousand.
     void drain_some();
     void return_idle();
-    static constexpr std::size_t kMostRented = 200;
-    static constexpr std::size_t kMostDrainTried = 16;
+    static constexpr std::size_t kMaxProvisioned = 200;
+    static constexpr std::size_t kMaxDrainTried = 16;
     static constexpr double kFetchToMove = 0.12;
     static constexpr double kMachineCrowding = 2.5;  // less than what the image being there counts
     static constexpr double kZoneCrowding = 0.5;
@@ -265,9 +265,9 @@
     std::vector<char> soon_used_;
     std::vector<char> victim_;
     std::unordered_map<const ItemView*, const JobView*> item_jobs_;
-    Resources least_;  // what asks for least of each
+    Resources minimum_;  // what asks for least of each
     Resources total_;
-    Resources returning_;
+    Resources scaled_in_;
     std::vector<std::size_t> free_list_;
     std::vector<std::size_t> releasing_list_;
     std::vector<std::size_t> booting_list_;
@@ -287,7 +287,7 @@
     bool warm_reserved_ = false;
     bool kept_for_gang_ = false;
     double longest_patience_ = 0;
-    double most_hourly_ = 1;
+    double max_hourly_ = 1;
     Plan plan_;
 };
 
--- a/src/core/plan_draining.cpp
+++ b/src/core/plan_draining.cpp
@@ -7,7 +7,7 @@
 
 bool PlanBuilder::can_empty(std::size_t i) {
     std::vector<std::pair<std::size_t, Resources>> use;
-    const auto give_back = [&] {
+    const auto release = [&] {
         for (auto& [at, need] : use) free_[at] += need;
         return false;
     };
@@ -20,9 +20,9 @@
         const bool moves =
             replica_moves || (sp.checkpoint_s > 0 && sp.spot && sp.save_s < 10 && !sp.apart &&
                               view.ran_ms > s_.tuning.drain_after_ms && view.left_s > 60);
-        if (!moves) return give_back();
+        if (!moves) return release();
         const auto to = place_to_move(i, sp, view.left_s);
-        if (to == machines_.size()) return give_back();
+        if (to == machines_.size()) return release();
         use.emplace_back(to, sp.need);
         free_[to] -= sp.need;
     }
@@ -60,19 +60,19 @@
         if (m.age_ms < 60000 || kept_for_guarantees(i)) continue;
         order.emplace_back(-hourly(i), allocations, i);
     }
-    const auto most =
+    const auto limit =
         1 + static_cast<std::size_t>(s_.tuning.drain_share * static_cast<double>(order.size()));
-    const auto tried = std::min(order.size(), kMostDrainTried + 2 * most);
+    const auto tried = std::min(order.size(), kMaxDrainTried + 2 * limit);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(tried),
                       order.end());
     emptied_.assign(machines_.size(), 0);
-    for (std::size_t k = 0; k < tried && plan_.drains.size() < most; ++k) {
+    for (std::size_t k = 0; k < tried && plan_.drains.size() < limit; ++k) {
         const auto i = std::get<2>(order[k]);
         if (reserved_[i] || kept_for_guarantees(i)) continue;
         emptied_[i] = 1;
         if (can_empty(i)) {
-            plan_.drains.push_back(machines_[i].ix);
-            returning_ += machines_[i].room;
+            plan_.drains.push_back(machines_[i].index);
+            scaled_in_ += machines_[i].room;
         } else {
             emptied_[i] = 0;
         }
@@ -97,8 +97,8 @@
     const auto spare = demands_.empty() ? s_.tuning.spare_machines : 0;
     for (std::size_t k = 0; k + spare < idle.size(); ++k) {
         if (kept_for_guarantees(idle[k])) continue;
-        returning_ += machines_[idle[k]].room;
-        plan_.returns.push_back(machines_[idle[k]].ix);
+        scaled_in_ += machines_[idle[k]].room;
+        plan_.releases.push_back(machines_[idle[k]].index);
     }
 }
 
