--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -25,7 +25,7 @@
     const double left = spec.need.gpus > 0 ? share(room.gpus - spec.need.gpus, m.room.gpus)
                                            : share(room.cpus - spec.need.cpus, m.room.cpus);
     score -= spec.weights.fit * left;
-    score -= spec.weights.price * hourly(i) / most_hourly_;
+    score -= spec.weights.price * hourly(i) / max_hourly_;
     return score;
 }
 
@@ -43,7 +43,7 @@
     if (claimed_[i] || !allows(sp, m)) return false;
     if (zone != kInvalidIndex && m.zone != zone) return false;
     if (sp.one_zone && item.zone != kInvalidIndex && m.zone != item.zone) return false;
-    return std::find(item.avoid.begin(), item.avoid.end(), m.ix) == item.avoid.end();
+    return std::find(item.avoid.begin(), item.avoid.end(), m.index) == item.avoid.end();
 }
 
 Choice PlanBuilder::trial(const ItemView& item, ZoneIndex zone, std::uint32_t count, Pass pass,
@@ -105,7 +105,7 @@
                              const std::vector<std::uint32_t>& zones,
                              const std::vector<std::size_t>& chosen) const {
     const auto there =
-        std::count(item.replicas_on.begin(), item.replicas_on.end(), machines_[i].ix) +
+        std::count(item.replicas_on.begin(), item.replicas_on.end(), machines_[i].index) +
         std::count(chosen.begin(), chosen.end(), i);
     const auto zone = machines_[i].zone;
     const auto in_zone = zone < zones.size() ? zones[zone] : 0;
@@ -152,8 +152,8 @@
     if (!plain(item)) return;
     auto [it, fresh] = failed_.try_emplace(key_of(item));
     if (fresh) it->second.fill(kNever);
-    auto& least = it->second[static_cast<std::size_t>(pass)];
-    least = std::min(least, count);
+    auto& minimum = it->second[static_cast<std::size_t>(pass)];
+    minimum = std::min(minimum, count);
 }
 
 void PlanBuilder::consume(const JobSpec& sp, const Choice& choice, bool reserve) {
@@ -172,7 +172,7 @@
     start.job = item.job;
     start.score = choice.score;
     start.rejected = choice.rejected;
-    for (auto i : choice.machines) start.machines.push_back(machines_[i].ix);
+    for (auto i : choice.machines) start.machines.push_back(machines_[i].index);
     plan_.starts.push_back(std::move(start));
     consume(spec(item), choice, false);
 }
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -5,10 +5,10 @@
 
 namespace lichendrift::core {
 
-bool PlanBuilder::may_stop(const ItemView& item, std::size_t hold) const {
-    const auto& v = *allocation_job_[hold];
+bool PlanBuilder::may_stop(const ItemView& item, std::size_t allocation) const {
+    const auto& v = *allocation_job_[allocation];
     const auto& mine = spec(item);
-    if (s_.allocations[hold].job == item.job) return false;
+    if (s_.allocations[allocation].job == item.job) return false;
     if (v.spec.priority < mine.priority && (item.in_guarantee || !v.in_guarantee)) return true;
     return item.in_guarantee && !v.in_guarantee && v.spec.team != mine.team &&
            s_.teams[mine.team].guarantee != Resources{};
@@ -119,7 +119,7 @@
         releasing_[allocation_at_[h]] += allocation_job_[h]->spec.need;
     };
     for (auto h : choice.victims) {
-        plan_.stops.emplace_back(s_.allocations[h].ix, s_.allocations[h].attempt);
+        plan_.stops.emplace_back(s_.allocations[h].index, s_.allocations[h].attempt);
         plan_.stops_for.push_back(item.job);
         if (!victim_[h]) release(h);
         // Stopping one task of a gang stops the gang.
@@ -134,9 +134,9 @@
     }
     consume(spec(item), choice, true);
     // There may be more room on the way now than when others were tried.
-    for (auto& [key, least] : failed_) {
-        least[static_cast<std::size_t>(Pass::Releasing)] = kNever;
-        least[static_cast<std::size_t>(Pass::Booting)] = kNever;
+    for (auto& [key, minimum] : failed_) {
+        minimum[static_cast<std::size_t>(Pass::Releasing)] = kNever;
+        minimum[static_cast<std::size_t>(Pass::Booting)] = kNever;
     }
 }
 
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -13,7 +13,7 @@
         if (zone != kInvalidIndex && v.zone != zone) continue;
         if (!v.free.covers(sp.need)) continue;
         v.free -= sp.need;
-        if (!v.free.covers(least_)) {
+        if (!v.free.covers(minimum_)) {
             open_virtual_.erase(open_virtual_.begin() + static_cast<std::ptrdiff_t>(k));
         }
         return true;
@@ -22,7 +22,7 @@
 }
 
 bool PlanBuilder::add_virtual(const JobSpec& sp, ZoneIndex only_zone, bool spot) {
-    if (virtual_.size() >= kMostRented) return false;
+    if (virtual_.size() >= kMaxProvisioned) return false;
     count_zones();
     double best = 1e300;
     Virtual pick{kInvalidIndex, kInvalidIndex, false, {}};
@@ -52,10 +52,10 @@
     return true;
 }
 
-void PlanBuilder::rent_all() {
+void PlanBuilder::provision_all() {
     for (auto [item, count] : demands_) {
         const JobSpec& sp = spec(*item);
-        auto left = std::min<std::uint32_t>(count, 2 * kMostRented);
+        auto left = std::min<std::uint32_t>(count, 2 * kMaxProvisioned);
         if (!sp.gang) {
             if (auto choice = best_of(*item, left, Pass::Booting, true); choice.found()) {
                 consume(sp, choice, true);
@@ -68,28 +68,29 @@
         // zone is asked for the rest.
         if (sp.gang && !kept_for_gang_) keep_what_came(*item);
         if (sp.apart && !sp.one_zone && sp.zone == kInvalidIndex) {
-            rent_apart(*item, left);
+            provision_apart(*item, left);
             continue;
         }
         std::vector<ZoneIndex> zones{item->zone};
         if (sp.gang && sp.one_zone && item->zone == kInvalidIndex) zones = zones_by_room(*item);
-        left = wait_for_places(sp, left, item->rent_patience_s);
-        for (auto zone : zones) left = rent_for(sp, zone, left, true);
-        left = wait_for_places(sp, left, item->dear_patience_s);
-        for (auto zone : zones) left = rent_for(sp, zone, left, false);
+        left = wait_for_places(sp, left, item->provision_patience_s);
+        for (auto zone : zones) left = provision_for(sp, zone, left, true);
+        left = wait_for_places(sp, left, item->on_demand_patience_s);
+        for (auto zone : zones) left = provision_for(sp, zone, left, false);
     }
     // Resources to keep warm is rented only where it is cheap.
-    for (auto [sp, count] : warm_demands_) rent_for(*sp, kInvalidIndex, count, sp->spot);
+    for (auto [sp, count] : warm_demands_) provision_for(*sp, kInvalidIndex, count, sp->spot);
     // In the order of what waits: where the cloud has few machines left, the first gets them.
     for (const auto& v : virtual_) {
-        const auto same =
-            std::find_if(plan_.rents.begin(), plan_.rents.end(), [&](const Rent& rent) {
-                return rent.type == v.type && rent.zone == v.zone && rent.spot == v.spot;
+        const auto same = std::find_if(
+            plan_.provisions.begin(), plan_.provisions.end(), [&](const Provision& provision) {
+                return provision.type == v.type && provision.zone == v.zone &&
+                       provision.spot == v.spot;
             });
-        if (same != plan_.rents.end()) {
+        if (same != plan_.provisions.end()) {
             ++same->number;
         } else {
-            plan_.rents.push_back({v.type, v.zone, v.spot, 1});
+            plan_.provisions.push_back({v.type, v.zone, v.spot, 1});
         }
     }
 }
@@ -138,7 +139,7 @@
     return zones;
 }
 
-void PlanBuilder::rent_apart(const ItemView& item, std::uint32_t count) {
+void PlanBuilder::provision_apart(const ItemView& item, std::uint32_t count) {
     const JobSpec& sp = spec(item);
     const std::uint32_t half = (sp.count + 1) / 2;
     std::vector<std::int64_t> fit(s_.zones);
@@ -151,23 +152,23 @@
     std::vector<std::uint32_t> open(s_.zones);  // how many more each zone may take
     for (ZoneIndex z = 0; z < s_.zones; ++z) {
         const auto there = z < item.zone_counts.size() ? item.zone_counts[z] : 0;
-        const auto most = half - std::min(half, there);
-        const auto have = static_cast<std::uint32_t>(std::min<std::int64_t>(most, fit[z]));
-        open[z] = most - have;
+        const auto limit = half - std::min(half, there);
+        const auto have = static_cast<std::uint32_t>(std::min<std::int64_t>(limit, fit[z]));
+        open[z] = limit - have;
         count -= std::min(count, have);
     }
     for (const bool spot : {true, false}) {
         for (ZoneIndex z = 0; z < s_.zones; ++z) {
             const auto ask = std::min(count, open[z]);
-            const auto got = ask - rent_for(sp, z, ask, spot);
+            const auto got = ask - provision_for(sp, z, ask, spot);
             open[z] -= got;
             count -= got;
         }
     }
 }
 
-std::uint32_t PlanBuilder::rent_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count,
-                                    bool spot) {
+std::uint32_t PlanBuilder::provision_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count,
+                                         bool spot) {
     for (; count > 0; --count) {
         if (take_virtual(sp, zone)) continue;
         if (!add_virtual(sp, zone, spot)) break;
--- a/src/core/plan_reservations.cpp
+++ b/src/core/plan_reservations.cpp
@@ -79,8 +79,8 @@
         }
         if (fit >= count && until_s < best_s) best_s = until_s, best = mine;
     }
-    const auto most = s_.tuning.claimed_share * static_cast<double>(machines_.size()) + 1;
-    if (static_cast<double>(claims_ + best.size()) > most && claims_ > 0) return;
+    const auto limit = s_.tuning.claimed_share * static_cast<double>(machines_.size()) + 1;
+    if (static_cast<double>(claims_ + best.size()) > limit && claims_ > 0) return;
     for (auto i : best) claimed_[i] = true;
     claims_ += best.size();
 }
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -35,11 +35,11 @@
 };
 
 struct PlannerTuning {
-    double warm_s = 20;             // arrivals of so long find a free place
-    Millis starving_ms = 60000;     // a gang that waits longer, an array that waits twice as long,
-                                    // goes first among equals and claims room
-    bool claims = true;             // off in tests only
-    std::size_t most_starving = 8;  // of each rank, those that waited longest
+    double warm_s = 20;            // arrivals of so long find a free place
+    Millis starving_ms = 60000;    // a gang that waits longer, an array that waits twice as long,
+                                   // goes first among equals and claims room
+    bool claims = true;            // off in tests only
+    std::size_t max_starving = 8;  // of each rank, those that waited longest
     std::uint32_t starving_tasks = 4;  // of an array, at a time: it begins, and others do as well
     double claimed_share = 0.3;        // of the fleet, for all claims together
     std::uint32_t spare_machines = 1;
@@ -50,7 +50,7 @@
 };
 
 struct MachineView {
-    MachineIndex ix = kInvalidIndex;
+    MachineIndex index = kInvalidIndex;
     TypeIndex type = kInvalidIndex;
     ZoneIndex zone = kInvalidIndex;
     bool spot = false;
@@ -67,7 +67,7 @@
 };
 
 struct AllocationView {
-    AllocationIndex ix = kInvalidIndex;
+    AllocationIndex index = kInvalidIndex;
     std::uint64_t attempt = 0;
     MachineIndex machine = kInvalidIndex;
     JobIndex job = kInvalidIndex;
@@ -86,8 +86,8 @@
     Millis waited_ms = 0;
     double slack_s = 0;                      // until its deadline, less its estimate
     double order_s = 0;                      // among equals, smaller first
-    double rent_patience_s = 20;             // a place that is free that soon needs no new machine
-    double dear_patience_s = 60;             // the same before an ordinary machine is rented
+    double provision_patience_s = 20;        // a place that is free that soon needs no new machine
+    double on_demand_patience_s = 60;        // the same before an ordinary machine is rented
     ZoneIndex zone = kInvalidIndex;          // where its other tasks are, with one_zone
     std::vector<std::uint32_t> zone_counts;  // with apart and for services; may be empty
     std::vector<MachineIndex> replicas_on;   // of a service: where its other replicas are
@@ -132,7 +132,7 @@
     std::vector<ZoneIndex> rejected;  // candidate zones that did not fit the whole
 };
 
-struct Rent {
+struct Provision {
     TypeIndex type = kInvalidIndex;
     ZoneIndex zone = kInvalidIndex;
     bool spot = false;
@@ -143,8 +143,8 @@
     std::vector<Start> starts;
     std::vector<std::pair<AllocationIndex, std::uint64_t>> stops;  // with the attempt meant
     std::vector<JobIndex> stops_for;  // for each stop, who gets the room
-    std::vector<Rent> rents;
-    std::vector<MachineIndex> returns;
+    std::vector<Provision> provisions;
+    std::vector<MachineIndex> releases;
     std::vector<MachineIndex> drains;  // emptied, then returned
     bool short_of_room = false;        // something that may run found no place
     Millis taken_at = 0;               // when its snapshot was taken
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -63,8 +63,8 @@
     virtual Weights weights(const JobFacts& job) = 0;
     virtual double starving_s(const JobFacts& job) = 0;
     virtual double order_s(const JobFacts& job) = 0;  // among equals, smaller first
-    virtual double rent_patience_s(const JobFacts& job) = 0;
-    virtual double dear_patience_s(const JobFacts& job) = 0;
+    virtual double provision_patience_s(const JobFacts& job) = 0;
+    virtual double on_demand_patience_s(const JobFacts& job) = 0;
     virtual double retry_s(const JobFacts& job) = 0;
     virtual double idle_keep_s(const MachineFacts& machine, const FleetFacts& fleet) = 0;
     virtual double silent_s(const FleetFacts& fleet) = 0;
--- a/src/core/record_layout.h
+++ b/src/core/record_layout.h
@@ -22,19 +22,21 @@
 }
 
 // How many tasks a record of a layout allocations.
-[[nodiscard]] constexpr std::uint32_t span_of(std::uint32_t layout, std::uint32_t chunk_tasks) {
-    return layout == 0 ? chunk_tasks : kFineSpans.at(layout - 1);
+[[nodiscard]] constexpr std::uint32_t span_of(std::uint32_t layout,
+                                              std::uint32_t tasks_per_record) {
+    return layout == 0 ? tasks_per_record : kFineSpans.at(layout - 1);
 }
 
 // The record that allocations a task.
 [[nodiscard]] constexpr std::uint32_t record_number(std::uint32_t layout, std::uint32_t task,
-                                                    std::uint32_t chunk_tasks) {
-    return layout * kNumbersOfALayout + task / span_of(layout, chunk_tasks);
+                                                    std::uint32_t tasks_per_record) {
+    return layout * kNumbersOfALayout + task / span_of(layout, tasks_per_record);
 }
 
 // The first task that a record allocations.
-[[nodiscard]] constexpr std::uint32_t first_task(std::uint32_t number, std::uint32_t chunk_tasks) {
-    return number % kNumbersOfALayout * span_of(layout_of(number), chunk_tasks);
+[[nodiscard]] constexpr std::uint32_t first_task(std::uint32_t number,
+                                                 std::uint32_t tasks_per_record) {
+    return number % kNumbersOfALayout * span_of(layout_of(number), tasks_per_record);
 }
 
 }  // namespace lichendrift::core
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -8,7 +8,7 @@
 
 constexpr Millis kLazyDelay = 8000;
 constexpr Millis kRefusedPause = 2000;
-constexpr Millis kLazyAtMost = 20000;  // beyond that delay, even if other writes wait
+constexpr Millis kMaxLazyDelay = 20000;  // beyond that delay, even if other writes wait
 
 constexpr std::uint8_t kUrgentRank = 0;
 
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-void Cluster::load_record(const std::string& job_id, std::uint32_t chunk,
-                          const PlacementRecord& record, std::uint64_t rev, Millis now) {
+void Cluster::load_record(const std::string& job_id, std::uint32_t record_number,
+                          const PlacementRecord& record, std::uint64_t revision, Millis now) {
     auto found = job_ids_.find(job_id);
     if (found == job_ids_.end()) return;
     Job& job = jobs_[found->second];
-    job.chunks[chunk].rev = rev;
-    job.chunks[chunk].nonce = record.nonce;
-    job.layout = std::max(job.layout, std::min(layout_of(chunk), kFinestLayout));
+    job.record_numbers[record_number].revision = revision;
+    job.record_numbers[record_number].nonce = record.nonce;
+    job.layout = std::max(job.layout, std::min(layout_of(record_number), kFinestLayout));
     auto tried = [&](std::uint32_t task) {
         while (job.next_fresh <= task) job.again.insert(job.next_fresh++);
     };
@@ -59,112 +59,112 @@
         if (placed.task >= job.spec.count) continue;
         const auto machine = machine_for(placed.machine, "", "", false, now);
         // Records of two layouts may both name it, if a leader ended between writing them.
-        if (holds_attempt(job, placed, machine)) continue;
+        if (has_attempt(job, placed, machine)) continue;
         job.started_at = now;
         tried(placed.task);
         job.again.erase(placed.task);
-        Allocation hold;
-        hold.job = found->second;
-        hold.task = placed.task;
-        hold.attempt = placed.attempt;
-        hold.machine = machine;
-        hold.session = placed.session;
+        Allocation allocation;
+        allocation.job = found->second;
+        allocation.task = placed.task;
+        allocation.attempt = placed.attempt;
+        allocation.machine = machine;
+        allocation.session = placed.session;
         // An earlier leader may have started it: only a report can tell.
-        hold.state = Allocation::State::Seen;
-        hold.since = now;
-        hold.stop = job.over;
-        add_allocation(hold);
+        allocation.state = Allocation::State::Seen;
+        allocation.since = now;
+        allocation.stop = job.over;
+        add_allocation(allocation);
     }
 }
 
-bool Cluster::holds_attempt(const Job& job, const PlacedTask& placed, MachineIndex machine) const {
+bool Cluster::has_attempt(const Job& job, const PlacedTask& placed, MachineIndex machine) const {
     const auto [from, to] = job.allocations.equal_range(placed.task);
     return std::any_of(from, to, [&](const auto& held) {
-        const Allocation& hold = allocations_[held.second];
-        return hold.attempt == placed.attempt && hold.machine == machine;
+        const Allocation& allocation = allocations_[held.second];
+        return allocation.attempt == placed.attempt && allocation.machine == machine;
     });
 }
 
 void Cluster::records_loaded() {
     records_to_come_ = false;
     std::vector<JobIndex> over;
-    for (auto& [ix, job] : jobs_) {
-        if (job.over) over.push_back(ix);
-        const bool earlier =
-            !job.chunks.empty() && layout_of(job.chunks.begin()->first) < job.layout;
-        if (!job.over && earlier) move_records(ix);
+    for (auto& [index, job] : jobs_) {
+        if (job.over) over.push_back(index);
+        const bool earlier = !job.record_numbers.empty() &&
+                             layout_of(job.record_numbers.begin()->first) < job.layout;
+        if (!job.over && earlier) move_records(index);
     }
-    for (auto ix : over) drop_if_gone(ix);
+    for (auto index : over) drop_if_gone(index);
 }
 
 // ---- layouts, see core/record_layout.h ----
 
 std::uint32_t Cluster::record_of(const Job& job, std::uint32_t task) const {
-    return record_number(job.layout, task, settings_.chunk_tasks);
+    return record_number(job.layout, task, settings_.tasks_per_record);
 }
 
-void Cluster::refine_layout(JobIndex ix) {
-    Job& job = jobs_.at(ix);
+void Cluster::refine_layout(JobIndex index) {
+    Job& job = jobs_.at(index);
     ++job.layout;
-    move_records(ix);
+    move_records(index);
 }
 
 // Has all that is known of a job written to records of its present layout; the earlier ones are
 // removed once these are durable. A leader that ends in between leaves records of both. They name
 // at least every allocation that there is, and what they name beyond that is found gone by the
 // machines' reports, so nothing runs twice.
-void Cluster::move_records(JobIndex ix) {
-    Job& job = jobs_.at(ix);
+void Cluster::move_records(JobIndex index) {
+    Job& job = jobs_.at(index);
     bool earlier = false;
-    for (auto& [number, chunk] : job.chunks) {
+    for (auto& [number, record_number] : job.record_numbers) {
         if (layout_of(number) >= job.layout) continue;
-        chunk.dirty = false;
-        chunk.lazy_at = 0;
-        earlier |= chunk.rev != 0 || chunk.writing;
+        record_number.dirty = false;
+        record_number.lazy_at = 0;
+        earlier |= record_number.revision != 0 || record_number.writing;
     }
     std::set<std::uint32_t> needed;
-    for (const auto& [task, hold] : job.allocations) needed.insert(record_of(job, task));
+    for (const auto& [task, allocation] : job.allocations) needed.insert(record_of(job, task));
     for (std::uint32_t task = 0; task < job.spec.count && job.done > 0; ++task) {
         if (job.done_flags[task] != 0) needed.insert(record_of(job, task));
     }
     job.to_move.clear();
     for (auto number : needed) {
-        job.chunks[number].dirty = true;
-        dirty_.insert(record_key(ix, number));
+        job.record_numbers[number].dirty = true;
+        dirty_.insert(record_key(index, number));
         if (earlier) job.to_move.insert(number);
     }
-    if (earlier) drop_superseded(ix);
+    if (earlier) drop_superseded(index);
 }
 
-void Cluster::drop_superseded(JobIndex ix) {
-    Job& job = jobs_.at(ix);
+void Cluster::drop_superseded(JobIndex index) {
+    Job& job = jobs_.at(index);
     if (!job.to_move.empty()) return;
-    for (auto it = job.chunks.begin(); it != job.chunks.end();) {
+    for (auto it = job.record_numbers.begin(); it != job.record_numbers.end();) {
         // A write in flight may still create the record: it is removed when that is known.
         if (layout_of(it->first) >= job.layout || it->second.writing) {
             ++it;
             continue;
         }
-        if (it->second.rev != 0) {
+        if (it->second.revision != 0) {
             orphans_.push_back("place/" + job.id + "/" + std::to_string(it->first));
         }
-        it = job.chunks.erase(it);
+        it = job.record_numbers.erase(it);
     }
 }
 
 // ---- writing ----
 
-Cluster::RecordKey Cluster::record_key(JobIndex ix, std::uint32_t number) const {
-    const JobSpec& spec = jobs_.at(ix).spec;
-    if (spec.service) return {kUrgentRank, ix, number};
+Cluster::RecordKey Cluster::record_key(JobIndex index, std::uint32_t number) const {
+    const JobSpec& spec = jobs_.at(index).spec;
+    if (spec.service) return {kUrgentRank, index, number};
     const auto below =
         static_cast<std::uint8_t>(Priority::Critical) - static_cast<std::uint8_t>(spec.priority);
-    return {static_cast<std::uint8_t>(kUrgentRank + below), ix, number};
+    return {static_cast<std::uint8_t>(kUrgentRank + below), index, number};
 }
 
 void Cluster::mark_dirty(Job& job, std::uint32_t task) {
     const auto number = record_of(job, task);
-    job.chunks[number].dirty = true;
+    job.record_numbers[number].dirty = true;
     dirty_.insert(record_key(job_ids_[job.id], number));
 }
 
@@ -172,27 +172,27 @@
 // service allows few. Until it is durable, the worker keeps the result.
 void Cluster::mark_lazy(Job& job, std::uint32_t task, Millis now) {
     const auto number = record_of(job, task);
-    Chunk& chunk = job.chunks[number];
-    if (chunk.lazy_at != 0) return;
-    chunk.lazy_at = now + kLazyDelay;
-    lazy_.emplace(chunk.lazy_at, job_ids_[job.id], number);
+    RecordState& record_number = job.record_numbers[number];
+    if (record_number.lazy_at != 0) return;
+    record_number.lazy_at = now + kLazyDelay;
+    lazy_.emplace(record_number.lazy_at, job_ids_[job.id], number);
 }
 
 // What a record has to say now.
-ChunkWrite Cluster::chunk_write(JobIndex ix, std::uint32_t number) {
-    const Job& job = jobs_.at(ix);
-    const auto found = job.chunks.find(number);
-    ChunkWrite write;
-    write.job = ix;
-    write.chunk = number;
+RecordWrite Cluster::make_record_write(JobIndex index, std::uint32_t number) {
+    const Job& job = jobs_.at(index);
+    const auto found = job.record_numbers.find(number);
+    RecordWrite write;
+    write.job = index;
+    write.record_number = number;
     write.job_id = job.id;
-    write.rev = found == job.chunks.end() ? 0 : found->second.rev;
-    write.open_rev = job.open_rev;
-    write.urgent = record_key(ix, number).rank == kUrgentRank;
+    write.revision = found == job.record_numbers.end() ? 0 : found->second.revision;
+    write.open_revision = job.open_revision;
+    write.urgent = record_key(index, number).rank == kUrgentRank;
     write.record.term = settings_.token;
     write.record.nonce = settings_.token * 1'000'000 + ++nonces_;
-    const auto first = first_task(number, settings_.chunk_tasks);
-    const auto span = span_of(layout_of(number), settings_.chunk_tasks);
+    const auto first = first_task(number, settings_.tasks_per_record);
+    const auto span = span_of(layout_of(number), settings_.tasks_per_record);
     const auto last = std::min(first + span, job.spec.count);
     for (auto held = job.allocations.lower_bound(first);
          held != job.allocations.end() && held->first < last; ++held) {
@@ -212,27 +212,29 @@
 }
 
 // Records of which only done tasks are to be told become due.
-void Cluster::take_lazy_records(std::size_t most, Millis due_now) {
-    while (dirty_.size() < most && !lazy_.empty() && std::get<0>(*lazy_.begin()) <= due_now) {
+void Cluster::take_lazy_records(std::size_t limit, Millis due_now) {
+    while (dirty_.size() < limit && !lazy_.empty() && std::get<0>(*lazy_.begin()) <= due_now) {
         const auto [due, jix, number] = *lazy_.begin();
         lazy_.erase(lazy_.begin());
         auto found = jobs_.find(jix);
         if (found == jobs_.end()) continue;
-        const auto chunk = found->second.chunks.find(number);
+        const auto record_number = found->second.record_numbers.find(number);
         // Written since with something else, or of an earlier layout.
-        if (chunk == found->second.chunks.end() || chunk->second.lazy_at != due) continue;
-        chunk->second.lazy_at = 0;
-        chunk->second.dirty = true;
+        if (record_number == found->second.record_numbers.end() ||
+            record_number->second.lazy_at != due)
+            continue;
+        record_number->second.lazy_at = 0;
+        record_number->second.dirty = true;
         dirty_.insert(record_key(jix, number));
     }
 }
 
-std::vector<ChunkWrite> Cluster::next_chunk_writes(const RecordLimits& limits, bool lazy,
-                                                   Millis now) {
-    std::vector<ChunkWrite> out;
+std::vector<RecordWrite> Cluster::next_record_writes(const RecordLimits& limits, bool lazy,
+                                                     Millis now) {
+    std::vector<RecordWrite> out;
     std::size_t bytes = 0;
     // Put off for ever, reports would grow by every result that their workers still keep.
-    take_lazy_records(limits.records, lazy ? now : now - kLazyAtMost);
+    take_lazy_records(limits.records, lazy ? now : now - kMaxLazyDelay);
     for (auto it = dirty_.begin();
          it != dirty_.end() && out.size() < limits.records && bytes < limits.bytes;) {
         const auto [rank, jix, number] = *it;
@@ -246,18 +248,19 @@
             continue;
         }
         Job& job = found->second;
-        const auto entry = job.chunks.find(number);
-        if (entry == job.chunks.end() || !entry->second.dirty) {
+        const auto entry = job.record_numbers.find(number);
+        if (entry == job.record_numbers.end() || !entry->second.dirty) {
             it = dirty_.erase(it);
             continue;
         }
-        Chunk& chunk = entry->second;
-        if (chunk.writing || chunk.retry_at > now || job.finishing || job.done == job.spec.count) {
+        RecordState& record_number = entry->second;
+        if (record_number.writing || record_number.retry_at > now || job.finishing ||
+            job.done == job.spec.count) {
             ++it;
             continue;
         }
         it = dirty_.erase(it);
-        auto write = chunk_write(jix, number);
+        auto write = make_record_write(jix, number);
         const auto size = value_bytes(write.record);
         if (size > limits.value_bytes && limits.may_refine && job.layout < kFinestLayout) {
             // Its new records come later in the list.
@@ -267,85 +270,88 @@
         }
         // What the service and the transaction can't take together goes with the next one.
         bytes += 200 + size;
-        chunk.writing = true;
-        chunk.dirty = false;
-        chunk.lazy_at = 0;
+        record_number.writing = true;
+        record_number.dirty = false;
+        record_number.lazy_at = 0;
         out.push_back(std::move(write));
     }
     return out;
 }
 
-void Cluster::chunk_written(const ChunkWrite& write, bool ok, std::uint64_t rev, Millis now) {
+void Cluster::on_record_written(const RecordWrite& write, bool ok, std::uint64_t revision,
+                                Millis now) {
     auto it = jobs_.find(write.job);
     if (it == jobs_.end()) return;
     Job& job = it->second;
-    Chunk& chunk = job.chunks[write.chunk];
-    chunk.writing = false;
+    RecordState& record_number = job.record_numbers[write.record_number];
+    record_number.writing = false;
     // Of an earlier layout: the records of the present one say the same and are on their way.
-    const bool superseded = layout_of(write.chunk) < job.layout;
+    const bool superseded = layout_of(write.record_number) < job.layout;
     if (!ok && superseded) return drop_superseded(write.job);
     if (!ok) {
-        chunk.dirty = true;
-        dirty_.insert(record_key(write.job, write.chunk));
-        chunk.retry_at = now + 300;
+        record_number.dirty = true;
+        dirty_.insert(record_key(write.job, write.record_number));
+        record_number.retry_at = now + 300;
         return;
     }
-    chunk.rev = rev;
-    chunk.nonce = write.record.nonce;
+    record_number.revision = revision;
+    record_number.nonce = write.record.nonce;
     for (auto [first, last] : write.record.done) {
         for (auto t = first; t <= last; ++t) job.done_flags[t] = 2;
     }
     for (const auto& placed : write.record.placed) {
         auto [from, to] = job.allocations.equal_range(placed.task);
         for (auto h = from; h != to; ++h) {
-            Allocation& hold = allocations_[h->second];
-            if (hold.attempt == placed.attempt && hold.state == Allocation::State::Planned) {
-                hold.state = Allocation::State::Ready;
+            Allocation& allocation = allocations_[h->second];
+            if (allocation.attempt == placed.attempt &&
+                allocation.state == Allocation::State::Planned) {
+                allocation.state = Allocation::State::Ready;
             }
         }
     }
     if (job.spec.gang) {
         // A gang in several records starts only once all of them are durable.
         bool all = true;
-        for (auto& [number, other] : job.chunks) all &= !other.dirty && !other.writing;
+        for (auto& [number, other] : job.record_numbers) all &= !other.dirty && !other.writing;
         for (auto& [task, allocation_index] : job.allocations) {
             Allocation& h = allocations_[allocation_index];
             if (!all && h.state == Allocation::State::Ready) h.state = Allocation::State::Planned;
             if (all && h.state == Allocation::State::Planned) h.state = Allocation::State::Ready;
         }
     }
-    job.to_move.erase(write.chunk);
-    if (job.layout > 0 && job.chunks.begin()->first < job.layout * kNumbersOfALayout) {
+    job.to_move.erase(write.record_number);
+    if (job.layout > 0 && job.record_numbers.begin()->first < job.layout * kNumbersOfALayout) {
         drop_superseded(write.job);
     }
 }
 
 // A job that is over, as the state service has it, is kept out of the next batches, which would
 // fail whole for it, until the final word is known here. The others of its batch need not wait.
-void Cluster::chunk_refused(const ChunkWrite& write, bool job_over, Millis now) {
-    chunk_written(write, false, 0, now);
-    if (auto* chunk = find_chunk(write)) chunk->retry_at = now + (job_over ? kRefusedPause : 0);
+void Cluster::on_record_refused(const RecordWrite& write, bool job_over, Millis now) {
+    on_record_written(write, false, 0, now);
+    if (auto* record_number = find_record(write))
+        record_number->retry_at = now + (job_over ? kRefusedPause : 0);
 }
 
-void Cluster::chunk_reread(const ChunkWrite& write, std::uint64_t rev, std::uint64_t nonce,
-                           Millis now) {
+void Cluster::on_record_reread(const RecordWrite& write, std::uint64_t revision,
+                               std::uint64_t nonce, Millis now) {
     if (nonce == write.record.nonce) {
-        chunk_written(write, true, rev, now);
+        on_record_written(write, true, revision, now);
         return;
     }
-    if (auto* chunk = find_chunk(write)) chunk->rev = rev;
-    chunk_written(write, false, 0, now);
-    if (auto* chunk = find_chunk(write)) chunk->retry_at = now;
+    if (auto* record_number = find_record(write)) record_number->revision = revision;
+    on_record_written(write, false, 0, now);
+    if (auto* record_number = find_record(write)) record_number->retry_at = now;
 }
 
-Chunk* Cluster::find_chunk(const ChunkWrite& write) {
+RecordState* Cluster::find_record(const RecordWrite& write) {
     const auto job = jobs_.find(write.job);
     if (job == jobs_.end()) return nullptr;
-    const auto chunk = job->second.chunks.find(write.chunk);
-    return chunk == job->second.chunks.end() ? nullptr : &chunk->second;
+    const auto record_number = job->second.record_numbers.find(write.record_number);
+    return record_number == job->second.record_numbers.end() ? nullptr : &record_number->second;
 }
 
-std::optional<FinalWrite> Cluster::next_final_write(std::size_t most_chunks, Millis now) {
+std::optional<FinalWrite> Cluster::next_final_write(std::size_t max_records, Millis now) {
     for (auto it = all_done_.begin(); it != all_done_.end();) {
         ++work_;
         const auto jix = *it;
@@ -361,12 +367,13 @@
         FinalWrite write;
         write.job = jix;
         write.job_id = job.id;
-        write.open_rev = job.open_rev;
+        write.open_revision = job.open_revision;
         write.with_job = !job.allocations.empty();
         if (job.allocations.empty()) {
-            for (auto& [number, chunk] : job.chunks) {
-                if (chunk.rev == 0 || chunk.writing) continue;
-                if (write.chunks.size() < most_chunks) write.chunks.push_back(number);
+            for (auto& [number, record_number] : job.record_numbers) {
+                if (record_number.revision == 0 || record_number.writing) continue;
+                if (write.record_numbers.size() < max_records)
+                    write.record_numbers.push_back(number);
             }
         }
         return write;
@@ -382,15 +389,15 @@
         it->second.finish_retry_at = now + 300;
         return;
     }
-    for (auto number : write.chunks) it->second.chunks[number].rev = 0;
-    for (auto& [number, chunk] : it->second.chunks) chunk.dirty = false;
+    for (auto number : write.record_numbers) it->second.record_numbers[number].revision = 0;
+    for (auto& [number, record_number] : it->second.record_numbers) record_number.dirty = false;
     const auto id = write.job_id;
     job_over(id, false, now);
 }
 
-std::vector<std::string> Cluster::next_orphans(std::size_t most) {
+std::vector<std::string> Cluster::next_orphans(std::size_t limit) {
     if (!orphans_writing_.empty() || orphans_.empty()) return {};
-    const auto n = std::min(most, orphans_.size());
+    const auto n = std::min(limit, orphans_.size());
     orphans_writing_.assign(orphans_.end() - static_cast<std::ptrdiff_t>(n), orphans_.end());
     orphans_.resize(orphans_.size() - n);
     return orphans_writing_;
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -11,30 +11,30 @@
 constexpr std::size_t kMachinesThatProveAMistake = 3;
 constexpr double kReplicaSlack = 2;  // seconds
 // Expected while capacity is kept warm for a class; for fewer none is.
-constexpr double kLeastTasksSoon = 0.15;
-constexpr double kLeastReplicasSoon = 0.5;
+constexpr double kMinTasksSoon = 0.15;
+constexpr double kMinReplicasSoon = 0.5;
 
 // Seconds left until the next aim that can still be met is lost. What has lost them all waits like
 // something with moderate time left, and less the longer it waits: it neither goes before what can
 // still be in time nor starves behind newcomers whose aims lie ahead.
-double slack_of(const JobSpec& spec, const ClassAims& aims, double age_s, double fetch_s,
-                double guarantee_s, double waited_s) {
+double slack_of(const JobSpec& spec, const ClassObjectives& objectives, double age_s,
+                double fetch_s, double guarantee_s, double waited_s) {
     constexpr double kEstimateRoom = 1.4;  // estimates are often wrong by half
-    constexpr double kNoAim = 120;
+    constexpr double kNoObjective = 120;
     constexpr double kAllLost = 30;
     const double takes_s = spec.estimate_s * kEstimateRoom + fetch_s;
     double slack = 1e9;
     bool any = false;
-    const auto aim = [&](double left_s) {
+    const auto objective = [&](double left_s) {
         any = true;
         if (left_s > -1) slack = std::min(slack, left_s);
     };
-    for (double s : aims.start_within_s) aim(s - age_s);
-    if (guarantee_s > 0) aim(guarantee_s - age_s);
-    for (double s : aims.finish_within_s) aim(s - age_s - takes_s);
-    if (spec.deadline_s) aim(*spec.deadline_s - age_s - takes_s);
+    for (double s : objectives.start_within_s) objective(s - age_s);
+    if (guarantee_s > 0) objective(guarantee_s - age_s);
+    for (double s : objectives.finish_within_s) objective(s - age_s - takes_s);
+    if (spec.deadline_s) objective(*spec.deadline_s - age_s - takes_s);
     if (slack < 1e9) return slack;
-    return any ? kAllLost - std::max(0.0, waited_s - 150) / 4 : kNoAim - age_s;
+    return any ? kAllLost - std::max(0.0, waited_s - 150) / 4 : kNoObjective - age_s;
 }
 
 }  // namespace
@@ -125,8 +125,8 @@
             arrivals.rate * std::exp(-static_cast<double>(now - arrivals.at) / kRateFor);
         // A class that has not been seen for minutes needs nothing kept.
         // Nor does a single service, which stays for long, say that another one comes soon.
-        const double least = arrivals.spec.service ? kLeastReplicasSoon : kLeastTasksSoon;
-        if (rate * s.tuning.warm_s < least) continue;
+        const double minimum = arrivals.spec.service ? kMinReplicasSoon : kMinTasksSoon;
+        if (rate * s.tuning.warm_s < minimum) continue;
         const auto places = static_cast<std::uint32_t>(std::ceil(rate * s.tuning.warm_s));
         s.warm_classes.push_back({arrivals.spec, std::min(places, 8U)});
     }
@@ -149,12 +149,12 @@
     }
     for (MachineIndex mix = 0; mix < machines_.size(); ++mix) {
         const Machine& machine = machines_[mix];
-        if (machine.life == Machine::Life::Gone || machine.life == Machine::Life::Returning) {
+        if (machine.life == Machine::Life::Gone || machine.life == Machine::Life::Releasing) {
             continue;
         }
         if (machine.type == kInvalidIndex) continue;
         MachineView view;
-        view.ix = mix;
+        view.index = mix;
         view.type = machine.type;
         view.zone = machine.zone;
         view.spot = machine.spot;
@@ -163,7 +163,7 @@
         view.free = view.room;
         view.free -= machine.used;
         view.idle_ms = machine.allocations.empty() ? now - machine.idle_since : 0;
-        view.age_ms = now - machine.rented_at;
+        view.age_ms = now - machine.provisioned_at;
         if (machine.allocations.empty()) {
             view.keep_ms = machine.spot ? 45000 : 10000;
             if (policy != nullptr) {
@@ -184,7 +184,7 @@
         } else if (!view.usable) {
             // Not heard under this token yet, or resting: it will most likely be usable soon.
             view.booting = !machine.drain && !machine.taken_at &&
-                           now - std::max(machine.heard_at, machine.first_seen) < 6000;
+                           now - std::max(machine.last_heartbeat_at, machine.first_seen) < 6000;
             view.boot_left_s = 2;
         }
         view.images = machine.images;
@@ -193,7 +193,7 @@
             const JobSpec& spec = jobs_[h.job].spec;
             if (h.phase == TaskPhase::Pulling) view.fetching.push_back(spec.image);
             AllocationView hv;
-            hv.ix = allocation_index;
+            hv.index = allocation_index;
             hv.attempt = h.attempt;
             hv.machine = mix;
             hv.job = h.job;
@@ -223,15 +223,15 @@
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         const double age_s = static_cast<double>(wall_ms - job.spec.submitted_ms) / 1000.0;
         item.begun = job.next_fresh > 0;
-        item.slack_s = slack_of(job.spec, class_aims_[job.spec.cls], age_s,
+        item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], age_s,
                                 fetch_rate > 0 ? job.spec.image_gb / fetch_rate : 0,
                                 job.in_guarantee ? guarantee_s_ : 0,
                                 static_cast<double>(item.waited_ms) / 1000.0);
         // A replica that waits is lost time, however long its service has been up.
         if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlack);
         item.order_s = item.slack_s;
-        item.rent_patience_s = std::clamp(item.slack_s * 0.5, 3.0, 20.0);
-        item.dear_patience_s = std::clamp(item.slack_s * 0.6, item.rent_patience_s, 60.0);
+        item.provision_patience_s = std::clamp(item.slack_s * 0.5, 3.0, 20.0);
+        item.on_demand_patience_s = std::clamp(item.slack_s * 0.6, item.provision_patience_s, 60.0);
         if (policy != nullptr) {
             auto about = facts(job);
             about.slack_s = item.slack_s;
@@ -239,8 +239,8 @@
             about.age_s = age_s;
             about.waiting = n;
             item.order_s = policy->order_s(about);
-            item.rent_patience_s = policy->rent_patience_s(about);
-            item.dear_patience_s = policy->dear_patience_s(about);
+            item.provision_patience_s = policy->provision_patience_s(about);
+            item.on_demand_patience_s = policy->on_demand_patience_s(about);
         }
         // What fails everywhere has a mistake: to keep it off ever more machines would rent a new
         // one for each try, and leave it waiting beside capacity that fits.
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -70,16 +70,16 @@
   public:
     std::uint32_t intern(std::string_view name) {
         if (auto it = index_.find(std::string(name)); it != index_.end()) return it->second;
-        const auto ix = static_cast<std::uint32_t>(names_.size());
+        const auto index = static_cast<std::uint32_t>(names_.size());
         names_.emplace_back(name);
-        index_.emplace(names_.back(), ix);
-        return ix;
+        index_.emplace(names_.back(), index);
+        return index;
     }
     [[nodiscard]] std::uint32_t find(std::string_view name) const {
         auto it = index_.find(std::string(name));
         return it == index_.end() ? kInvalidIndex : it->second;
     }
-    [[nodiscard]] const std::string& name(std::uint32_t ix) const { return names_[ix]; }
+    [[nodiscard]] const std::string& name(std::uint32_t index) const { return names_[index]; }
     [[nodiscard]] std::size_t size() const { return names_.size(); }
 
   private:
@@ -118,7 +118,7 @@
 };
 
 // What is expected of a class of jobs: tasks started, or jobs done, within a time.
-struct Aim {
+struct Objective {
     enum class Kind : std::uint8_t { Start, Finish, Deadline, Guarantee } kind = Kind::Start;
     std::string cls;  // empty: every class
     double within_s = 0;
@@ -158,13 +158,14 @@
     bool leader_condition = true;       // writes of a leader that has lost fail
     bool fresh_reads = true;            // users get no answer older than one given before
     bool claims = true;                 // what waited too long goes first and claims room
-    bool judged_by_effect = true;       // a machine that nothing reaches gets no work
+    bool command_effect_check = true;   // a machine that nothing reaches gets no work
     bool reap_raises = true;            // copies of a run can't act once its attempt is forgotten
-    bool cancels_told = true;           // peers tell each other of cancellations
-    bool kept_until_loaded = true;      // what ends amid a take-over is kept until records are read
-    bool record_of_open = true;         // no record becomes durable under a job that is over
-    bool runs_on_fresh_copy = true;     // no run is sent on an old copy of what is open
-    bool cancels_known = true;      // no lease is renewed past a cancellation that may be unknown
+    bool cancellations_announced = true;  // peers tell each other of cancellations
+    bool kept_until_loaded = true;   // what ends amid a take-over is kept until records are read
+    bool record_of_open = true;      // no record becomes durable under a job that is over
+    bool runs_on_fresh_copy = true;  // no run is sent on an old copy of what is open
+    bool cancellations_bound_leases =
+        true;                       // no lease is renewed past a cancellation that may be unknown
     bool intent_first = true;       // nothing is asked of the cloud before its intent is durable
     bool intents_inherited = true;  // intents of earlier holders are read and finished
     bool intent_kept = true;        // an intent to release stays until the cloud has confirmed
--- a/src/duty/cleanup.cpp
+++ b/src/duty/cleanup.cpp
@@ -4,7 +4,7 @@
 
 namespace lichendrift::duty {
 
-Verdict judge(const PlacementEntry& entry, JobState job) {
+Verdict classify(const PlacementEntry& entry, JobState job) {
     switch (job) {
         case JobState::Open:
             return Verdict::Keep;
@@ -19,7 +19,7 @@
     return Verdict::Keep;
 }
 
-Verdict judge(const HintEntry& entry, const std::set<std::string>& listed) {
+Verdict classify(const HintEntry& entry, const std::set<std::string>& listed) {
     if (!entry.readable) return Verdict::Suspicious;
     // The list lags: a machine newer than all that it shows may be missing from it.
     if (listed.empty()) return Verdict::Keep;
--- a/src/duty/cleanup.h
+++ b/src/duty/cleanup.h
@@ -37,10 +37,10 @@
     Suspicious,  // should not be there, and nothing proves that it is of no use
 };
 
-[[nodiscard]] Verdict judge(const PlacementEntry& entry, JobState job);
+[[nodiscard]] Verdict classify(const PlacementEntry& entry, JobState job);
 
 // `listed`: all machines that the cloud has, by a complete list read after the record.
-[[nodiscard]] Verdict judge(const HintEntry& entry, const std::set<std::string>& listed);
+[[nodiscard]] Verdict classify(const HintEntry& entry, const std::set<std::string>& listed);
 
 // A removal that fails if the record, or what it was judged by, has changed, or if the duty has
 // passed to another controller.
--- a/src/duty/duty.h
+++ b/src/duty/duty.h
@@ -35,13 +35,13 @@
 };
 
 // Machines to rent. The name makes the request the same one however often it is sent.
-struct RentalOrder {
+struct ProvisionRequest {
     std::string request;
     std::string type;
     std::string zone;
     bool spot = false;
     std::uint32_t number = 0;
-    auto operator<=>(const RentalOrder&) const = default;
+    auto operator<=>(const ProvisionRequest&) const = default;
 };
 
 // What a holder is about to ask of the cloud, durable before it asks. Either kind may be empty.
@@ -49,7 +49,7 @@
     Epoch epoch = 0;
     std::uint64_t nonce = 0;
     std::vector<std::string> releases;  // machines to give back
-    std::vector<RentalOrder> rentals;
+    std::vector<ProvisionRequest> provisions;
     auto operator<=>(const Intent&) const = default;
 };
 
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -67,18 +67,18 @@
 
 // A request to rent machines. With a fenced permit only IntentLedger makes one, from a durable
 // intent.
-class FencedRental {
+class FencedProvision {
   public:
-    [[nodiscard]] const RentalOrder& order() const { return order_; }
+    [[nodiscard]] const ProvisionRequest& order() const { return order_; }
     [[nodiscard]] Epoch epoch() const { return epoch_; }
     [[nodiscard]] Millis not_after() const { return not_after_; }
 
   private:
     friend class IntentLedger;
-    FencedRental(const Permit& permit, RentalOrder order)
+    FencedProvision(const Permit& permit, ProvisionRequest order)
         : order_(std::move(order)), epoch_(permit.epoch()), not_after_(permit.not_after()) {}
 
-    RentalOrder order_;
+    ProvisionRequest order_;
     Epoch epoch_;
     Millis not_after_;
 };
--- a/src/duty/intents.cpp
+++ b/src/duty/intents.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t kMostReleases = 100;  // the protocol's limit for one request
-constexpr std::size_t kMostRentals = 16;
-constexpr std::size_t kMostWriting = 2;
+constexpr std::size_t kMaxReleases = 100;  // the protocol's limit for one request
+constexpr std::size_t kMaxProvisions = 16;
+constexpr std::size_t kMaxWriting = 2;
 constexpr std::size_t kRecordBytes = 80;  // of an intent without its lists
 constexpr std::size_t kNameBytes = 3;     // of a machine beyond its name
 constexpr std::size_t kOrderBytes = 40;   // of a rental beyond its names
@@ -17,12 +17,12 @@
 constexpr Millis kWriteRetry = 300;
 constexpr Millis kReadRetry = 300;
 constexpr Millis kReleaseRetry = 3000;
-constexpr Millis kRentalRetry = 1000;
-constexpr Millis kSlowRentalRetry = 5000;
+constexpr Millis kProvisionRetry = 1000;
+constexpr Millis kSlowProvisionRetry = 5000;
 constexpr Millis kRemovalWait = 2000;  // a record may be of use for the next intent
 constexpr Millis kWithdrawAfter = 8000;
 constexpr int kQuickTries = 6;  // of a rental, at kRentalRetry
-constexpr int kMostInheritedTries = 30;
+constexpr int kMaxInheritedTries = 30;
 
 }  // namespace
 
@@ -55,12 +55,12 @@
     slot.inherited = true;
     slot.since = now;
     slot.releases = stored.intent.releases;
-    for (const auto& order : stored.intent.rentals) {
-        RentalState rental;
-        rental.order = order;
-        rental.unanswered = true;
-        rental.wanted_at = now;
-        slot.rentals.push_back(std::move(rental));
+    for (const auto& order : stored.intent.provisions) {
+        ProvisionState provision;
+        provision.order = order;
+        provision.unanswered = true;
+        provision.wanted_at = now;
+        slot.provisions.push_back(std::move(provision));
     }
     releasing_.insert(slot.releases.begin(), slot.releases.end());
     ++counters_.inherited;
@@ -74,15 +74,15 @@
     releases_.push_back({machine, urgent, now});
 }
 
-void IntentLedger::want_rental(RentalOrder order, Millis now) {
-    RentalState rental;
-    rental.order = std::move(order);
-    rental.wanted_at = now;
-    rentals_.push_back(std::move(rental));
+void IntentLedger::want_provision(ProvisionRequest order, Millis now) {
+    ProvisionState provision;
+    provision.order = std::move(order);
+    provision.wanted_at = now;
+    provisions_.push_back(std::move(provision));
 }
 
 void IntentLedger::open_unfenced(Millis now) {
-    withdraw_old_rentals(now);
+    withdraw_old_provisions(now);
     if (!releases_.empty()) {
         Slot& slot = slots_[free_slot(false)];
         slot = {};
@@ -90,25 +90,25 @@
         slot.since = now;
         fill_with_releases(slot, std::string::npos);
     }
-    if (rentals_.empty()) return;
+    if (provisions_.empty()) return;
     Slot& slot = slots_[free_slot(false)];
     slot = {};
     slot.state = Slot::State::Open;
     slot.since = now;
-    fill_with_rentals(slot, std::string::npos);
+    fill_with_provisions(slot, std::string::npos);
 }
 
 void IntentLedger::close_unfenced() {
     for (auto& [number, slot] : slots_) {
         if (slot.state != Slot::State::Open || slot.revision != 0 || slot.releasing) continue;
-        const bool asking = std::any_of(slot.rentals.begin(), slot.rentals.end(),
-                                        [](const auto& rental) { return rental.asking; });
+        const bool asking = std::any_of(slot.provisions.begin(), slot.provisions.end(),
+                                        [](const auto& provision) { return provision.asking; });
         if (asking) continue;
         for (auto& machine : slot.releases) {
             releases_.push_back({std::move(machine), true, slot.since});
         }
-        for (auto& rental : slot.rentals) {
-            if (!rental.settled) rentals_.push_back(std::move(rental));
+        for (auto& provision : slot.provisions) {
+            if (!provision.settled) provisions_.push_back(std::move(provision));
         }
         slot = {};
     }
@@ -135,16 +135,16 @@
 }
 
 bool IntentLedger::releases_due(Millis now) const {
-    if (releases_.size() >= kMostReleases) return true;
+    if (releases_.size() >= kMaxReleases) return true;
     return std::any_of(releases_.begin(), releases_.end(), [&](const WantedRelease& wanted) {
         return wanted.urgent || now - wanted.since >= kBatchWait;
     });
 }
 
 void IntentLedger::fill_with_releases(Slot& slot, std::size_t value_bytes) {
-    const auto most = most_in_batch_ == 0 ? kMostReleases : most_in_batch_;
+    const auto limit = max_in_batch_ == 0 ? kMaxReleases : max_in_batch_;
     std::size_t bytes = kRecordBytes;
-    while (!releases_.empty() && slot.releases.size() < most) {
+    while (!releases_.empty() && slot.releases.size() < limit) {
         const auto size = releases_.front().machine.size() + kNameBytes;
         if (!slot.releases.empty() && bytes + size > value_bytes) break;
         bytes += size;
@@ -153,17 +153,18 @@
     }
 }
 
-void IntentLedger::fill_with_rentals(Slot& slot, std::size_t value_bytes) {
-    const auto most = most_in_batch_ == 0 ? kMostRentals : std::min(kMostRentals, most_in_batch_);
+void IntentLedger::fill_with_provisions(Slot& slot, std::size_t value_bytes) {
+    const auto limit =
+        max_in_batch_ == 0 ? kMaxProvisions : std::min(kMaxProvisions, max_in_batch_);
     std::size_t bytes = kRecordBytes;
-    while (!rentals_.empty() && slot.rentals.size() < most) {
-        const auto& order = rentals_.front().order;
+    while (!provisions_.empty() && slot.provisions.size() < limit) {
+        const auto& order = provisions_.front().order;
         const auto size =
             order.request.size() + order.type.size() + order.zone.size() + kOrderBytes;
-        if (!slot.rentals.empty() && bytes + size > value_bytes) break;
+        if (!slot.provisions.empty() && bytes + size > value_bytes) break;
         bytes += size;
-        slot.rentals.push_back(std::move(rentals_.front()));
-        rentals_.pop_front();
+        slot.provisions.push_back(std::move(provisions_.front()));
+        provisions_.pop_front();
     }
 }
 
@@ -171,7 +172,7 @@
     Slot& slot = slots_.at(number);
     slot.state = Slot::State::Writing;
     Intent intent{slot.epoch, slot.nonce, slot.releases, {}};
-    for (const auto& rental : slot.rentals) intent.rentals.push_back(rental.order);
+    for (const auto& provision : slot.provisions) intent.provisions.push_back(provision.order);
     FencedWrite write(permit);
     write.require({intent_key(number), slot.revision});
     write.set(intent_key(number), std::move(intent));
@@ -181,17 +182,17 @@
 std::optional<IntentLedger::Write> IntentLedger::next_write(const Permit& provisioning,
                                                             const Permit& reclaiming,
                                                             const Limits& limits, Millis now) {
-    withdraw_old_rentals(now);
+    withdraw_old_provisions(now);
     const auto writing = std::count_if(slots_.begin(), slots_.end(), [](const auto& entry) {
         return entry.second.state == Slot::State::Writing;
     });
-    if (static_cast<std::size_t>(writing) >= kMostWriting) return std::nullopt;
+    if (static_cast<std::size_t>(writing) >= kMaxWriting) return std::nullopt;
     if (const auto again = unconfirmed_slot(now)) {
-        const bool rents = !slots_.at(*again).rentals.empty();
-        return write_of(*again, rents ? provisioning : reclaiming);
+        const bool provisions = !slots_.at(*again).provisions.empty();
+        return write_of(*again, provisions ? provisioning : reclaiming);
     }
-    const bool rents = !rentals_.empty();
-    if (!rents && !releases_due(now)) return std::nullopt;
+    const bool provisions = !provisions_.empty();
+    if (!provisions && !releases_due(now)) return std::nullopt;
     const auto number = free_slot(true);
     // A settled record is overwritten, which saves its removal.
     const auto revision = slots_[number].revision;
@@ -200,10 +201,10 @@
     slot.revision = revision;
     slot.since = now;
     slot.nonce = ++nonces_;
-    const Permit& permit = rents ? provisioning : reclaiming;
+    const Permit& permit = provisions ? provisioning : reclaiming;
     slot.epoch = permit.epoch();
-    if (rents) {
-        fill_with_rentals(slot, limits.value_bytes);
+    if (provisions) {
+        fill_with_provisions(slot, limits.value_bytes);
     } else {
         fill_with_releases(slot, limits.value_bytes);
     }
@@ -246,13 +247,13 @@
 
 // Smaller limits came into force: what was to be written is divided anew.
 void IntentLedger::give_up_batch(Slot& slot, Millis now) {
-    const auto entries = std::max(slot.releases.size(), slot.rentals.size());
-    most_in_batch_ = std::max<std::size_t>(1, entries / 2);
+    const auto entries = std::max(slot.releases.size(), slot.provisions.size());
+    max_in_batch_ = std::max<std::size_t>(1, entries / 2);
     for (auto it = slot.releases.rbegin(); it != slot.releases.rend(); ++it) {
         releases_.push_front({std::move(*it), true, slot.since});
     }
-    for (auto it = slot.rentals.rbegin(); it != slot.rentals.rend(); ++it) {
-        rentals_.push_front(std::move(*it));
+    for (auto it = slot.provisions.rbegin(); it != slot.provisions.rend(); ++it) {
+        provisions_.push_front(std::move(*it));
     }
     const auto revision = slot.revision;
     slot = {};
@@ -262,17 +263,17 @@
 }
 
 // What its holder has not asked for yet it may take back, as nobody else can have asked for it.
-void IntentLedger::withdraw_old_rentals(Millis now) {
-    const auto old = [&](const RentalState& rental) {
-        return !rental.asking && !rental.unanswered && !rental.settled &&
-               now - rental.wanted_at > kWithdrawAfter;
+void IntentLedger::withdraw_old_provisions(Millis now) {
+    const auto old = [&](const ProvisionState& provision) {
+        return !provision.asking && !provision.unanswered && !provision.settled &&
+               now - provision.wanted_at > kWithdrawAfter;
     };
-    counters_.withdrawn += std::erase_if(rentals_, old);
+    counters_.withdrawn += std::erase_if(provisions_, old);
     for (auto& [number, slot] : slots_) {
-        if (slot.state != Slot::State::Open || slot.rentals.empty()) continue;
-        for (auto& rental : slot.rentals) {
-            if (!old(rental)) continue;
-            rental.settled = true;
+        if (slot.state != Slot::State::Open || slot.provisions.empty()) continue;
+        for (auto& provision : slot.provisions) {
+            if (!old(provision)) continue;
+            provision.settled = true;
             ++counters_.withdrawn;
         }
         settle_if_done(slot);
@@ -376,7 +377,7 @@
         if (!due) continue;
         slot.releasing = true;
         slot.retry_at = now + kReleaseRetry;
-        const auto count = std::min(slot.releases.size(), kMostReleases);
+        const auto count = std::min(slot.releases.size(), kMaxReleases);
         const auto end = slot.releases.begin() + static_cast<std::ptrdiff_t>(count);
         return Release{number, FencedRelease(provisioning, {slot.releases.begin(), end})};
     }
@@ -401,34 +402,35 @@
     for (const auto& machine : machines) releasing_.erase(machine);
 }
 
-std::optional<IntentLedger::Rental> IntentLedger::next_rental(const Permit& provisioning,
-                                                              Millis now) {
+std::optional<IntentLedger::Provision> IntentLedger::next_provision(const Permit& provisioning,
+                                                                    Millis now) {
     for (auto& [number, slot] : slots_) {
         const bool open = slot.state == Slot::State::Open &&
                           (slot.revision != 0 || !provisioning.fenced() || !guards_.durable_first);
         if (!open) continue;
-        for (auto& rental : slot.rentals) {
-            if (rental.asking || rental.settled || rental.retry_at > now) continue;
-            rental.asking = true;
-            ++rental.tries;
-            return Rental{number, FencedRental(provisioning, rental.order)};
+        for (auto& provision : slot.provisions) {
+            if (provision.asking || provision.settled || provision.retry_at > now) continue;
+            provision.asking = true;
+            ++provision.tries;
+            return Provision{number, FencedProvision(provisioning, provision.order)};
         }
     }
     return std::nullopt;
 }
 
-void IntentLedger::on_rented(std::uint32_t number, const std::string& request, CloudOutcome outcome,
-                             Millis now) {
+void IntentLedger::on_provisioned(std::uint32_t number, const std::string& request,
+                                  CloudOutcome outcome, Millis now) {
     Slot& slot = slots_[number];
-    for (auto& rental : slot.rentals) {
-        if (rental.order.request != request || !rental.asking) continue;
-        rental.asking = false;
-        rental.unanswered |= outcome == CloudOutcome::NoAnswer;
+    for (auto& provision : slot.provisions) {
+        if (provision.order.request != request || !provision.asking) continue;
+        provision.asking = false;
+        provision.unanswered |= outcome == CloudOutcome::NoAnswer;
         const bool answered = outcome == CloudOutcome::Done || outcome == CloudOutcome::NoCapacity;
         // What may have been rented without an answer shows in the list of machines.
-        const auto most = slot.inherited ? kMostInheritedTries : kQuickTries;
-        rental.settled = answered || !rental.unanswered || rental.tries > most;
-        rental.retry_at = now + (rental.tries > kQuickTries ? kSlowRentalRetry : kRentalRetry);
+        const auto limit = slot.inherited ? kMaxInheritedTries : kQuickTries;
+        provision.settled = answered || !provision.unanswered || provision.tries > limit;
+        provision.retry_at =
+            now + (provision.tries > kQuickTries ? kSlowProvisionRetry : kProvisionRetry);
     }
     settle_if_done(slot);
     if (slot.state == Slot::State::Settled) slot.retry_at = now + kRemovalWait;
@@ -436,22 +438,23 @@
 
 void IntentLedger::settle_if_done(Slot& slot) {
     if (slot.state != Slot::State::Open || !slot.releases.empty()) return;
-    const bool open = std::any_of(slot.rentals.begin(), slot.rentals.end(),
-                                  [](const auto& rental) { return !rental.settled; });
+    const bool open = std::any_of(slot.provisions.begin(), slot.provisions.end(),
+                                  [](const auto& provision) { return !provision.settled; });
     if (open) return;
     ++counters_.settled;
-    slot.rentals.clear();
+    slot.provisions.clear();
     slot.state = slot.revision == 0 ? Slot::State::Free : Slot::State::Settled;
 }
 
 // ---- what is open ----
 
-bool IntentLedger::renting() const {
-    if (!rentals_.empty()) return true;
+bool IntentLedger::provisioning_in_flight() const {
+    if (!provisions_.empty()) return true;
     return std::any_of(slots_.begin(), slots_.end(), [](const auto& entry) {
-        return std::any_of(
-            entry.second.rentals.begin(), entry.second.rentals.end(),
-            [](const auto& rental) { return !rental.settled && rental.tries <= kQuickTries; });
+        return std::any_of(entry.second.provisions.begin(), entry.second.provisions.end(),
+                           [](const auto& provision) {
+                               return !provision.settled && provision.tries <= kQuickTries;
+                           });
     });
 }
 
@@ -471,8 +474,8 @@
         if (!slot.releases.empty()) {
             what = "release of " + std::to_string(slot.releases.size()) + " machines, " +
                    slot.releases.front();
-        } else if (!slot.rentals.empty()) {
-            what = "rental " + slot.rentals.front().order.request;
+        } else if (!slot.provisions.empty()) {
+            what = "rental " + slot.provisions.front().order.request;
         }
         oldest = {number, slot.since, std::move(what)};
     }
--- a/src/duty/intents.h
+++ b/src/duty/intents.h
@@ -13,8 +13,8 @@
 enum class CloudOutcome : std::uint8_t {
     Done,
     NoCapacity,
-    Trouble,   // certainly not executed
-    NoAnswer,  // may have been executed, or may still be
+    Unavailable,  // certainly not executed
+    NoAnswer,     // may have been executed, or may still be
 };
 
 // Each guard is on; the tests switch one off at a time to prove that its loss is seen.
@@ -51,7 +51,7 @@
 
     // Wishes. A machine that is on its way back already is taken once.
     void want_release(const std::string& machine, bool urgent, Millis now);
-    void want_rental(RentalOrder order, Millis now);
+    void want_provision(ProvisionRequest order, Millis now);
 
     // Moves on what is wanted without a fence: nothing is stored, requests are due at once.
     void open_unfenced(Millis now);
@@ -91,16 +91,16 @@
     };
     [[nodiscard]] std::optional<Release> next_release(const Permit& provisioning, Millis now);
     void on_released(std::uint32_t slot, std::size_t machines, CloudOutcome outcome, Millis now);
-    struct Rental {
+    struct Provision {
         std::uint32_t slot = 0;
-        FencedRental request;
+        FencedProvision request;
     };
-    [[nodiscard]] std::optional<Rental> next_rental(const Permit& provisioning, Millis now);
-    void on_rented(std::uint32_t slot, const std::string& request, CloudOutcome outcome,
-                   Millis now);
+    [[nodiscard]] std::optional<Provision> next_provision(const Permit& provisioning, Millis now);
+    void on_provisioned(std::uint32_t slot, const std::string& request, CloudOutcome outcome,
+                        Millis now);
 
     // Whether rentals wait for their answer: more are better decided when it is known.
-    [[nodiscard]] bool renting() const;
+    [[nodiscard]] bool provisioning_in_flight() const;
     // Intents whose request is still to be made or answered.
     [[nodiscard]] std::size_t open_count() const;
     struct Oldest {
@@ -116,19 +116,19 @@
     }
 
     friend bool operator==(const IntentLedger& a, const IntentLedger& b) {
-        return a.slots_ == b.slots_ && a.releases_ == b.releases_ && a.rentals_ == b.rentals_;
+        return a.slots_ == b.slots_ && a.releases_ == b.releases_ && a.provisions_ == b.provisions_;
     }
 
   private:
-    struct RentalState {
-        RentalOrder order;
+    struct ProvisionState {
+        ProvisionRequest order;
         bool asking = false;
         bool settled = false;
         bool unanswered = false;  // an earlier try may have been executed, or may still be
         int tries = 0;
         Millis wanted_at = 0;
         Millis retry_at = 0;
-        friend bool operator==(const RentalState&, const RentalState&) = default;
+        friend bool operator==(const ProvisionState&, const ProvisionState&) = default;
     };
     struct Slot {
         enum class State : std::uint8_t {
@@ -152,7 +152,7 @@
         Millis retry_at = 0;
         std::vector<std::string> releases;
         bool releasing = false;  // the request is under way
-        std::vector<RentalState> rentals;
+        std::vector<ProvisionState> provisions;
         friend bool operator==(const Slot&, const Slot&) = default;
     };
     struct WantedRelease {
@@ -167,20 +167,20 @@
     [[nodiscard]] std::optional<std::uint32_t> unconfirmed_slot(Millis now) const;
     [[nodiscard]] bool releases_due(Millis now) const;
     void fill_with_releases(Slot& slot, std::size_t value_bytes);
-    void fill_with_rentals(Slot& slot, std::size_t value_bytes);
+    void fill_with_provisions(Slot& slot, std::size_t value_bytes);
     [[nodiscard]] Write write_of(std::uint32_t number, const Permit& permit);
     void settle_if_done(Slot& slot);
     void give_up_batch(Slot& slot, Millis now);
-    void withdraw_old_rentals(Millis now);
+    void withdraw_old_provisions(Millis now);
     void drop_releasing(const std::vector<std::string>& machines);
 
     IntentGuards guards_;
     std::map<std::uint32_t, Slot> slots_;
     std::deque<WantedRelease> releases_;
-    std::deque<RentalState> rentals_;
+    std::deque<ProvisionState> provisions_;
     std::set<std::string> releasing_;
     std::uint64_t nonces_ = 0;
-    std::size_t most_in_batch_ = 0;  // 0: the protocol's limit; less once a batch was too large
+    std::size_t max_in_batch_ = 0;  // 0: the protocol's limit; less once a batch was too large
     Counters counters_;
 };
 
--- a/src/duty/machine_holder.cpp
+++ b/src/duty/machine_holder.cpp
@@ -73,10 +73,10 @@
 void MachineHolder::add_requests(const Permit& provisioning, const Moment& moment,
                                  std::vector<Action>& out) {
     while (auto release = ledger_.next_release(provisioning, moment.now)) {
-        out.emplace_back(AskRelease{release->slot, std::move(release->request)});
+        out.emplace_back(RequestRelease{release->slot, std::move(release->request)});
     }
-    while (auto rental = ledger_.next_rental(provisioning, moment.now)) {
-        out.emplace_back(AskRental{rental->slot, std::move(rental->request)});
+    while (auto provision = ledger_.next_provision(provisioning, moment.now)) {
+        out.emplace_back(RequestProvision{provision->slot, std::move(provision->request)});
     }
 }
 
--- a/src/duty/machine_holder.h
+++ b/src/duty/machine_holder.h
@@ -55,16 +55,16 @@
         std::vector<std::uint32_t> slots;
         FencedWrite write;
     };
-    struct AskRelease {
+    struct RequestRelease {
         std::uint32_t slot;
         FencedRelease request;
     };
-    struct AskRental {
+    struct RequestProvision {
         std::uint32_t slot;
-        FencedRental request;
+        FencedProvision request;
     };
     using Action = std::variant<ReadDuty, ReadIntents, ReadIntent, WriteDuty, WriteIntent,
-                                RemoveIntents, AskRelease, AskRental>;
+                                RemoveIntents, RequestRelease, RequestProvision>;
 
     explicit MachineHolder(const Setup& setup);
 
@@ -85,15 +85,17 @@
     void on_released(std::uint32_t slot, std::size_t machines, CloudOutcome outcome, Millis now) {
         ledger_.on_released(slot, machines, outcome, now);
     }
-    void on_rented(std::uint32_t slot, const std::string& request, CloudOutcome outcome,
-                   Millis now) {
-        ledger_.on_rented(slot, request, outcome, now);
+    void on_provisioned(std::uint32_t slot, const std::string& request, CloudOutcome outcome,
+                        Millis now) {
+        ledger_.on_provisioned(slot, request, outcome, now);
     }
 
     void want_release(const std::string& machine, bool urgent, Millis now) {
         ledger_.want_release(machine, urgent, now);
     }
-    void want_rental(RentalOrder order, Millis now) { ledger_.want_rental(std::move(order), now); }
+    void want_provision(ProvisionRequest order, Millis now) {
+        ledger_.want_provision(std::move(order), now);
+    }
 
     // Whether all that earlier holders left is known. Work is placed only then.
     [[nodiscard]] bool inherited_known() const { return intents_ == Intents::Read; }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::size_t kMostPerAddress = 48;
-constexpr std::size_t kMostIdle = 6;
+constexpr std::size_t kMaxPerAddress = 48;
+constexpr std::size_t kMaxIdle = 6;
 constexpr std::size_t kSpareSockets = 8;  // for what the process opens besides
 constexpr Millis kIdleTime = 20000;
-constexpr std::size_t kMostBody = 8 << 20;
+constexpr std::size_t kMaxBody = 8 << 20;
 
 }  // namespace
 
@@ -75,7 +75,7 @@
             http_parser_settings_init(&s);
             s.on_body = [](http_parser* p, const char* at, std::size_t n) {
                 auto& c = *static_cast<Connection*>(p->data);
-                if (c.reply_.body.size() + n > kMostBody) return 1;
+                if (c.reply_.body.size() + n > kMaxBody) return 1;
                 c.reply_.body.append(at, n);
                 return 0;
             };
@@ -156,7 +156,7 @@
         on_reply_ = nullptr;
         auto reply = std::move(reply_);
         reply_ = {};
-        if (keep && keep_alive_ && client_.pools_[address_].idle.size() < kMostIdle) {
+        if (keep && keep_alive_ && client_.pools_[address_].idle.size() < kMaxIdle) {
             client_.park(shared_from_this());
         } else {
             shut();
@@ -231,10 +231,10 @@
 // A fleet has more workers than there are sockets to keep open to them: without giving up the ones
 // that nobody uses, the state service could not be asked any more.
 bool HttpClient::make_room() {
-    while (budget_.open + kSpareSockets >= budget_.most && !idle_.empty()) {
+    while (budget_.open + kSpareSockets >= budget_.max_sockets && !idle_.empty()) {
         unpark(idle_.begin())->shut();
     }
-    return budget_.open + kSpareSockets < budget_.most;
+    return budget_.open + kSpareSockets < budget_.max_sockets;
 }
 
 void HttpClient::call(const std::string& address, const HttpRequest& request, Millis deadline,
@@ -244,7 +244,7 @@
         unpark(pool.idle.back())->start(request, deadline, std::move(on_reply));
         return;
     }
-    if (pool.open >= kMostPerAddress || !make_room()) return fail_soon(std::move(on_reply));
+    if (pool.open >= kMaxPerAddress || !make_room()) return fail_soon(std::move(on_reply));
     auto fd = connect_to(address);
     if (!fd.valid()) return fail_soon(std::move(on_reply));
     ++pool.open;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -23,10 +23,10 @@
 constexpr Millis kIdleTime = 60000;
 constexpr Millis kWriteTime = 15000;
 constexpr Millis kLongestWait = 1500;  // for its turn; later the asker is told to come again
-constexpr int kMostBacklog = 4096;
-constexpr std::size_t kMostTarget = 2048;
-constexpr std::size_t kMostHeader = 8192;
-constexpr std::size_t kMostUnsent = 1 << 20;
+constexpr int kMaxBacklog = 4096;
+constexpr std::size_t kMaxTarget = 2048;
+constexpr std::size_t kMaxHeader = 8192;
+constexpr std::size_t kMaxUnsent = 1 << 20;
 
 bool parse_address(const std::string& address, sockaddr_in& out) {
     const auto colon = address.rfind(':');
@@ -82,7 +82,7 @@
     const int one = 1;
     ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (!fd.valid() || ::bind(fd.get(), reinterpret_cast<sockaddr*>(&addr), sizeof addr) != 0 ||
-        ::listen(fd.get(), static_cast<int>(std::min<std::size_t>(backlog, kMostBacklog))) != 0) {
+        ::listen(fd.get(), static_cast<int>(std::min<std::size_t>(backlog, kMaxBacklog))) != 0) {
         error = address + ": " + std::generic_category().message(errno);
         return Fd();
     }
@@ -161,18 +161,18 @@
             s.on_url = [](http_parser* p, const char* at, std::size_t n) {
                 auto& c = self(p);
                 c.request_.target.append(at, n);
-                return c.request_.target.size() > kMostTarget ? 1 : 0;
+                return c.request_.target.size() > kMaxTarget ? 1 : 0;
             };
             const auto header = [](http_parser* p, const char*, std::size_t n) {
                 auto& c = self(p);
                 c.header_bytes_ += n;
-                return c.header_bytes_ > kMostHeader ? 1 : 0;
+                return c.header_bytes_ > kMaxHeader ? 1 : 0;
             };
             s.on_header_field = header;
             s.on_header_value = header;
             s.on_headers_complete = [](http_parser* p) {
                 auto& c = self(p);
-                if (p->content_length != ULLONG_MAX && p->content_length > c.server_.most_body_) {
+                if (p->content_length != ULLONG_MAX && p->content_length > c.server_.max_body_) {
                     c.too_large_ = true;
                     return -1;
                 }
@@ -180,7 +180,7 @@
             };
             s.on_body = [](http_parser* p, const char* at, std::size_t n) {
                 auto& c = self(p);
-                if (c.request_.body.size() + n > c.server_.most_body_) {
+                if (c.request_.body.size() + n > c.server_.max_body_) {
                     c.too_large_ = true;
                     return 1;
                 }
@@ -218,7 +218,7 @@
             }
             in_.append(buffer.data(), static_cast<std::size_t>(n));
             // Nobody pipelines; who does anyway may not fill our memory.
-            if (in_.size() > server_.most_body_ + 2 * kMostHeader) return server_.close(id_);
+            if (in_.size() > server_.max_body_ + 2 * kMaxHeader) return server_.close(id_);
             parse();
             if (!fd_.valid() || n < static_cast<ssize_t>(buffer.size())) return;
         }
@@ -312,7 +312,7 @@
             }
             out_.erase(0, static_cast<std::size_t>(n));
         }
-        if (out_.size() > kMostUnsent) return server_.close(id_);
+        if (out_.size() > kMaxUnsent) return server_.close(id_);
         if (out_.empty() && closing_) return server_.close(id_);
         if (out_.empty() && !busy_ && !in_message_) park();
         const bool want = !out_.empty();
@@ -344,12 +344,12 @@
     std::optional<std::list<std::uint64_t>::iterator> idle_at_;
 };
 
-HttpServer::HttpServer(EventLoop& loop, SocketBudget& budget, std::size_t most_body,
-                       std::size_t most_connections, Handle handle, CanWait can_wait)
+HttpServer::HttpServer(EventLoop& loop, SocketBudget& budget, std::size_t max_body,
+                       std::size_t max_connections, Handle handle, CanWait can_wait)
     : loop_(loop),
       budget_(budget),
-      most_body_(most_body),
-      most_connections_(most_connections),
+      max_body_(max_body),
+      max_connections_(max_connections),
       handle_(std::move(handle)),
       can_wait_(std::move(can_wait)) {}
 
@@ -358,7 +358,7 @@
 }
 
 bool HttpServer::listen(const std::string& address, std::string& error) {
-    listener_ = listen_on(address, most_connections_, error);
+    listener_ = listen_on(address, max_connections_, error);
     if (!listener_.valid()) return false;
     ++budget_.open;
     loop_.add(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_all(); });
@@ -371,7 +371,7 @@
         Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.valid()) return;
         // The rest of the limit is kept for our own calls to state, cloud, workers, peers.
-        if (connections_.size() >= most_connections_ && !evict_idle()) continue;
+        if (connections_.size() >= max_connections_ && !evict_idle()) continue;
         no_delay(fd.get());
         const auto id = ++next_id_;
         auto connection = std::make_shared<Connection>(*this, id, std::move(fd));
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -12,7 +12,7 @@
 // Counts the sockets of the whole process against the machine's limit.
 struct SocketBudget {
     std::size_t open = 0;
-    std::size_t most = 1000;
+    std::size_t max_sockets = 1000;
 };
 
 // "10.0.0.1:8080" as a bound, listening or connecting socket; invalid when that fails.
@@ -25,8 +25,8 @@
     using CanWait = std::function<bool(const HttpRequest&)>;
 
     // What `can_wait` is handled after all that can't and is there already.
-    HttpServer(EventLoop& loop, SocketBudget& budget, std::size_t most_body,
-               std::size_t most_connections, Handle handle, CanWait can_wait = {});
+    HttpServer(EventLoop& loop, SocketBudget& budget, std::size_t max_body,
+               std::size_t max_connections, Handle handle, CanWait can_wait = {});
     ~HttpServer();
     bool listen(const std::string& address, std::string& error);
 
@@ -39,8 +39,8 @@
 
     EventLoop& loop_;
     SocketBudget& budget_;
-    std::size_t most_body_;
-    std::size_t most_connections_;
+    std::size_t max_body_;
+    std::size_t max_connections_;
     Handle handle_;
     CanWait can_wait_;
     Fd listener_;
--- a/src/net/malformed.h
+++ b/src/net/malformed.h
@@ -15,17 +15,17 @@
     explicit Malformed(const char* from) : from_(from) {}
     void note(core::Millis now) {
         ++count_;
-        if (told_ != 0 && now - told_ < kTellEvery) return;
-        told_ = now;
+        if (reported_ != 0 && now - reported_ < kReportInterval) return;
+        reported_ = now;
         spdlog::info("malformed message from {}, {} since the start", from_, count_);
     }
     [[nodiscard]] std::uint64_t count() const { return count_; }
 
   private:
-    static constexpr core::Millis kTellEvery = 5000;
+    static constexpr core::Millis kReportInterval = 5000;
     const char* from_;
     std::uint64_t count_ = 0;
-    core::Millis told_ = 0;
+    core::Millis reported_ = 0;
 };
 
 }  // namespace lichendrift::net
--- a/src/policy/language.cpp
+++ b/src/policy/language.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t kMostBytes = std::size_t{64} << 10;
-constexpr std::size_t kMostSteps = 400;  // of one expression
-constexpr int kMostNesting = 32;
-constexpr std::size_t kMostProblems = 50;
+constexpr std::size_t kMaxBytes = std::size_t{64} << 10;
+constexpr std::size_t kMaxSteps = 400;  // of one expression
+constexpr int kMaxNesting = 32;
+constexpr std::size_t kMaxProblems = 50;
 
 std::string typed(const Token& token, Type type) {
     return quoted(token) + ", a " + std::string(type_name(type));
@@ -53,7 +53,7 @@
 
     std::variant<std::vector<Assignment>, std::vector<Problem>> run() {
         std::vector<Assignment> out;
-        while (peek().kind != Kind::End && problems_.size() < kMostProblems) {
+        while (peek().kind != Kind::End && problems_.size() < kMaxProblems) {
             if (peek().kind == Kind::Line) {
                 ++at_;
                 continue;
@@ -137,9 +137,9 @@
     }
 
     void emit(Op op, std::size_t index = 0) {
-        if (program_.steps_.size() >= kMostSteps) {
+        if (program_.steps_.size() >= kMaxSteps) {
             return problem(peek(), "a longer expression",
-                           "at most " + std::to_string(kMostSteps) + " steps");
+                           "at most " + std::to_string(kMaxSteps) + " steps");
         }
         program_.steps_.push_back({op, static_cast<std::uint32_t>(index)});
         const bool pushes = op == Op::Push || op == Op::Load;
@@ -161,9 +161,9 @@
 
     struct Nesting {
         explicit Nesting(Compiler& c) : compiler(c) {
-            if (++c.nesting_ > kMostNesting) {
+            if (++c.nesting_ > kMaxNesting) {
                 c.problem(c.peek(), "deeper nesting",
-                          "at most " + std::to_string(kMostNesting) + " levels");
+                          "at most " + std::to_string(kMaxNesting) + " levels");
             }
         }
         ~Nesting() { --compiler.nesting_; }
@@ -430,10 +430,10 @@
         } while (!failed_ && accept(","));
         need(")");
         const bool many = text == "min" || text == "max";
-        const int least = many ? 2 : text == "clamp" ? 3 : 1;
-        if (!failed_ && (count < least || (!many && count != least))) {
+        const int minimum = many ? 2 : text == "clamp" ? 3 : 1;
+        if (!failed_ && (count < minimum || (!many && count != minimum))) {
             problem(function, quoted(function) + " with " + std::to_string(count) + " values",
-                    (many ? "at least " : "exactly ") + std::to_string(least));
+                    (many ? "at least " : "exactly ") + std::to_string(minimum));
         }
         if (text == "abs") emit(Op::Abs);
         if (text == "floor") emit(Op::Floor);
@@ -459,9 +459,9 @@
 
 std::variant<std::vector<Assignment>, std::vector<Problem>> compile(
     std::string_view source, const std::vector<Setting>& settings) {
-    if (source.size() > kMostBytes) {
+    if (source.size() > kMaxBytes) {
         return std::vector<Problem>{{1, 1, std::to_string(source.size()) + " bytes",
-                                     "at most " + std::to_string(kMostBytes)}};
+                                     "at most " + std::to_string(kMaxBytes)}};
     }
     return Compiler(source, settings).run();
 }
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr std::size_t kMostQueued = 400;
+constexpr std::size_t kMaxQueued = 400;
 constexpr Millis kTimeout = 1500;
 constexpr Millis kProbeEvery = 400;
 constexpr std::size_t kPageItems = 200;
-constexpr std::size_t kLeastValueBytes = 512;
-constexpr std::size_t kLeastOperations = 2;
-constexpr Millis kTellEvery = 3000;
+constexpr std::size_t kMinValueBytes = 512;
+constexpr std::size_t kMinOperations = 2;
+constexpr Millis kReportInterval = 3000;
 
 Outcome plain_outcome(const net::HttpReply& reply) {
     if (reply.status == 0) return reply.sent ? Outcome::Unknown : Outcome::Refused;
@@ -44,14 +44,15 @@
     const double write_rate = share_.changes * settings_.write_rps;
     tokens_ = std::min(tokens_ + s * rate, std::max(rate * 0.5, 2.0));
     // The bucket must hold a whole transaction, or it could never be sent.
-    write_tokens_ = std::min(write_tokens_ + s * write_rate,
-                             std::max(write_rate * 0.5, static_cast<double>(settings_.txn_ops)));
+    write_tokens_ =
+        std::min(write_tokens_ + s * write_rate,
+                 std::max(write_rate * 0.5, static_cast<double>(settings_.transaction_operations)));
 }
 
-void StoreClient::send(Lane lane, net::HttpRequest request, std::size_t writes, Millis timeout,
-                       net::OnReply done) {
-    auto& queue = queues_[static_cast<std::size_t>(lane)];
-    if (queue.size() >= kMostQueued) {
+void StoreClient::send(RequestPriority priority, net::HttpRequest request, std::size_t writes,
+                       Millis timeout, net::OnReply done) {
+    auto& queue = queues_[static_cast<std::size_t>(priority)];
+    if (queue.size() >= kMaxQueued) {
         port_.after(0, [done = std::move(done)] { done({0, {}, false}); });
         return;
     }
@@ -67,8 +68,8 @@
     // Changes that have to wait for the pace hold up later changes, but no reads: a leader with
     // more to write than it may would refuse every question of its users.
     bool writes_wait = false;
-    for (std::size_t lane = 0; lane < queues_.size(); ++lane) {
-        auto& queue = queues_[lane];
+    for (std::size_t priority = 0; priority < queues_.size(); ++priority) {
+        auto& queue = queues_[priority];
         for (auto next = queue.begin(); next != queue.end();) {
             if (next->expires <= now) {
                 auto done = std::move(next->done);
@@ -78,8 +79,8 @@
             }
             const double writes = next->writes;
             // Leadership may go a little into debt: a late renewal costs more than a 429.
-            const double floor = lane == 0 ? -3.0 : 0.0;
-            if (tokens_ - 1 < floor || (lane > 0 && now < pause_until_)) {
+            const double floor = priority == 0 ? -3.0 : 0.0;
+            if (tokens_ - 1 < floor || (priority > 0 && now < pause_until_)) {
                 wait = 20;
                 break;
             }
@@ -143,7 +144,7 @@
     port_.after(kProbeEvery, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
         probing_ = false;
-        if (first_bad_ != 0) get(Lane::Read, "token", [](Outcome, const wire::Item&) {});
+        if (first_bad_ != 0) get(RequestPriority::Read, "token", [](Outcome, const wire::Item&) {});
     });
 }
 
@@ -161,8 +162,8 @@
 
 Millis StoreClient::failing_for() const { return first_bad_ == 0 ? 0 : port_.now() - first_bad_; }
 
-void StoreClient::get(Lane lane, const std::string& key, OnItem done) {
-    send(lane, {"GET", "/store/" + key, ""}, 0, kTimeout,
+void StoreClient::get(RequestPriority priority, const std::string& key, OnItem done) {
+    send(priority, {"GET", "/store/" + key, ""}, 0, kTimeout,
          [this, done = std::move(done)](const net::HttpReply& reply) {
              auto outcome = plain_outcome(reply);
              if (outcome != Outcome::Ok) return done(outcome, {});
@@ -172,12 +173,12 @@
          });
 }
 
-void StoreClient::list(Lane lane, const std::string& prefix, const std::string& since,
-                       OnPage done) {
+void StoreClient::list(RequestPriority priority, const std::string& prefix,
+                       const std::string& since, OnPage done) {
     std::string target = "/store?prefix=" + prefix;
     if (!since.empty()) target += "&since=" + since;
     target += "&limit=" + std::to_string(kPageItems);
-    send(lane, {"GET", std::move(target), ""}, 0, kTimeout,
+    send(priority, {"GET", std::move(target), ""}, 0, kTimeout,
          [this, done = std::move(done)](const net::HttpReply& reply) {
              auto outcome = plain_outcome(reply);
              if (outcome != Outcome::Ok) return done(outcome, {});
@@ -187,25 +188,25 @@
          });
 }
 
-void StoreClient::txn(Lane lane, const std::vector<wire::Condition>& when,
-                      const std::vector<wire::Change>& then, OnTxn done) {
+void StoreClient::transact(RequestPriority priority, const std::vector<wire::Condition>& when,
+                           const std::vector<wire::Change>& then, OnTransaction done) {
     std::size_t largest = 0;
     bool leased = false;
     for (const auto& change : then) {
         largest = std::max(largest, change.value.size());
-        leased |= change.grant != 0;
+        leased |= change.lease != 0;
     }
-    send(lane, {"POST", "/txn", wire::txn_body(when, then)}, then.size(), kTimeout,
+    send(priority, {"POST", "/txn", wire::transaction_body(when, then)}, then.size(), kTimeout,
          [this, done = std::move(done), largest, leased,
           operations = then.size()](const net::HttpReply& reply) {
-             TxnResult result;
+             TransactionResult result;
              result.outcome = plain_outcome(reply);
              // With a lease it mostly says that the lease has run out.
              if (result.outcome == Outcome::Rejected && !leased) note_rejected(largest, operations);
              if (result.outcome == Outcome::Ok) {
-                 const auto rev = wire::parse_revision(reply.body);
-                 if (rev) {
-                     result.revision = *rev;
+                 const auto revision = wire::parse_revision(reply.body);
+                 if (revision) {
+                     result.revision = *revision;
                  } else {
                      malformed_.note(port_.now());
                      result.outcome = Outcome::Unknown;
@@ -225,26 +226,27 @@
     limits_fell_ = true;
     if (largest_value > settings_.next_value_bytes) {
         settings_.value_bytes = std::min(settings_.value_bytes, settings_.next_value_bytes);
-    } else if (largest_value > kLeastValueBytes) {
-        settings_.value_bytes = std::max(kLeastValueBytes, largest_value / 2);
-    } else if (operations > kLeastOperations) {
-        settings_.txn_ops = std::max(kLeastOperations, operations / 2);
+    } else if (largest_value > kMinValueBytes) {
+        settings_.value_bytes = std::max(kMinValueBytes, largest_value / 2);
+    } else if (operations > kMinOperations) {
+        settings_.transaction_operations = std::max(kMinOperations, operations / 2);
     }
-    if (port_.now() - rejection_told_ < kTellEvery) return;
-    rejection_told_ = port_.now();
+    if (port_.now() - rejection_reported_at_ < kReportInterval) return;
+    rejection_reported_at_ = port_.now();
     spdlog::info(
         "the state service rejects {} changes with values of up to {} bytes; from now on {} "
         "changes "
         "of up to {} bytes",
-        operations, largest_value, settings_.txn_ops, settings_.value_bytes);
+        operations, largest_value, settings_.transaction_operations, settings_.value_bytes);
 }
 
-void StoreClient::grant(Millis ttl, OnGrant done) {
+void StoreClient::create_lease(Millis ttl, OnLease done) {
     const auto sent = port_.now();
-    send(Lane::Leadership, {"POST", "/grants", wire::grant_body(static_cast<std::uint64_t>(ttl))},
-         0, 1000, [this, done = std::move(done), sent](const net::HttpReply& reply) {
+    send(RequestPriority::Leadership,
+         {"POST", "/grants", wire::lease_body(static_cast<std::uint64_t>(ttl))}, 0, 1000,
+         [this, done = std::move(done), sent](const net::HttpReply& reply) {
              auto outcome = plain_outcome(reply);
-             const auto id = wire::parse_grant(reply.body);
+             const auto id = wire::parse_lease(reply.body);
              if (outcome == Outcome::Ok && !id) {
                  malformed_.note(port_.now());
                  outcome = Outcome::Unknown;
@@ -253,22 +255,22 @@
          });
 }
 
-void StoreClient::touch(std::uint64_t grant, OnGrant done) {
+void StoreClient::renew_lease(std::uint64_t lease, OnLease done) {
     const auto sent = port_.now();
-    send(Lane::Leadership, {"POST", "/grants/" + std::to_string(grant) + "/touch", ""}, 0, 1000,
-         [done = std::move(done), grant, sent](const net::HttpReply& reply) {
-             done(plain_outcome(reply), grant, sent);
+    send(RequestPriority::Leadership, {"POST", "/grants/" + std::to_string(lease) + "/touch", ""},
+         0, 1000, [done = std::move(done), lease, sent](const net::HttpReply& reply) {
+             done(plain_outcome(reply), lease, sent);
          });
 }
 
-void StoreClient::drop_grant(std::uint64_t grant) {
-    send(Lane::Leadership, {"DELETE", "/grants/" + std::to_string(grant), ""}, 0, 1000,
+void StoreClient::release_lease(std::uint64_t lease) {
+    send(RequestPriority::Leadership, {"DELETE", "/grants/" + std::to_string(lease), ""}, 0, 1000,
          [](const net::HttpReply&) {});
 }
 
-void StoreClient::watch(Lane lane, const std::string& prefix, std::uint64_t since, Millis block,
-                        OnPage done) {
-    send(lane,
+void StoreClient::watch(RequestPriority priority, const std::string& prefix, std::uint64_t since,
+                        Millis block, OnPage done) {
+    send(priority,
          {"GET",
           "/watch?prefix=" + prefix + "&since=" + std::to_string(since) +
               "&blockMs=" + std::to_string(block),
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -15,7 +15,7 @@
 using core::Millis;
 
 // Requests of a smaller lane go first when the pace is short.
-enum class Lane : std::uint8_t { Leadership, Submit, Place, Read };
+enum class RequestPriority : std::uint8_t { Leadership, Submit, Place, Read };
 
 enum class Outcome : std::uint8_t {
     Ok,
@@ -30,14 +30,14 @@
     std::string address;
     double rps = 50;
     double write_rps = 20;
-    std::size_t txn_ops = 8;
+    std::size_t transaction_operations = 8;
     std::size_t value_bytes = 8192;
     // The limit on values that will hold from some moment on, without notice. Rates and operations
     // need no such pair: those above are the smaller ones of both times from the start.
     std::size_t next_value_bytes = 8192;
 };
 
-struct TxnResult {
+struct TransactionResult {
     Outcome outcome = Outcome::Unknown;
     std::uint64_t revision = 0;
     std::vector<std::string> failed;
@@ -58,18 +58,19 @@
 
     using OnItem = std::function<void(Outcome, wire::Item)>;
     using OnPage = std::function<void(Outcome, wire::ItemPage)>;
-    using OnTxn = std::function<void(TxnResult)>;
-    using OnGrant = std::function<void(Outcome, std::uint64_t, Millis sent)>;
-
-    void get(Lane lane, const std::string& key, OnItem done);
-    void list(Lane lane, const std::string& prefix, const std::string& since, OnPage done);
-    void txn(Lane lane, const std::vector<wire::Condition>& when,
-             const std::vector<wire::Change>& then, OnTxn done);
-    void grant(Millis ttl, OnGrant done);
-    void touch(std::uint64_t grant, OnGrant done);
-    void drop_grant(std::uint64_t grant);
-    void watch(Lane lane, const std::string& prefix, std::uint64_t since, Millis block,
-               OnPage done);
+    using OnTransaction = std::function<void(TransactionResult)>;
+    using OnLease = std::function<void(Outcome, std::uint64_t, Millis sent)>;
+
+    void get(RequestPriority priority, const std::string& key, OnItem done);
+    void list(RequestPriority priority, const std::string& prefix, const std::string& since,
+              OnPage done);
+    void transact(RequestPriority priority, const std::vector<wire::Condition>& when,
+                  const std::vector<wire::Change>& then, OnTransaction done);
+    void create_lease(Millis ttl, OnLease done);
+    void renew_lease(std::uint64_t lease, OnLease done);
+    void release_lease(std::uint64_t lease);
+    void watch(RequestPriority priority, const std::string& prefix, std::uint64_t since,
+               Millis block, OnPage done);
 
     // False while requests go unanswered or are refused: new work is better refused at once.
     [[nodiscard]] bool responsive() const;
@@ -77,7 +78,9 @@
     [[nodiscard]] Millis failing_for() const;
     // Whether that many changes could be sent now without making anything else wait.
     [[nodiscard]] bool has_room_for(std::size_t writes);
-    [[nodiscard]] std::size_t txn_ops() const { return settings_.txn_ops; }
+    [[nodiscard]] std::size_t transaction_operations() const {
+        return settings_.transaction_operations;
+    }
     // What a value may have as far as is known now.
     [[nodiscard]] std::size_t value_bytes() const { return settings_.value_bytes; }
     // What a value may have at any time to come.
@@ -95,8 +98,8 @@
         Millis timeout = 0;
         net::OnReply done;
     };
-    void send(Lane lane, net::HttpRequest request, std::size_t writes, Millis timeout,
-              net::OnReply done);
+    void send(RequestPriority priority, net::HttpRequest request, std::size_t writes,
+              Millis timeout, net::OnReply done);
     void pump();
     void launch(Pending pending);
     void refill();
@@ -116,7 +119,7 @@
     net::Malformed malformed_{"the state service"};
     bool probing_ = false;
     bool limits_fell_ = false;
-    Millis rejection_told_ = -100'000;
+    Millis rejection_reported_at_ = -100'000;
     Millis last_good_ = 0;
     Millis first_bad_ = 0;                               // 0: no failure since the last good answer
     std::deque<std::pair<std::uint64_t, Millis>> open_;  // requests under way, oldest first
--- a/src/wire/cbor_messages.cpp
+++ b/src/wire/cbor_messages.cpp
@@ -233,10 +233,10 @@
     e.array(2);
     e.uint(news.from);
     e.array(news.cancelled.size());
-    for (const auto& word : news.cancelled) {
+    for (const auto& cancellation : news.cancelled) {
         e.array(2);
-        e.uint(word.rev);
-        e.text(word.id);
+        e.uint(cancellation.revision);
+        e.text(cancellation.id);
     }
     return e.take();
 }
@@ -246,16 +246,16 @@
     Entries in(item.get());
     CancellationNews news;
     news.from = in.uint();
-    Entries words(in.next());
-    while (words.left() > 0) {
-        Entries w(words.next());
-        Cancellation word;
-        word.rev = w.uint();
-        word.id = w.text();
+    Entries cancellations(in.next());
+    while (cancellations.left() > 0) {
+        Entries w(cancellations.next());
+        Cancellation cancellation;
+        cancellation.revision = w.uint();
+        cancellation.id = w.text();
         if (!w.good()) return std::nullopt;
-        news.cancelled.push_back(std::move(word));
+        news.cancelled.push_back(std::move(cancellation));
     }
-    if (!in.good() || !words.good()) return std::nullopt;
+    if (!in.good() || !cancellations.good()) return std::nullopt;
     return news;
 }
 
--- a/src/wire/cbor_messages.h
+++ b/src/wire/cbor_messages.h
@@ -32,7 +32,7 @@
 
 // A job whose user was told, or may be told, that it is cancelled.
 struct Cancellation {
-    std::uint64_t rev = 0;  // of its final word
+    std::uint64_t revision = 0;  // of its final word
     std::string id;
 };
 
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -16,7 +16,7 @@
 using Buffer = rapidjson::StringBuffer;
 using Writer = rapidjson::Writer<Buffer>;
 
-inline constexpr std::size_t kMostName = 200;
+inline constexpr std::size_t kMaxName = 200;
 
 // Nesting is bounded: a hostile body must not run the stack out.
 inline constexpr unsigned kFlags =
@@ -80,6 +80,6 @@
     return text_of(b);
 }
 
-inline bool good_name(const std::string& name) { return !name.empty() && name.size() <= kMostName; }
+inline bool good_name(const std::string& name) { return !name.empty() && name.size() <= kMaxName; }
 
 }  // namespace lichendrift::wire::json
--- a/src/wire/json_cloud.cpp
+++ b/src/wire/json_cloud.cpp
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-std::string rental_body(const duty::RentalOrder& order, duty::Epoch epoch) {
+std::string provision_body(const duty::ProvisionRequest& order, duty::Epoch epoch) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -93,7 +93,7 @@
     return text_of(b);
 }
 
-std::optional<std::vector<std::string>> parse_rented(std::string_view body) {
+std::optional<std::vector<std::string>> parse_provisioned(std::string_view body) {
     rapidjson::Document doc;
     if (!parse(doc, body)) return std::nullopt;
     const auto* list = member(doc, "banchi");
@@ -106,7 +106,7 @@
     return out;
 }
 
-std::string return_body(const std::vector<std::string>& names, duty::Epoch epoch) {
+std::string release_body(const std::vector<std::string>& names, duty::Epoch epoch) {
     Buffer b;
     Writer w(b);
     w.StartObject();
--- a/src/wire/json_duties.cpp
+++ b/src/wire/json_duties.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-constexpr std::uint64_t kMostRented = 1000;  // in one order; the protocol allows fewer
+constexpr std::uint64_t kMaxProvisioned = 1000;  // in one order; the protocol allows fewer
 
-std::optional<duty::RentalOrder> read_order(const Value& entry) {
+std::optional<duty::ProvisionRequest> read_order(const Value& entry) {
     const bool good = entry.IsArray() && entry.Size() == 5 && entry[0].IsString() &&
                       entry[1].IsString() && entry[2].IsString() && entry[3].IsBool() &&
                       entry[4].IsUint();
     if (!good) return std::nullopt;
-    duty::RentalOrder order;
+    duty::ProvisionRequest order;
     order.request.assign(entry[0].GetString(), entry[0].GetStringLength());
     order.type.assign(entry[1].GetString(), entry[1].GetStringLength());
     order.zone.assign(entry[2].GetString(), entry[2].GetStringLength());
     order.spot = entry[3].GetBool();
     order.number = entry[4].GetUint();
     const bool sound = good_name(order.request) && good_name(order.type) && good_name(order.zone) &&
-                       order.number > 0 && order.number <= kMostRented;
+                       order.number > 0 && order.number <= kMaxProvisioned;
     if (!sound) return std::nullopt;
     return order;
 }
@@ -84,10 +84,10 @@
         for (const auto& machine : intent.releases) string(w, machine);
         w.EndArray();
     }
-    if (!intent.rentals.empty()) {
+    if (!intent.provisions.empty()) {
         key(w, "r");
         w.StartArray();
-        for (const auto& order : intent.rentals) {
+        for (const auto& order : intent.provisions) {
             w.StartArray();
             string(w, order.request);
             string(w, order.type);
@@ -103,7 +103,7 @@
 }
 
 duty::StoredIntent parse_intent(const Item& item) {
-    duty::StoredIntent stored{item.key, item.rev, true, {}};
+    duty::StoredIntent stored{item.key, item.revision, true, {}};
     rapidjson::Document doc;
     if (!parse(doc, item.value)) return stored;
     bool good = get(doc, "e", stored.intent.epoch) && get(doc, "n", stored.intent.nonce);
@@ -114,7 +114,7 @@
             for (const auto& entry : orders->GetArray()) {
                 auto order = read_order(entry);
                 good &= order.has_value();
-                if (order) stored.intent.rentals.push_back(std::move(*order));
+                if (order) stored.intent.provisions.push_back(std::move(*order));
             }
         }
     }
--- a/src/wire/json_messages.h
+++ b/src/wire/json_messages.h
@@ -34,9 +34,9 @@
 // Cloud.
 std::optional<std::vector<core::MachineType>> parse_types(std::string_view body);
 // `epoch`: of the duty under which it is asked, in an additional field; 0: left out.
-std::string rental_body(const duty::RentalOrder& order, duty::Epoch epoch);
-std::optional<std::vector<std::string>> parse_rented(std::string_view body);
-std::string return_body(const std::vector<std::string>& names, duty::Epoch epoch);
+std::string provision_body(const duty::ProvisionRequest& order, duty::Epoch epoch);
+std::optional<std::vector<std::string>> parse_provisioned(std::string_view body);
+std::string release_body(const std::vector<std::string>& names, duty::Epoch epoch);
 struct Listing {
     std::vector<core::ListedMachine> machines;
     bool more = false;
@@ -47,18 +47,18 @@
 // State service.
 struct Condition {
     std::string key;
-    std::uint64_t rev = 0;
+    std::uint64_t revision = 0;
 };
 struct Change {
     std::string key;
     std::string value;        // JSON; empty: remove
-    std::uint64_t grant = 0;  // 0: none
+    std::uint64_t lease = 0;  // 0: none
 };
-std::string txn_body(const std::vector<Condition>& when, const std::vector<Change>& then);
+std::string transaction_body(const std::vector<Condition>& when, const std::vector<Change>& then);
 struct Item {
     std::string key;
     std::string value;  // JSON; empty in a change: removed
-    std::uint64_t rev = 0;
+    std::uint64_t revision = 0;
 };
 std::optional<Item> parse_item(std::string_view body);
 std::optional<std::uint64_t> parse_revision(std::string_view body);
@@ -70,8 +70,8 @@
 std::optional<ItemPage> parse_items(std::string_view body);
 std::optional<ItemPage> parse_changes(std::string_view body);
 std::optional<std::vector<std::string>> parse_failed(std::string_view body);
-std::string grant_body(std::uint64_t ttl_ms);
-std::optional<std::uint64_t> parse_grant(std::string_view body);
+std::string lease_body(std::uint64_t ttl_ms);
+std::optional<std::uint64_t> parse_lease(std::string_view body);
 
 // Values of our own in the state service.
 std::string job_value(const core::JobText& job);
@@ -85,16 +85,16 @@
 std::string over_value(bool aborted, const core::JobText* job);
 // The same within a limit: of a description that is too long, what its tasks need while they are
 // still on machines, without the lists of where it might have run.
-std::string over_value_within(bool aborted, const core::JobText& job, std::size_t most_bytes);
+std::string over_value_within(bool aborted, const core::JobText& job, std::size_t max_bytes);
 std::optional<Over> parse_over_value(std::string_view id, std::string_view value);
-struct LeaderMark {
+struct LeaderRecord {
     std::string member;
     std::uint64_t token = 0;
 };
-std::string leader_value(const LeaderMark& mark);
-std::optional<LeaderMark> parse_leader_value(std::string_view value);
+std::string leader_value(const LeaderRecord& leader_record);
+std::optional<LeaderRecord> parse_leader_value(std::string_view value);
 using ImageHints = std::vector<std::pair<std::string, std::vector<std::string>>>;
-std::string image_hints_value(const ImageHints& hints, std::size_t most_bytes);
+std::string image_hints_value(const ImageHints& hints, std::size_t max_bytes);
 std::optional<ImageHints> parse_image_hints_value(std::string_view value);
 std::string duty_value(const duty::DutyRecord& record);
 std::optional<duty::DutyRecord> parse_duty_value(std::string_view value);
--- a/src/wire/json_state.cpp
+++ b/src/wire/json_state.cpp
@@ -6,7 +6,7 @@
 
 using namespace json;
 
-std::string txn_body(const std::vector<Condition>& when, const std::vector<Change>& then) {
+std::string transaction_body(const std::vector<Condition>& when, const std::vector<Change>& then) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -16,7 +16,7 @@
         w.StartObject();
         field(w, "path", c.key);
         key(w, "timbro");
-        w.Uint64(c.rev);
+        w.Uint64(c.revision);
         w.EndObject();
     }
     w.EndArray();
@@ -31,9 +31,9 @@
                 field(w, "set", c.key);
                 key(w, "value");
                 w.RawValue(c.value.data(), c.value.size(), rapidjson::kObjectType);
-                if (c.grant != 0) {
+                if (c.lease != 0) {
                     key(w, "concessione");
-                    w.Uint64(c.grant);
+                    w.Uint64(c.lease);
                 }
             }
             w.EndObject();
@@ -49,7 +49,7 @@
     if (!parse(doc, body)) return std::nullopt;
     Item item;
     const auto* value = member(doc, "value");
-    if (value == nullptr || !get(doc, "timbro", item.rev)) return std::nullopt;
+    if (value == nullptr || !get(doc, "timbro", item.revision)) return std::nullopt;
     get(doc, "path", item.key);
     item.value = json_of(*value);
     return item;
@@ -57,9 +57,9 @@
 
 std::optional<std::uint64_t> parse_revision(std::string_view body) {
     rapidjson::Document doc;
-    std::uint64_t rev = 0;
-    if (!parse(doc, body) || !get(doc, "registro", rev)) return std::nullopt;
-    return rev;
+    std::uint64_t revision = 0;
+    if (!parse(doc, body) || !get(doc, "registro", revision)) return std::nullopt;
+    return revision;
 }
 
 std::optional<ItemPage> parse_items(std::string_view body) {
@@ -73,7 +73,8 @@
     get(doc, "more", page.more);
     for (const auto& entry : items->GetArray()) {
         Item item;
-        if (!entry.IsObject() || !get(entry, "path", item.key) || !get(entry, "timbro", item.rev)) {
+        if (!entry.IsObject() || !get(entry, "path", item.key) ||
+            !get(entry, "timbro", item.revision)) {
             return std::nullopt;
         }
         const auto* value = member(entry, "value");
@@ -94,7 +95,7 @@
     if (!news->IsArray()) return std::nullopt;
     for (const auto& entry : news->GetArray()) {
         Item item;
-        if (!entry.IsObject() || !get(entry, "timbro", item.rev)) return std::nullopt;
+        if (!entry.IsObject() || !get(entry, "timbro", item.revision)) return std::nullopt;
         if (get(entry, "set", item.key)) {
             const auto* value = member(entry, "value");
             if (value == nullptr) return std::nullopt;
@@ -120,7 +121,7 @@
     return out;
 }
 
-std::string grant_body(std::uint64_t ttl_ms) {
+std::string lease_body(std::uint64_t ttl_ms) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -130,11 +131,11 @@
     return text_of(b);
 }
 
-std::optional<std::uint64_t> parse_grant(std::string_view body) {
+std::optional<std::uint64_t> parse_lease(std::string_view body) {
     rapidjson::Document doc;
-    std::uint64_t grant = 0;
-    if (!parse(doc, body) || !get(doc, "concessione", grant)) return std::nullopt;
-    return grant;
+    std::uint64_t lease = 0;
+    if (!parse(doc, body) || !get(doc, "concessione", lease)) return std::nullopt;
+    return lease;
 }
 
 }  // namespace lichendrift::wire
--- a/src/wire/json_values.cpp
+++ b/src/wire/json_values.cpp
@@ -191,15 +191,15 @@
     return text_of(b);
 }
 
-std::string over_value_within(bool aborted, const core::JobText& job, std::size_t most_bytes) {
+std::string over_value_within(bool aborted, const core::JobText& job, std::size_t max_bytes) {
     auto value = over_value(aborted, &job);
-    if (value.size() <= most_bytes) return value;
+    if (value.size() <= max_bytes) return value;
     auto short_job = job;
     short_job.types.reset();
     short_job.zone.reset();
     short_job.image.clear();
     value = over_value(aborted, &short_job);
-    if (value.size() <= most_bytes) return value;
+    if (value.size() <= max_bytes) return value;
     short_job.cls.clear();
     return over_value(aborted, &short_job);
 }
@@ -214,7 +214,7 @@
     return over;
 }
 
-std::string image_hints_value(const ImageHints& hints, std::size_t most_bytes) {
+std::string image_hints_value(const ImageHints& hints, std::size_t max_bytes) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -223,7 +223,7 @@
     for (const auto& [machine, images] : hints) {
         std::size_t bytes = machine.size() + 16;
         for (const auto& image : images) bytes += image.size() + 8;
-        if (b.GetSize() + bytes > most_bytes) break;
+        if (b.GetSize() + bytes > max_bytes) break;
         w.StartArray();
         string(w, machine);
         for (const auto& image : images) string(w, image);
@@ -255,24 +255,25 @@
     return out;
 }
 
-std::string leader_value(const LeaderMark& mark) {
+std::string leader_value(const LeaderRecord& leader_record) {
     Buffer b;
     Writer w(b);
     w.StartObject();
-    field(w, "m", mark.member);
+    field(w, "m", leader_record.member);
     key(w, "t");
-    w.Uint64(mark.token);
+    w.Uint64(leader_record.token);
     w.EndObject();
     return text_of(b);
 }
 
-std::optional<LeaderMark> parse_leader_value(std::string_view value) {
+std::optional<LeaderRecord> parse_leader_value(std::string_view value) {
     rapidjson::Document doc;
-    LeaderMark mark;
-    if (!parse(doc, value) || !get(doc, "m", mark.member) || !get(doc, "t", mark.token)) {
+    LeaderRecord leader_record;
+    if (!parse(doc, value) || !get(doc, "m", leader_record.member) ||
+        !get(doc, "t", leader_record.token)) {
         return std::nullopt;
     }
-    return mark;
+    return leader_record;
 }
 
 }  // namespace lichendrift::wire
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -26,8 +26,8 @@
         s.token = 3;
         return s;
     }
-    void beat(const std::string& name, std::uint64_t seq, Millis now, std::uint64_t token = 3,
-              std::vector<TaskReport> tasks = {}) {
+    void heartbeat(const std::string& name, std::uint64_t seq, Millis now, std::uint64_t token = 3,
+                   std::vector<TaskReport> tasks = {}) {
         Report r;
         r.machine = name;
         r.endpoint = "10.0.0.1:1";
@@ -45,9 +45,9 @@
         Plan plan;
         plan.starts.push_back({0, machines, 0, {}});
         ASSERT_EQ(cluster_.apply(plan, 1100).starts, 1U);
-        const auto writes = cluster_.next_chunk_writes({}, false, 1200);
+        const auto writes = cluster_.next_record_writes({}, false, 1200);
         ASSERT_EQ(writes.size(), 1U);
-        cluster_.chunk_written(writes[0], true, 7, 1300);
+        cluster_.on_record_written(writes[0], true, 7, 1300);
     }
     bool usable(std::size_t machine, Millis now) {
         return cluster_.snapshot(now, 0).machines.at(machine).usable;
@@ -58,8 +58,8 @@
 };
 
 TEST_F(ClusterTest, EmptiedMachinesAreTakenBackWhenRoomIsShort) {
-    beat("host-1", 1, 1000);
-    beat("host-2", 1, 1000);
+    heartbeat("host-1", 1, 1000);
+    heartbeat("host-2", 1, 1000);
     Plan plan;
     plan.drains = {0};
     cluster_.apply(plan, 1100);
@@ -75,12 +75,12 @@
 }
 
 TEST_F(ClusterTest, NothingStartsBeforeAReportCarriesTheToken) {
-    beat("host-1", 1, 1000, 2);
+    heartbeat("host-1", 1, 1000, 2);
     EXPECT_FALSE(usable(0, 1100));
-    beat("host-1", 2, 1200, 3);
+    heartbeat("host-1", 2, 1200, 3);
     EXPECT_TRUE(usable(0, 1300));
     // A late copy of the older report changes nothing.
-    beat("host-1", 1, 1400, 2);
+    heartbeat("host-1", 1, 1400, 2);
     EXPECT_TRUE(usable(0, 1500));
 }
 
@@ -93,11 +93,11 @@
     job.cpus = 1;
     cluster_.add_job(job, 1, 1000);
     cluster_.load_record(job.id, 0, {2, 1, {{0, 20'000'001, "host-1", 1}}, {}}, 5, 1000);
-    beat("host-1", 7, 2000, 2);
+    heartbeat("host-1", 7, 2000, 2);
     cluster_.on_list_complete({"host-2"}, 3000);
-    EXPECT_TRUE(cluster_.next_returns(9, 3000).empty());
+    EXPECT_TRUE(cluster_.next_releases(9, 3000).empty());
     cluster_.on_list_complete({"host-2"}, 40'000);
-    EXPECT_EQ(cluster_.next_returns(9, 40'000), std::vector<std::string>{"host-1"});
+    EXPECT_EQ(cluster_.next_releases(9, 40'000), std::vector<std::string>{"host-1"});
 }
 
 // Asked for, a return may be held on its way and carried out when another leads.
@@ -113,14 +113,14 @@
     r.notice_s = 5;
     cluster_.on_report(r, true, 1000);
     cluster_.tick(12'000, false);
-    EXPECT_TRUE(cluster_.next_returns(9, 12'000).empty());
+    EXPECT_TRUE(cluster_.next_releases(9, 12'000).empty());
     cluster_.tick(12'100, true);
-    EXPECT_EQ(cluster_.next_returns(9, 12'100).size(), 1U);
+    EXPECT_EQ(cluster_.next_releases(9, 12'100).size(), 1U);
 }
 
 TEST_F(ClusterTest, ImagesAreKnownOverAChangeOfLeader) {
     cluster_.load_image_hints({{"host-1", {"img-a", "img-b"}}}, 500);
-    beat("host-1", 1, 1000);
+    heartbeat("host-1", 1, 1000);
     const auto hints = cluster_.image_hints(0, 1);
     ASSERT_EQ(hints.size(), 1U);
     EXPECT_EQ(hints[0].second, (std::vector<std::string>{"img-a", "img-b"}));
@@ -135,7 +135,7 @@
 
 TEST_P(RefusedStartTest, LetsGoOfATaskThatWasToBeStopped) {
     const bool cancelled = GetParam();
-    beat("host-1", 1, 1000);
+    heartbeat("host-1", 1, 1000);
     JobText job;
     job.id = "job-000001";
     job.team = "core";
@@ -149,7 +149,7 @@
         const auto running = cluster_.snapshot(1350, 0).allocations;
         ASSERT_EQ(running.size(), 1U);
         Plan stop;
-        stop.stops.emplace_back(running[0].ix, running[0].attempt);
+        stop.stops.emplace_back(running[0].index, running[0].attempt);
         cluster_.apply(stop, 1350);
     }
     cluster_.direct_result(direct, Cluster::DirectResult::NotExecuted, 1400);
@@ -178,7 +178,7 @@
 TEST_P(FaultyMachinesTest, BackOffOnlyAJobOfWhichNoTaskHasCompleted) {
     const bool sound = GetParam();
     const std::vector<std::string> names{"host-0", "host-1", "host-2"};
-    for (const auto& name : names) beat(name, 1, 1000);
+    for (const auto& name : names) heartbeat(name, 1, 1000);
     JobText job;
     job.id = "job-000001";
     job.team = "core";
@@ -195,7 +195,7 @@
             exited.push_back({order.job, order.task, order.attempt, TaskPhase::Exited,
                               done ? ExitWhy::Done : ExitWhy::Error, false});
         }
-        beat(name, 2, 2000, 3, exited);
+        heartbeat(name, 2, 2000, 3, exited);
     }
     const auto items = cluster_.snapshot(2100, 0).items;
     ASSERT_EQ(items.size(), 1U);
@@ -211,26 +211,26 @@
 // the other half, whose reports came in the same second.
 TEST_F(ClusterTest, FirstReportsAfterAllWereSilentDoNotCostTheOthers) {
     const std::vector<std::string> names{"host-1", "host-2", "host-3", "host-4"};
-    for (const auto& name : names) beat(name, 1, 1000);
+    for (const auto& name : names) heartbeat(name, 1, 1000);
     cluster_.tick(1500);
     for (Millis now = 2000; now <= 20'000; now += 250) cluster_.tick(now);
-    beat("host-1", 2, 20'100);
-    beat("host-2", 2, 20'100);
+    heartbeat("host-1", 2, 20'100);
+    heartbeat("host-2", 2, 20'100);
     cluster_.tick(20'250);
-    EXPECT_TRUE(cluster_.next_returns(9, 20'250).empty());
-    beat("host-3", 2, 20'900);
+    EXPECT_TRUE(cluster_.next_releases(9, 20'250).empty());
+    heartbeat("host-3", 2, 20'900);
     // One that does not come back is not waited for without end.
     for (Millis now = 21'000; now <= 40'000; now += 1000) {
         for (const auto* name : {"host-1", "host-2", "host-3"}) {
-            beat(name, static_cast<std::uint64_t>(now), now);
+            heartbeat(name, static_cast<std::uint64_t>(now), now);
         }
         cluster_.tick(now);
     }
-    EXPECT_EQ(cluster_.next_returns(9, 40'000), std::vector<std::string>{"host-4"});
+    EXPECT_EQ(cluster_.next_releases(9, 40'000), std::vector<std::string>{"host-4"});
 }
 
 TEST_F(ClusterTest, GateRefusesWhatThePlannerMustNotAsk) {
-    beat("host-1", 1, 1000);
+    heartbeat("host-1", 1, 1000);
     JobText job;
     job.id = "job-000001";
     job.team = "core";
@@ -245,9 +245,9 @@
     EXPECT_EQ(cluster_.apply(plan, 1100).starts, 1U);
     // Nothing is sent before the record is durable.
     EXPECT_TRUE(cluster_.heartbeat_commands("host-1", 1, true, 1200).empty());
-    const auto writes = cluster_.next_chunk_writes({}, false, 1200);
+    const auto writes = cluster_.next_record_writes({}, false, 1200);
     ASSERT_EQ(writes.size(), 1U);
-    cluster_.chunk_written(writes[0], true, 7, 1300);
+    cluster_.on_record_written(writes[0], true, 7, 1300);
     // Nor while the leader can't be sure that it leads.
     EXPECT_TRUE(cluster_.heartbeat_commands("host-1", 1, false, 1300).empty());
     EXPECT_EQ(cluster_.heartbeat_commands("host-1", 1, true, 1300).size(), 1U);
@@ -271,27 +271,27 @@
     EXPECT_FALSE(cluster_.on_report(r, true, 30'000).fresh);
     // Nor is it a sign of life: the machine stays silent.
     EXPECT_FALSE(usable(0, 30'000));
-    beat("host-2", 1, 30'000);
+    heartbeat("host-2", 1, 30'000);
     EXPECT_FALSE(cluster_.tick(30'000).empty());
 }
 
 // Copies from before the term come one by one, each newer than the last: the machine is gone, and
 // they must not hold off its return.
 TEST_F(ClusterTest, LateCopiesOfAnEarlierTermAreNoSignsOfLife) {
-    for (std::uint64_t seq = 1; seq <= 3; ++seq) beat("host-2", seq, 1000, 3);
+    for (std::uint64_t seq = 1; seq <= 3; ++seq) heartbeat("host-2", seq, 1000, 3);
     std::uint64_t seq = 10;
     Millis now = 1000;
-    bool returned = false;
-    for (; now < 40'000 && !returned; now += 1000) {
-        beat("host-1", ++seq, now, 2);
-        beat("host-2", seq, now, 3);
-        for (const auto& line : cluster_.tick(now)) returned |= line.find("host-1") < 20;
+    bool released = false;
+    for (; now < 40'000 && !released; now += 1000) {
+        heartbeat("host-1", ++seq, now, 2);
+        heartbeat("host-2", seq, now, 3);
+        for (const auto& line : cluster_.tick(now)) released |= line.find("host-1") < 20;
     }
-    EXPECT_TRUE(returned);
+    EXPECT_TRUE(released);
     EXPECT_LT(now, 25'000);
-    cluster_.returned({"host-1"}, true, now);
-    beat("host-1", ++seq, now + 1000, 2);
-    for (const auto& m : cluster_.snapshot(now + 1500, 0).machines) EXPECT_NE(m.ix, 1U);
+    cluster_.on_released({"host-1"}, true, now);
+    heartbeat("host-1", ++seq, now + 1000, 2);
+    for (const auto& m : cluster_.snapshot(now + 1500, 0).machines) EXPECT_NE(m.index, 1U);
 }
 
 // With the direct way closed only the worker's own lease tells that answers reach it.
@@ -336,8 +336,8 @@
 // The cloud says when it takes a machine. Waiting until its silence shows cost ten seconds of a
 // wave in which a quarter of the fleet had to be rented again.
 TEST_F(ClusterTest, MachineTakenAsAnnouncedIsGivenUpAtOnceAndItsKindIsAskedForAgain) {
-    beat("host-1", 1, 1000);
-    beat("host-2", 1, 1000);
+    heartbeat("host-1", 1, 1000);
+    heartbeat("host-2", 1, 1000);
     Report r;
     r.machine = "host-1";
     r.endpoint = "10.0.0.1:1";
@@ -349,20 +349,20 @@
     r.notice_s = 3;
     cluster_.on_report(r, true, 2000);
     cluster_.on_refused(0, 0, false, 2500);
-    beat("host-2", 2, 4000);
+    heartbeat("host-2", 2, 4000);
     cluster_.tick(4500);
-    EXPECT_TRUE(cluster_.next_returns(10, 4500).empty());
+    EXPECT_TRUE(cluster_.next_releases(10, 4500).empty());
     cluster_.tick(6600);
-    ASSERT_EQ(cluster_.next_returns(10, 6600), (std::vector<std::string>{"host-1"}));
+    ASSERT_EQ(cluster_.next_releases(10, 6600), (std::vector<std::string>{"host-1"}));
     EXPECT_EQ(cluster_.snapshot(6650, 0).refused.size(), 1U);
-    cluster_.returned({"host-1"}, true, 6700);
+    cluster_.on_released({"host-1"}, true, 6700);
     EXPECT_TRUE(cluster_.snapshot(6750, 0).refused.empty());
 }
 
 // With few changes a second, the records of replicas waited behind those of older jobs, were not
 // durable when their leader ended, and were all placed anew by the next.
 TEST_F(ClusterTest, RecordsOfServicesAreWrittenFirst) {
-    beat("host-1", 1, 1000);
+    heartbeat("host-1", 1, 1000);
     JobText array;
     array.id = "job-000001";
     array.team = "core";
@@ -379,12 +379,12 @@
     ASSERT_EQ(cluster_.apply(plan, 1100).starts, 2U);
     Cluster::RecordLimits urgent;
     urgent.urgent_only = true;
-    const auto first = cluster_.next_chunk_writes(urgent, false, 1200);
+    const auto first = cluster_.next_record_writes(urgent, false, 1200);
     ASSERT_EQ(first.size(), 1U);
     EXPECT_EQ(first[0].job_id, "job-000002");
     EXPECT_TRUE(first[0].urgent);
-    EXPECT_TRUE(cluster_.next_chunk_writes(urgent, false, 1200).empty());
-    const auto rest = cluster_.next_chunk_writes({}, false, 1200);
+    EXPECT_TRUE(cluster_.next_record_writes(urgent, false, 1200).empty());
+    const auto rest = cluster_.next_record_writes({}, false, 1200);
     ASSERT_EQ(rest.size(), 1U);
     EXPECT_EQ(rest[0].job_id, "job-000001");
 }
@@ -392,7 +392,7 @@
 // A record that exceeds the limit is divided; the earlier one goes only once the finer ones are
 // durable, and nothing is placed anew for it.
 TEST_F(ClusterTest, RecordThatExceedsTheLimitIsDividedInAFinerLayout) {
-    beat("host-1", 1, 1000);
+    heartbeat("host-1", 1, 1000);
     JobText job;
     job.id = "job-000001";
     job.team = "core";
@@ -405,22 +405,22 @@
     Cluster::RecordLimits limits;
     limits.value_bytes = 1000;
     // While a peer may be of an older version the layout stays, whatever the limit.
-    const auto coarse = cluster_.next_chunk_writes(limits, false, 1500);
+    const auto coarse = cluster_.next_record_writes(limits, false, 1500);
     ASSERT_EQ(coarse.size(), 1U);
-    EXPECT_EQ(coarse[0].chunk, 0U);
-    cluster_.chunk_refused(coarse[0], false, 1600);
+    EXPECT_EQ(coarse[0].record_number, 0U);
+    cluster_.on_record_refused(coarse[0], false, 1600);
     limits.may_refine = true;
-    const auto fine = cluster_.next_chunk_writes(limits, false, 1700);
+    const auto fine = cluster_.next_record_writes(limits, false, 1700);
     ASSERT_EQ(fine.size(), 3U);
     std::size_t placed = 0;
     for (const auto& write : fine) {
-        EXPECT_GE(write.chunk, 1'000'000U);
+        EXPECT_GE(write.record_number, 1'000'000U);
         placed += write.record.placed.size();
     }
     EXPECT_EQ(placed, 50U);
     for (const auto& write : fine) {
         EXPECT_TRUE(cluster_.next_orphans(8).empty());
-        cluster_.chunk_written(write, true, 9, 1800);
+        cluster_.on_record_written(write, true, 9, 1800);
     }
     EXPECT_EQ(cluster_.next_orphans(8), std::vector<std::string>{"place/job-000001/0"});
 }
@@ -447,11 +447,11 @@
     EXPECT_EQ(loaded.done, 2U);
     Cluster::RecordLimits limits;
     limits.may_refine = true;
-    const auto writes = cluster_.next_chunk_writes(limits, false, 1100);
+    const auto writes = cluster_.next_record_writes(limits, false, 1100);
     ASSERT_EQ(writes.size(), 2U);
-    EXPECT_EQ(writes[0].chunk, 1'000'000U);
-    EXPECT_EQ(writes[1].chunk, 1'000'001U);
-    for (const auto& write : writes) cluster_.chunk_written(write, true, 9, 1200);
+    EXPECT_EQ(writes[0].record_number, 1'000'000U);
+    EXPECT_EQ(writes[1].record_number, 1'000'001U);
+    for (const auto& write : writes) cluster_.on_record_written(write, true, 9, 1200);
     EXPECT_EQ(cluster_.next_orphans(8), std::vector<std::string>{"place/job-000001/0"});
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -58,9 +58,9 @@
     ASSERT_TRUE(aborted && aborted->job);
     EXPECT_TRUE(aborted->aborted);
     EXPECT_EQ(aborted->job->count, 16U);
-    const auto mark = wire::parse_leader_value(production_bytes("leader.json"));
-    ASSERT_TRUE(mark);
-    EXPECT_EQ(mark->token, 3'000'000U);
+    const auto leader_record = wire::parse_leader_value(production_bytes("leader.json"));
+    ASSERT_TRUE(leader_record);
+    EXPECT_EQ(leader_record->token, 3'000'000U);
     const auto hints = wire::parse_image_hints_value(production_bytes("images.json"));
     ASSERT_TRUE(hints);
     EXPECT_EQ(hints->size(), 2U);
--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -3,7 +3,7 @@
 
 #include "duty/cleanup.h"
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -17,9 +17,9 @@
     return options;
 }
 
-std::optional<std::size_t> cleaner(Simulation& world) {
-    for (std::size_t n = 0; n < world.node_count(); ++n) {
-        const auto* controller = world.controller(n);
+std::optional<std::size_t> cleaner(Simulation& simulation) {
+    for (std::size_t n = 0; n < simulation.node_count(); ++n) {
+        const auto* controller = simulation.controller(n);
         if (controller != nullptr && controller->cleans_up()) return n;
     }
     return std::nullopt;
@@ -31,29 +31,29 @@
     R"({"c":"any","t":"core","g":false,"p":1,"n":1,"u":[1,0,1],"i":"img","s":0.1,"o":false,)"
     R"("a":false,"l":true,"e":[1,0,0],"w":0})";
 
-void put(Simulation& world, const std::string& key, const std::string& value) {
-    world.store()[key] = {value, 1};
+void put(Simulation& simulation, const std::string& key, const std::string& value) {
+    simulation.store()[key] = {value, 1};
 }
 
 // A leader that ended between a terminal state and the removal of the records leaves all of these.
-void put_leftovers(Simulation& world) {
-    put(world, "over/job-000001", R"({"s":"done"})");
-    put(world, "place/job-000001/0", kPlaced);
-    put(world, "place/job-000001/1000007", kPlaced);  // of a finer layout
-    put(world, "over/job-000002", std::string(R"({"s":"aborted","j":)") + kJob + "}");
-    put(world, "place/job-000002/0", kPlaced);
-    put(world, "over/job-000003", std::string(R"({"s":"aborted","j":)") + kJob + "}");
-    put(world, "place/job-000003/0", kNotPlaced);
-    put(world, "place/job-000004/0", kPlaced);  // of no job
-    put(world, "place/job-000005/0", R"({"t":"damaged"})");
-    put(world, "images/7", R"({"m":[["host-!","img"]]})");  // older than any machine
+void put_leftovers(Simulation& simulation) {
+    put(simulation, "over/job-000001", R"({"s":"done"})");
+    put(simulation, "place/job-000001/0", kPlaced);
+    put(simulation, "place/job-000001/1000007", kPlaced);  // of a finer layout
+    put(simulation, "over/job-000002", std::string(R"({"s":"aborted","j":)") + kJob + "}");
+    put(simulation, "place/job-000002/0", kPlaced);
+    put(simulation, "over/job-000003", std::string(R"({"s":"aborted","j":)") + kJob + "}");
+    put(simulation, "place/job-000003/0", kNotPlaced);
+    put(simulation, "place/job-000004/0", kPlaced);  // of no job
+    put(simulation, "place/job-000005/0", R"({"t":"damaged"})");
+    put(simulation, "images/7", R"({"m":[["host-!","img"]]})");  // older than any machine
 }
 
 TEST(Cleanup, RemovesWhatIsProvenOfNoUseAndNothingElse) {
-    Simulation world(cleaning(1));
-    world.at(2000, [&] { put_leftovers(world); });
-    world.advance(60'000);
-    const auto& store = world.store();
+    Simulation simulation(cleaning(1));
+    simulation.at(2000, [&] { put_leftovers(simulation); });
+    simulation.advance(60'000);
+    const auto& store = simulation.store();
     EXPECT_FALSE(store.contains("place/job-000001/0"));
     EXPECT_FALSE(store.contains("place/job-000001/1000007"));
     EXPECT_FALSE(store.contains("place/job-000003/0"));
@@ -62,15 +62,15 @@
                             "place/job-000002/0", "place/job-000004/0", "place/job-000005/0"}) {
         EXPECT_TRUE(store.contains(key)) << key;
     }
-    EXPECT_EQ(world.broken(), "");
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 TEST(Cleanup, ReportsWithoutRemoving) {
-    Simulation world(cleaning(2, control::CleanupMode::Report));
-    world.at(2000, [&] { put_leftovers(world); });
-    world.advance(60'000);
+    Simulation simulation(cleaning(2, control::CleanupMode::Report));
+    simulation.at(2000, [&] { put_leftovers(simulation); });
+    simulation.advance(60'000);
     for (const auto* key : {"place/job-000001/0", "place/job-000003/0", "images/7"}) {
-        EXPECT_TRUE(world.store().contains(key)) << key;
+        EXPECT_TRUE(simulation.store().contains(key)) << key;
     }
 }
 
@@ -82,8 +82,8 @@
         options.busy_ms = 70'000;
         options.settle_ms = 260'000;
         options.features.cleanup_page_s = 1;
-        Simulation world(options);
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
+        Simulation simulation(options);
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
     }
 }
 
@@ -94,53 +94,56 @@
         auto options = cleaning(seed);
         options.features.cleanup_page_s = 1;
         options.machines = 12;
-        Simulation world(options);
+        Simulation simulation(options);
         for (std::size_t n = 0; n < 400; ++n) {
-            world.jobs().push_back(plain(numbered(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
+            simulation.jobs().push_back(
+                plain(numbered(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
         }
         // Users' questions would bring the copy up.
-        world.at(18'000, [&] { world.cut(node_name(*cleaner(world)), "user", 60'000, false); });
-        world.advance(70'000);
-        for (std::size_t n = 0; n < world.node_count(); ++n) {
-            EXPECT_EQ(world.controller(n)->suspicious_records(), 0U) << "seed " << seed;
+        simulation.at(18'000, [&] {
+            simulation.cut(node_name(*cleaner(simulation)), "user", 60'000, false);
+        });
+        simulation.advance(70'000);
+        for (std::size_t n = 0; n < simulation.node_count(); ++n) {
+            EXPECT_EQ(simulation.controller(n)->suspicious_records(), 0U) << "seed " << seed;
         }
-        EXPECT_EQ(world.broken(), "");
+        EXPECT_EQ(simulation.broken(), "");
     }
 }
 
 TEST(Cleanup, IsHeldByAFollowerAndPassesOnWhenItEnds) {
     for (std::uint64_t seed = 30; seed < 36; ++seed) {
-        Simulation world(cleaning(seed));
-        world.advance(30'000);
-        const auto first = cleaner(world);
+        Simulation simulation(cleaning(seed));
+        simulation.advance(30'000);
+        const auto first = cleaner(simulation);
         ASSERT_TRUE(first);
-        EXPECT_NE(first, world.leader());
-        world.crash(*first, 100'000);
-        world.advance(80'000);
-        const auto second = cleaner(world);
+        EXPECT_NE(first, simulation.leader());
+        simulation.crash(*first, 100'000);
+        simulation.advance(80'000);
+        const auto second = cleaner(simulation);
         ASSERT_TRUE(second);
         EXPECT_NE(second, first);
-        EXPECT_EQ(parsed(world.store()["duty/cleanup"].first)["e"].GetUint64(), 2U);
+        EXPECT_EQ(parsed(simulation.store()["duty/cleanup"].first)["e"].GetUint64(), 2U);
     }
 }
 
 TEST(Cleanup, HandsOverAtOnceWhenItsControllerEndsInGoodOrderOrLeads) {
-    Simulation world(cleaning(40));
-    world.advance(30'000);
-    const auto first = cleaner(world);
+    Simulation simulation(cleaning(40));
+    simulation.advance(30'000);
+    const auto first = cleaner(simulation);
     ASSERT_TRUE(first);
-    world.controller(*first)->hand_over();
-    world.advance(45'000);
-    const auto second = cleaner(world);
+    simulation.controller(*first)->hand_over();
+    simulation.advance(45'000);
+    const auto second = cleaner(simulation);
     ASSERT_TRUE(second);
     EXPECT_NE(second, first);
     // The leader ends: now and then the one that cleans up comes to lead, and gives it up.
     for (int round = 0; round < 6; ++round) {
-        world.crash(*world.leader(), 500);
-        world.advance(world.now() + 45'000);
-        const auto holder = cleaner(world);
+        simulation.crash(*simulation.leader(), 500);
+        simulation.advance(simulation.now() + 45'000);
+        const auto holder = cleaner(simulation);
         ASSERT_TRUE(holder);
-        EXPECT_NE(holder, world.leader());
+        EXPECT_NE(holder, simulation.leader());
     }
 }
 
@@ -148,26 +151,27 @@
 TEST(Cleanup, ARemovalOfAReplacedHolderIsRefused) {
     auto options = cleaning(50);
     options.features.cleanup_page_s = 30;
-    Simulation world(options);
-    world.at(2000, [&] { put_leftovers(world); });
+    Simulation simulation(options);
+    simulation.at(2000, [&] { put_leftovers(simulation); });
     std::size_t removals = 0;
     bool late_was_refused = false;
-    world.observe([&](std::size_t node, const net::HttpRequest& request) {
+    simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
         const bool removes = request.target == "/txn" &&
                              request.body.find("\"remove\":\"place/") != std::string::npos;
         if (!removes || ++removals > 1) return;
-        world.cut(node_name(node), "state", 45'000, true);
-        world.freeze(node, 44'000);
-        world.at(world.now() + 45'500, [&] {
-            late_was_refused = world.store().contains("place/job-000001/0") &&
-                               parsed(world.store()["duty/cleanup"].first)["e"].GetUint64() == 2;
+        simulation.cut(node_name(node), "state", 45'000, true);
+        simulation.freeze(node, 44'000);
+        simulation.at(simulation.now() + 45'500, [&] {
+            late_was_refused =
+                simulation.store().contains("place/job-000001/0") &&
+                parsed(simulation.store()["duty/cleanup"].first)["e"].GetUint64() == 2;
         });
     });
-    world.advance(90'000);
+    simulation.advance(90'000);
     EXPECT_TRUE(late_was_refused);
-    world.advance(160'000);
-    EXPECT_FALSE(world.store().contains("place/job-000001/0"));
-    EXPECT_EQ(world.broken(), "");
+    simulation.advance(160'000);
+    EXPECT_FALSE(simulation.store().contains("place/job-000001/0"));
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // The list of machines lags: what is newer than all that it shows may be missing from it.
@@ -175,12 +179,12 @@
     using duty::Verdict;
     const std::set<std::string> listed{"host-000002", "host-000005"};
     const auto judged = [&](std::vector<std::string> machines) {
-        return duty::judge(duty::HintEntry{"images/0", 1, true, std::move(machines)}, listed);
+        return duty::classify(duty::HintEntry{"images/0", 1, true, std::move(machines)}, listed);
     };
     EXPECT_EQ(judged({"host-000001", "host-000003"}), Verdict::Remove);
     EXPECT_EQ(judged({"host-000001", "host-000002"}), Verdict::Keep);
     EXPECT_EQ(judged({"host-000001", "host-000009"}), Verdict::Keep);
-    EXPECT_EQ(duty::judge(duty::HintEntry{"images/0", 1, true, {"host-000001"}}, {}),
+    EXPECT_EQ(duty::classify(duty::HintEntry{"images/0", 1, true, {"host-000001"}}, {}),
               Verdict::Keep);
 }
 
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -6,7 +6,7 @@
 
 #include "duty/machine_holder.h"
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -21,14 +21,15 @@
     return options;
 }
 
-std::size_t machines_left(Simulation& world) {
-    return static_cast<std::size_t>(std::count_if(world.workers().begin(), world.workers().end(),
+std::size_t machines_left(Simulation& simulation) {
+    return static_cast<std::size_t>(std::count_if(simulation.workers().begin(),
+                                                  simulation.workers().end(),
                                                   [](const auto& w) { return !w.second.gone; }));
 }
 
-std::size_t intents_stored(Simulation& world) {
+std::size_t intents_stored(Simulation& simulation) {
     std::size_t n = 0;
-    for (const auto& [key, entry] : world.store()) n += key.starts_with("intent/") ? 1 : 0;
+    for (const auto& [key, entry] : simulation.store()) n += key.starts_with("intent/") ? 1 : 0;
     return n;
 }
 
@@ -44,24 +45,24 @@
         options.old_version = true;
         options.jobs = 16;
         options.busy_ms = 120'000;
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
         for (std::size_t n = 0; n < options.nodes; ++n) {
             const auto turn = static_cast<Millis>(n) * 1500;
-            world.at(10'000 + turn, [&world, n] { world.upgrade(n, 900); });
-            world.at(50'000 + turn, [&world, n] { world.downgrade(n, 900); });
-            world.at(85'000 + turn, [&world, n] { world.upgrade(n, 900); });
+            simulation.at(10'000 + turn, [&simulation, n] { simulation.upgrade(n, 900); });
+            simulation.at(50'000 + turn, [&simulation, n] { simulation.downgrade(n, 900); });
+            simulation.at(85'000 + turn, [&simulation, n] { simulation.upgrade(n, 900); });
         }
         for (Millis t = 14'000; t < 110'000; t += 5000 + static_cast<Millis>(rng() % 6000)) {
             const auto span = 1000 + static_cast<Millis>(rng() % 7000);
-            world.at(t, [&world, span] {
-                const auto leader = world.leader();
+            simulation.at(t, [&simulation, span] {
+                const auto leader = simulation.leader();
                 if (!leader) return;
-                world.cut(node_name(*leader), "cloud", span + 4000, true);
-                world.freeze(*leader, span);
+                simulation.cut(node_name(*leader), "cloud", span + 4000, true);
+                simulation.freeze(*leader, span);
             });
         }
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
     }
 }
 INSTANTIATE_TEST_SUITE_P(Days, FencedRollout, ::testing::Range(0, 4));
@@ -70,29 +71,29 @@
 TEST(Fencing, BeginsOnceEveryControllerTakesPart) {
     auto options = fenced(72'000, 4);
     options.old_version = true;
-    Simulation world(options);
-    world.at(5000, [&] { world.upgrade(0, 500); });
-    world.at(7000, [&] { world.upgrade(1, 500); });
-    world.advance(75'000);
-    EXPECT_FALSE(world.store().contains("duty/provisioning"));
-    EXPECT_EQ(intents_stored(world), 0U);
-    world.upgrade(2, 500);
-    world.advance(90'000);
-    EXPECT_TRUE(world.store().contains("duty/provisioning"));
+    Simulation simulation(options);
+    simulation.at(5000, [&] { simulation.upgrade(0, 500); });
+    simulation.at(7000, [&] { simulation.upgrade(1, 500); });
+    simulation.advance(75'000);
+    EXPECT_FALSE(simulation.store().contains("duty/provisioning"));
+    EXPECT_EQ(intents_stored(simulation), 0U);
+    simulation.upgrade(2, 500);
+    simulation.advance(90'000);
+    EXPECT_TRUE(simulation.store().contains("duty/provisioning"));
     // From then on it holds, also while a controller is away.
-    world.crash(*world.leader(), 60'000);
-    world.advance(100'000);
-    EXPECT_EQ(parsed(world.store()["duty/provisioning"].first)["e"].GetUint64(), 2U);
-    EXPECT_EQ(world.broken(), "");
+    simulation.crash(*simulation.leader(), 60'000);
+    simulation.advance(100'000);
+    EXPECT_EQ(parsed(simulation.store()["duty/provisioning"].first)["e"].GetUint64(), 2U);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 TEST(Fencing, WritesNothingWithoutTheFeature) {
     auto options = fenced(72'100, 4);
     options.features = {};
     options.jobs = 8;
-    Simulation world(options);
-    EXPECT_EQ(world.run(), "");
-    for (const auto& [key, entry] : world.store()) {
+    Simulation simulation(options);
+    EXPECT_EQ(simulation.run(), "");
+    for (const auto& [key, entry] : simulation.store()) {
         EXPECT_FALSE(key.starts_with("duty/") || key.starts_with("intent/") ||
                      key.starts_with("lease/"))
             << key;
@@ -105,28 +106,29 @@
     for (std::uint64_t seed = 78'000; seed < 78'030; ++seed) {
         auto options = fenced(seed, 4);
         options.policy = "silent_patience = 2s\n";
-        Simulation world(options);
+        Simulation simulation(options);
         for (std::size_t n = 0; n < 4; ++n) {
             auto job = plain(numbered(n), 1, 25, 2000);
             job.cpus = 8;
-            world.jobs().push_back(job);
+            simulation.jobs().push_back(job);
         }
         bool ended = false;
-        world.at(9000, [&] {
-            for (auto& [name, worker] : world.workers()) {
-                if (name == "host-000001") worker.hung_until = world.now() + 60'000;
+        simulation.at(9000, [&] {
+            for (auto& [name, worker] : simulation.workers()) {
+                if (name == "host-000001") worker.hung_until = simulation.now() + 60'000;
             }
         });
-        world.observe([&](std::size_t node, const net::HttpRequest& request) {
+        simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
             const bool writes = request.target == "/txn" &&
                                 request.body.find("\"set\":\"intent/") != std::string::npos;
-            if (ended || !writes || world.now() < 9000) return;
+            if (ended || !writes || simulation.now() < 9000) return;
             ended = true;
-            world.slow_state(700, 12'000);
-            world.cut(node_name(node), "cloud", 3000, false);
-            world.at(world.now() + 900, [&world, node] { world.crash(node, 20'000); });
+            simulation.slow_state(700, 12'000);
+            simulation.cut(node_name(node), "cloud", 3000, false);
+            simulation.at(simulation.now() + 900,
+                          [&simulation, node] { simulation.crash(node, 20'000); });
         });
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
         EXPECT_TRUE(ended);
     }
 }
@@ -149,20 +151,20 @@
                 holder.on_duty_written(write->duty, {duty::WriteOutcome::Written, 5, {}},
                                        moment.now);
             }
-            return std::holds_alternative<Holder::AskRental>(action);
+            return std::holds_alternative<Holder::RequestProvision>(action);
         };
         for (int i = 0; i < 4; ++i) {
             for (const auto& action : holder.due(moment)) answer(action);
         }
         EXPECT_EQ(holder.fenced(), fence);
-        holder.want_rental({"r-1", "box", "a", true, 3}, moment.now);
-        EXPECT_TRUE(holder.ledger().renting());
+        holder.want_provision({"r-1", "box", "a", true, 3}, moment.now);
+        EXPECT_TRUE(holder.ledger().provisioning_in_flight());
         moment.sure = false;
         EXPECT_TRUE(holder.due(moment).empty());
         moment.now += 20'000;
         moment.sure = true;
         for (const auto& action : holder.due(moment)) EXPECT_FALSE(answer(action));
-        EXPECT_FALSE(holder.ledger().renting());
+        EXPECT_FALSE(holder.ledger().provisioning_in_flight());
         EXPECT_EQ(holder.ledger().counters().withdrawn, 1U);
     }
 }
@@ -174,21 +176,22 @@
         options.report_s = 4;
         options.lease_s = 16;
         options.next = {std::nullopt, 8.0, 1.0, 2};
-        Simulation world(options);
+        Simulation simulation(options);
         bool fell = false;
-        world.observe([&](std::size_t, const net::HttpRequest& request) {
+        simulation.observe([&](std::size_t, const net::HttpRequest& request) {
             if (fell || request.target != "/rentals/return") return;
             fell = true;
-            world.cloud_outage(3000);
-            world.at(world.now() + after, [&] { world.limit_state(); });
-            world.at(world.now() + 6000, [&] { world.crash(*world.leader(), 1500); });
+            simulation.cloud_outage(3000);
+            simulation.at(simulation.now() + after, [&] { simulation.limit_state(); });
+            simulation.at(simulation.now() + 6000,
+                          [&] { simulation.crash(*simulation.leader(), 1500); });
         });
-        world.advance(200'000);
+        simulation.advance(200'000);
         EXPECT_TRUE(fell);
-        EXPECT_EQ(world.broken(), "");
-        EXPECT_LE(machines_left(world), 1U);
-        EXPECT_LE(intents_stored(world), 1U);
-        EXPECT_LE(world.rejections(), 8U);
+        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_LE(machines_left(simulation), 1U);
+        EXPECT_LE(intents_stored(simulation), 1U);
+        EXPECT_LE(simulation.rejections(), 8U);
     }
 }
 
@@ -198,25 +201,25 @@
     options.report_s = 15;
     options.lease_s = 60;
     options.cancel_s = 90;
-    Simulation world(options);
+    Simulation simulation(options);
     Millis first = -1;
     Millis last = -1;
     std::size_t intents = 0;
-    world.observe([&](std::size_t, const net::HttpRequest& request) {
+    simulation.observe([&](std::size_t, const net::HttpRequest& request) {
         intents +=
             request.target == "/txn" && request.body.find("\"set\":\"intent/") != std::string::npos
                 ? 1
                 : 0;
         if (request.target != "/rentals/return") return;
         if (first < 0) {
-            first = world.now();
-            world.at(first + 8000, [&] { world.crash(*world.leader(), 2000); });
+            first = simulation.now();
+            simulation.at(first + 8000, [&] { simulation.crash(*simulation.leader(), 2000); });
         }
-        last = world.now();
+        last = simulation.now();
     });
-    world.advance(170'000);
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_LE(machines_left(world), 1U);
+    simulation.advance(170'000);
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_LE(machines_left(simulation), 1U);
     EXPECT_GT(first, 0);
     RecordProperty("ms", static_cast<int>(last - first));
     RecordProperty("intents", static_cast<int>(intents));
@@ -226,37 +229,37 @@
 
 // Neither acted on nor removed; the machine that a damaged intent names gets no work from anybody.
 TEST(Fencing, DamagedRecordsAreLeftInPlaceAndCounted) {
-    Simulation world(fenced(75'000, 4));
-    world.advance(5000);
-    world.store()["intent/7"] = {R"({"e":"x","n":1,"b":["host-000001",4]})", 1};
-    world.store()["intent/x"] = {R"({"e":1,"n":1,"b":["host-000002"]})", 1};
-    world.crash(*world.leader(), 1000);
-    world.jobs().push_back(plain(numbered(1), 4, 5, 9000));
-    world.advance(40'000);
-    EXPECT_TRUE(world.store().contains("intent/7"));
-    EXPECT_TRUE(world.store().contains("intent/x"));
-    EXPECT_TRUE(world.workers().at("host-000001").gone);
-    EXPECT_TRUE(world.workers().at("host-000002").gone);
-    EXPECT_TRUE(world.jobs()[0].done_told);
-    EXPECT_EQ(world.broken(), "");
+    Simulation simulation(fenced(75'000, 4));
+    simulation.advance(5000);
+    simulation.store()["intent/7"] = {R"({"e":"x","n":1,"b":["host-000001",4]})", 1};
+    simulation.store()["intent/x"] = {R"({"e":1,"n":1,"b":["host-000002"]})", 1};
+    simulation.crash(*simulation.leader(), 1000);
+    simulation.jobs().push_back(plain(numbered(1), 4, 5, 9000));
+    simulation.advance(40'000);
+    EXPECT_TRUE(simulation.store().contains("intent/7"));
+    EXPECT_TRUE(simulation.store().contains("intent/x"));
+    EXPECT_TRUE(simulation.workers().at("host-000001").gone);
+    EXPECT_TRUE(simulation.workers().at("host-000002").gone);
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // Without its epoch a duty is not done; jobs go on on the machines that are there.
 TEST(Fencing, NothingIsRentedUnderADamagedDutyRecordUntilItIsRepaired) {
-    Simulation world(fenced(75'100, 2));
-    world.advance(5000);
-    const auto good = world.store()["duty/provisioning"].first;
-    world.store()["duty/provisioning"].first = R"({"m":"n0","e":"seven"})";
-    world.crash(*world.leader(), 1000);
-    world.jobs().push_back(plain(numbered(1), 2, 5, 9000));
-    world.advance(90'000);
-    EXPECT_TRUE(world.jobs()[0].done_told);
-    EXPECT_EQ(machines_left(world), 2U);
-    EXPECT_EQ(world.releases().requests, 0U);
-    world.store()["duty/provisioning"].first = good;
-    world.advance(130'000);
-    EXPECT_EQ(machines_left(world), 0U);
-    EXPECT_EQ(world.broken(), "");
+    Simulation simulation(fenced(75'100, 2));
+    simulation.advance(5000);
+    const auto good = simulation.store()["duty/provisioning"].first;
+    simulation.store()["duty/provisioning"].first = R"({"m":"n0","e":"seven"})";
+    simulation.crash(*simulation.leader(), 1000);
+    simulation.jobs().push_back(plain(numbered(1), 2, 5, 9000));
+    simulation.advance(90'000);
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
+    EXPECT_EQ(machines_left(simulation), 2U);
+    EXPECT_EQ(simulation.releases().requests, 0U);
+    simulation.store()["duty/provisioning"].first = good;
+    simulation.advance(130'000);
+    EXPECT_EQ(machines_left(simulation), 0U);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // ---- what it costs ----
@@ -270,19 +273,19 @@
 Cost cost_of(bool with_fence, std::uint64_t seed) {
     auto options = fenced(seed, 0);
     options.features.fenced_duties = with_fence;
-    Simulation world(options);
-    world.set_capacity(100);
+    Simulation simulation(options);
+    simulation.set_capacity(100);
     std::size_t number = 1;
     for (Millis wave = 2000; wave < 90'000; wave += 22'000) {
         for (std::size_t n = 0; n < 12; ++n) {
             auto job = plain(numbered(number++), 1, 6, wave + static_cast<Millis>(n) * 150);
             job.cpus = 8;
-            world.jobs().push_back(job);
+            simulation.jobs().push_back(job);
         }
     }
-    EXPECT_EQ(world.run(), "");
-    return {static_cast<double>(world.writes()), static_cast<double>(world.state_requests()),
-            world.workers().size()};
+    EXPECT_EQ(simulation.run(), "");
+    return {static_cast<double>(simulation.writes()),
+            static_cast<double>(simulation.state_requests()), simulation.workers().size()};
 }
 
 // Changes of the state service are the scarcest thing.
@@ -306,22 +309,23 @@
 TEST(Fencing, SuccessorActsWithinAFewLeases) {
     std::vector<Millis> took;
     for (std::uint64_t seed = 77'000; seed < 77'040; ++seed) {
-        Simulation world(fenced(seed, 6));
+        Simulation simulation(fenced(seed, 6));
         Millis ended = -1;
         Millis acted = -1;
         std::size_t holder = 0;
-        world.observe([&](std::size_t node, const net::HttpRequest& request) {
+        simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
             if (request.target != "/rentals/return") return;
             if (ended < 0) {
-                ended = world.now();
+                ended = simulation.now();
                 holder = node;
-                world.cut(node_name(node), "cloud", 30'000, true);
-                world.at(world.now() + 1, [&world, node] { world.crash(node, 30'000); });
+                simulation.cut(node_name(node), "cloud", 30'000, true);
+                simulation.at(simulation.now() + 1,
+                              [&simulation, node] { simulation.crash(node, 30'000); });
             } else if (acted < 0 && node != holder) {
-                acted = world.now();
+                acted = simulation.now();
             }
         });
-        world.advance(120'000);
+        simulation.advance(120'000);
         ASSERT_GE(acted, 0) << "seed " << seed;
         took.push_back(acted - ended);
     }
--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdlib>
 
-#include "simulation/loopback_region.h"
+#include "simulation/loopback_environment.h"
 #include "simulation/messages.h"
 
 namespace lichendrift::simulation {
@@ -13,7 +13,7 @@
 constexpr Millis kPatience = 60'000;  // also on a machine that is busy with other things
 constexpr Millis kDisturbEvery = 4000;
 
-Options region(std::uint64_t seed) {
+Options environment(std::uint64_t seed) {
     auto options = calm(seed);
     options.report_s = 0.4;
     options.lease_s = 6;
@@ -25,27 +25,27 @@
     return options;
 }
 
-std::uint64_t provisioning_epoch(Simulation& world) {
-    const auto it = world.store().find("duty/provisioning");
-    return it == world.store().end() ? 0 : parsed(it->second.first)["e"].GetUint64();
+std::uint64_t provisioning_epoch(Simulation& simulation) {
+    const auto it = simulation.store().find("duty/provisioning");
+    return it == simulation.store().end() ? 0 : parsed(it->second.first)["e"].GetUint64();
 }
 
-std::optional<std::size_t> leading(Simulation& world) {
-    const auto it = world.store().find("leader");
-    if (it == world.store().end()) return std::nullopt;
+std::optional<std::size_t> leading(Simulation& simulation) {
+    const auto it = simulation.store().find("leader");
+    if (it == simulation.store().end()) return std::nullopt;
     const std::string member = parsed(it->second.first)["m"].GetString();
     return static_cast<std::size_t>(member.at(1) - '0');
 }
 
 // One machine falls silent for a while and is released for it; now and then one is lost.
-void disturb_machines(Simulation& world, std::mt19937_64& rng) {
+void disturb_machines(Simulation& simulation, std::mt19937_64& rng) {
     std::vector<Worker*> up;
-    for (auto& [name, worker] : world.workers()) {
+    for (auto& [name, worker] : simulation.workers()) {
         if (worker.up && !worker.gone) up.push_back(&worker);
     }
     if (up.empty()) return;
-    up[rng() % up.size()]->hung_until = world.now() + 3000 + static_cast<Millis>(rng() % 2500);
-    if (rng() % 3 == 0) world.lose_worker(*up[rng() % up.size()]);
+    up[rng() % up.size()]->hung_until = simulation.now() + 3000 + static_cast<Millis>(rng() % 2500);
+    if (rng() % 3 == 0) simulation.lose_worker(*up[rng() % up.size()]);
 }
 
 std::uint64_t rounds_wanted() {
@@ -58,19 +58,20 @@
 
 TEST_P(FencedLoopback, StoppedAndContinuedInMidAct) {
     const auto seed = static_cast<std::uint64_t>(GetParam());
-    LoopbackRegion region_(region(seed), LICHENDRIFT_DEPLOYED_FEATURES);
-    auto& world = region_.simulation();
-    world.set_capacity(8);
-    world.set_boot(400);
-    world.set_never(0);
+    LoopbackEnvironment environment_(environment(seed), LICHENDRIFT_DEPLOYED_FEATURES);
+    auto& simulation = environment_.simulation();
+    simulation.set_capacity(8);
+    simulation.set_boot(400);
+    simulation.set_never(0);
     std::mt19937_64 rng(seed);
-    ASSERT_TRUE(region_.run_until([&] { return provisioning_epoch(world) == 1; }, kPatience));
+    ASSERT_TRUE(
+        environment_.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
 
     // In the middle of what it asks for, the leader stops; what it asked for comes late.
     bool armed = false;
     bool at_release = false;  // or else at the first act of any kind
     std::optional<std::size_t> stopped;
-    region_.delay([&](std::size_t node, const net::HttpRequest& request) -> Millis {
+    environment_.delay([&](std::size_t node, const net::HttpRequest& request) -> Millis {
         const bool asks = request.target == "/rentals/return" ||
                           (request.target == "/rentals" && request.method == "POST");
         const bool writes =
@@ -78,7 +79,7 @@
         const bool releases = request.target == "/rentals/return";
         const bool wanted = at_release ? releases : asks || writes;
         if (!armed || stopped || !wanted) return 0;
-        region_.stop(node);
+        environment_.stop(node);
         stopped = node;
         // Mostly until after the successor has begun.
         return rng() % 4 == 0 ? 0 : 2500 + static_cast<Millis>(rng() % 3000);
@@ -86,62 +87,65 @@
     std::size_t number = 1;
     const auto add_jobs = [&] {
         for (std::size_t n = 0; n < 5; ++n) {
-            auto job = plain(numbered(number++), 1, 1, world.now() + static_cast<Millis>(n) * 60);
+            auto job =
+                plain(numbered(number++), 1, 1, simulation.now() + static_cast<Millis>(n) * 60);
             job.cpus = 8;
-            world.jobs().push_back(job);
+            simulation.jobs().push_back(job);
         }
     };
-    for (std::uint64_t round = 0; round < rounds_wanted() && world.broken().empty(); ++round) {
-        const auto epoch = provisioning_epoch(world);
+    for (std::uint64_t round = 0; round < rounds_wanted() && simulation.broken().empty(); ++round) {
+        const auto epoch = provisioning_epoch(simulation);
         add_jobs();
         at_release = round % 2 == 0;
         armed = true;
         const auto is_stopped = [&] { return stopped.has_value(); };
         bool found = false;
         for (Millis waited = 0; !found && waited < kPatience; waited += kDisturbEvery) {
-            disturb_machines(world, rng);
-            found = region_.run_until(is_stopped, kDisturbEvery);
+            disturb_machines(simulation, rng);
+            found = environment_.run_until(is_stopped, kDisturbEvery);
         }
         ASSERT_TRUE(found);
         add_jobs();
-        ASSERT_TRUE(
-            region_.run_until([&] { return provisioning_epoch(world) > epoch; }, kPatience));
+        ASSERT_TRUE(environment_.run_until([&] { return provisioning_epoch(simulation) > epoch; },
+                                           kPatience));
         armed = false;
-        region_.run_for(static_cast<Millis>(rng() % 400));
-        region_.resume(*stopped);
+        environment_.run_for(static_cast<Millis>(rng() % 400));
+        environment_.resume(*stopped);
         stopped.reset();
     }
     const auto all_done = [&] {
-        return std::all_of(world.jobs().begin(), world.jobs().end(),
-                           [](const Job& job) { return job.done_told; });
+        return std::all_of(simulation.jobs().begin(), simulation.jobs().end(),
+                           [](const Job& job) { return job.done_reported; });
     };
-    EXPECT_TRUE(region_.run_until([&] { return all_done() || !world.broken().empty(); },
-                                  kPatience + 30'000));
-    for (const auto& job : world.jobs()) {
-        if (job.done_told) continue;
+    EXPECT_TRUE(environment_.run_until([&] { return all_done() || !simulation.broken().empty(); },
+                                       kPatience + 30'000));
+    for (const auto& job : simulation.jobs()) {
+        if (job.done_reported) continue;
         ADD_FAILURE() << job.id << " submitted " << job.submitted << " at " << job.submit_at
                       << ", accepted " << job.accepted << ", tasks done " << job.done_tasks.size()
-                      << ", answered " << job.answered << ", now " << world.now();
+                      << ", answered " << job.answered << ", now " << simulation.now();
     }
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_GT(provisioning_epoch(world), rounds_wanted());
-    RecordProperty("released", static_cast<int>(world.releases().machines));
-    RecordProperty("late", static_cast<int>(world.releases().late));
-    RecordProperty("by_replaced", static_cast<int>(world.releases().by_replaced));
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_GT(provisioning_epoch(simulation), rounds_wanted());
+    RecordProperty("released", static_cast<int>(simulation.releases().machines));
+    RecordProperty("late", static_cast<int>(simulation.releases().late));
+    RecordProperty("by_replaced", static_cast<int>(simulation.releases().by_replaced));
 }
 INSTANTIATE_TEST_SUITE_P(Runs, FencedLoopback, ::testing::Range(1, 5));
 
 // On a signal to end it gives up what it holds: nobody waits for its leases.
 TEST(DutiesOnLoopback, AreHandedOverByAControllerThatIsAskedToEnd) {
-    LoopbackRegion region_(region(9), LICHENDRIFT_DEPLOYED_FEATURES);
-    auto& world = region_.simulation();
-    ASSERT_TRUE(region_.run_until([&] { return provisioning_epoch(world) == 1; }, kPatience));
-    const auto first = leading(world);
+    LoopbackEnvironment environment_(environment(9), LICHENDRIFT_DEPLOYED_FEATURES);
+    auto& simulation = environment_.simulation();
+    ASSERT_TRUE(
+        environment_.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
+    const auto first = leading(simulation);
     ASSERT_TRUE(first);
-    EXPECT_TRUE(region_.terminate(*first, kPatience));
-    ASSERT_TRUE(region_.run_until([&] { return provisioning_epoch(world) == 2; }, kPatience));
-    EXPECT_NE(leading(world), first);
-    EXPECT_EQ(world.broken(), "");
+    EXPECT_TRUE(environment_.terminate(*first, kPatience));
+    ASSERT_TRUE(
+        environment_.run_until([&] { return provisioning_epoch(simulation) == 2; }, kPatience));
+    EXPECT_NE(leading(simulation), first);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 }  // namespace
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -27,28 +27,29 @@
 
 // The leader mostly, or any controller, stands still for less or more than its lease; at times what
 // it sends to the cloud is held up as well, as if it were in the kernel or on its way.
-void freeze_again_and_again(Simulation& world, std::mt19937_64& rng, Millis from, Millis until) {
+void freeze_again_and_again(Simulation& simulation, std::mt19937_64& rng, Millis from,
+                            Millis until) {
     for (Millis t = from; t < until; t += 1000 + static_cast<Millis>(rng() % 2000)) {
         const auto draw = rng();
-        world.at(t, [&world, draw] {
-            const auto leader = world.leader();
+        simulation.at(t, [&simulation, draw] {
+            const auto leader = simulation.leader();
             const auto node = leader && draw % 4 != 0 ? *leader : (draw >> 4U) % 3;
             const auto span = 200 + static_cast<Millis>((draw >> 8U) % 6000);
-            if (draw % 3 == 0) world.cut(node_name(node), "cloud", span * 5, true);
-            world.freeze(node, span);
+            if (draw % 3 == 0) simulation.cut(node_name(node), "cloud", span * 5, true);
+            simulation.freeze(node, span);
         });
     }
 }
 
 // Machines fall silent, so that they are released, while their work goes on elsewhere.
-void hang_machines(Simulation& world, std::mt19937_64& rng, Millis from, Millis until) {
+void hang_machines(Simulation& simulation, std::mt19937_64& rng, Millis from, Millis until) {
     for (Millis t = from; t < until; t += 4000 + static_cast<Millis>(rng() % 4000)) {
         const auto draw = rng();
-        world.at(t, [&world, draw] {
-            auto at = draw % std::max<std::size_t>(1, world.workers().size());
-            for (auto& [name, worker] : world.workers()) {
+        simulation.at(t, [&simulation, draw] {
+            auto at = draw % std::max<std::size_t>(1, simulation.workers().size());
+            for (auto& [name, worker] : simulation.workers()) {
                 if (at-- != 0 || worker.gone || !worker.up) continue;
-                worker.hung_until = world.now() + 3000 + static_cast<Millis>(draw % 12'000);
+                worker.hung_until = simulation.now() + 3000 + static_cast<Millis>(draw % 12'000);
             }
         });
     }
@@ -56,17 +57,19 @@
 
 // At times the leader stands still for longer than its lease just as a request leaves, and the
 // network holds that request for up to a minute, or an intent is on its way to the state service.
-void freeze_in_mid_act(Simulation& world, std::mt19937_64& rng, Millis until) {
-    world.observe([&world, &rng, until](std::size_t node, const net::HttpRequest& request) {
-        const bool asks = request.target.starts_with("/rentals") && request.method == "POST";
-        const bool writes =
-            request.target == "/txn" && request.body.find("intent/") != std::string::npos;
-        if ((!asks && !writes) || world.now() > until || rng() % 3 != 0) return;
-        if (asks) {
-            world.cut(node_name(node), "cloud", 5000 + static_cast<Millis>(rng() % 40'000), true);
-        }
-        world.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
-    });
+void freeze_in_mid_act(Simulation& simulation, std::mt19937_64& rng, Millis until) {
+    simulation.observe(
+        [&simulation, &rng, until](std::size_t node, const net::HttpRequest& request) {
+            const bool asks = request.target.starts_with("/rentals") && request.method == "POST";
+            const bool writes =
+                request.target == "/txn" && request.body.find("intent/") != std::string::npos;
+            if ((!asks && !writes) || simulation.now() > until || rng() % 3 != 0) return;
+            if (asks) {
+                simulation.cut(node_name(node), "cloud", 5000 + static_cast<Millis>(rng() % 40'000),
+                               true);
+            }
+            simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
+        });
 }
 
 std::uint64_t days_wanted() {
@@ -88,16 +91,16 @@
         auto options = fenced_day(seed);
         options.lossy = i % 2 == 1;
         options.cloud_checks_epochs = i % 4 == 3;
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
-        freeze_again_and_again(world, rng, 6000, options.busy_ms);
-        freeze_in_mid_act(world, rng, options.busy_ms);
-        hang_machines(world, rng, 8000, options.busy_ms);
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
-        freezes += world.freezes();
-        by_replaced += world.releases().by_replaced;
-        late += world.releases().late;
-        released += world.releases().machines;
+        freeze_again_and_again(simulation, rng, 6000, options.busy_ms);
+        freeze_in_mid_act(simulation, rng, options.busy_ms);
+        hang_machines(simulation, rng, 8000, options.busy_ms);
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
+        freezes += simulation.freezes();
+        by_replaced += simulation.releases().by_replaced;
+        late += simulation.releases().late;
+        released += simulation.releases().machines;
     }
     RecordProperty("freezes", static_cast<int>(freezes));
     RecordProperty("released", static_cast<int>(released));
@@ -116,20 +119,22 @@
 
 // Machines stand idle between waves of jobs and are released; just then the leader freezes, its
 // request is held up, and the next wave finds another leader.
-void idle_between_waves(Simulation& world, std::mt19937_64& rng, Millis until) {
+void idle_between_waves(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
         for (std::size_t n = 0; n < 8; ++n) {
             auto job = plain(numbered(number++), 1, 3 + static_cast<double>(rng() % 3),
                              wave + static_cast<Millis>(rng() % 6000));
             job.cpus = 4;
-            world.jobs().push_back(job);
+            simulation.jobs().push_back(job);
         }
     }
-    world.observe([&world, &rng, until](std::size_t node, const net::HttpRequest& request) {
-        if (request.target != "/rentals/return" || world.now() > until || rng() % 2 == 0) return;
-        world.cut(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000), true);
-        world.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
+    simulation.observe([&simulation, &rng, until](std::size_t node,
+                                                  const net::HttpRequest& request) {
+        if (request.target != "/rentals/return" || simulation.now() > until || rng() % 2 == 0)
+            return;
+        simulation.cut(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000), true);
+        simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
     });
 }
 
@@ -150,13 +155,13 @@
             if (whole && seed >= 50'020) continue;
             auto options = idle_day(seed);
             if (!whole) options.guards.*GetParam().guard = false;
-            Simulation world(options);
+            Simulation simulation(options);
             std::mt19937_64 rng(seed);
-            idle_between_waves(world, rng, options.busy_ms);
-            const auto broken = world.run();
+            idle_between_waves(simulation, rng, options.busy_ms);
+            const auto broken = simulation.run();
             if (whole) {
                 EXPECT_EQ(broken, "");
-                clean += world.releases().by_replaced;
+                clean += simulation.releases().by_replaced;
             }
             if (whole || !broken.starts_with("stale_release")) continue;
             EXPECT_GT(clean, 0U) << "no request of a replaced holder took effect with the guard";
@@ -179,8 +184,8 @@
     const char* name;
     // `act`: the request that the leader is sending, to the cloud or, for an intent, to the state
     // service.
-    enum class When : std::uint8_t { ReleaseAsked, IntentWritten, RentalAsked } when;
-    void (*bring)(Simulation& world, std::size_t leader);
+    enum class When : std::uint8_t { ReleaseRequested, IntentWritten, ProvisionRequested } when;
+    void (*bring)(Simulation& simulation, std::size_t leader);
     Millis burst_after = 5000;
     bool core::Guards::*guard = nullptr;  // without it the case breaks a rule
 };
@@ -193,7 +198,7 @@
     auto options = calm(seed);
     options.nodes = seed % 2 == 0 ? 3 : 5;
     options.features.fenced_duties = true;
-    options.machines = hard.when == HardCase::When::RentalAsked ? 0 : kFleet;
+    options.machines = hard.when == HardCase::When::ProvisionRequested ? 0 : kFleet;
     options.busy_ms = 90'000;
     options.settle_ms = 200'000;
     options.policy = "idle_keep = 8s\nspare_machines = 0\n";
@@ -202,123 +207,130 @@
 
 bool matches(HardCase::When when, const net::HttpRequest& request) {
     switch (when) {
-        case HardCase::When::ReleaseAsked:
+        case HardCase::When::ReleaseRequested:
             return request.target == "/rentals/return";
         case HardCase::When::IntentWritten:
             return request.target == "/txn" &&
                    request.body.find("\"set\":\"intent/") != std::string::npos;
-        case HardCase::When::RentalAsked:
+        case HardCase::When::ProvisionRequested:
             return request.target == "/rentals" && request.method == "POST";
     }
     return false;
 }
 
-void submit_burst(Simulation& world, Millis at) {
+void submit_burst(Simulation& simulation, Millis at) {
     for (std::size_t n = 0; n < kBurst; ++n) {
         auto job = plain(numbered(800'000 + n), 1, 14, at);
         job.cpus = 8;
-        world.jobs().push_back(job);
+        simulation.jobs().push_back(job);
     }
 }
 
 // What the day breaks; `after` looks at the world at its end.
 std::string play(const HardCase& hard, const Options& options,
                  const std::function<void(Simulation&)>& after = nullptr) {
-    Simulation world(options);
-    world.set_capacity(static_cast<int>(kFleet));
-    if (options.machines > 0) world.jobs().push_back(plain(numbered(1), 1, 2, 1000));
+    Simulation simulation(options);
+    simulation.set_capacity(static_cast<int>(kFleet));
+    if (options.machines > 0) simulation.jobs().push_back(plain(numbered(1), 1, 2, 1000));
     bool brought = false;
-    world.observe([&](std::size_t node, const net::HttpRequest& request) {
-        if (brought || world.now() < kIdleFrom || !matches(hard.when, request)) return;
+    simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
+        if (brought || simulation.now() < kIdleFrom || !matches(hard.when, request)) return;
         brought = true;
-        hard.bring(world, node);
-        if (hard.when != HardCase::When::RentalAsked) {
-            submit_burst(world, world.now() + hard.burst_after);
+        hard.bring(simulation, node);
+        if (hard.when != HardCase::When::ProvisionRequested) {
+            submit_burst(simulation, simulation.now() + hard.burst_after);
         }
     });
-    if (hard.when == HardCase::When::RentalAsked) submit_burst(world, kIdleFrom + 1000);
-    auto broken = world.run();
+    if (hard.when == HardCase::When::ProvisionRequested) submit_burst(simulation, kIdleFrom + 1000);
+    auto broken = simulation.run();
     EXPECT_TRUE(brought) << hard.name << ", seed " << options.seed;
-    if (after) after(world);
+    if (after) after(simulation);
     return broken;
 }
 
-void hold_and_freeze(Simulation& world, std::size_t leader) {
-    world.cut(node_name(leader), "cloud", 14'000, true);
-    world.freeze(leader, 9000);
+void hold_and_freeze(Simulation& simulation, std::size_t leader) {
+    simulation.cut(node_name(leader), "cloud", 14'000, true);
+    simulation.freeze(leader, 9000);
 }
 
 const HardCase kHardCases[] = {
-    {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseAsked, hold_and_freeze, 4500,
+    {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseRequested, hold_and_freeze, 4500,
      &core::Guards::intent_first},
     {"FrozenWhileTheIntentIsWritten", HardCase::When::IntentWritten,
-     [](Simulation& world, std::size_t leader) { world.freeze(leader, 9000); }},
-    {"EndsAfterItHasWaitedInVain", HardCase::When::ReleaseAsked,
-     [](Simulation& world, std::size_t leader) {
-         world.cut(node_name(leader), "cloud", 20'000, true);
-         world.at(world.now() + 8000, [&world, leader] { world.crash(leader, 20'000); });
+     [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
+    {"EndsAfterItHasWaitedInVain", HardCase::When::ReleaseRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.cut(node_name(leader), "cloud", 20'000, true);
+         simulation.at(simulation.now() + 8000,
+                       [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
      9000, &core::Guards::intent_kept},
-    {"HeldByTheNetworkForMinutes", HardCase::When::ReleaseAsked,
-     [](Simulation& world, std::size_t leader) {
-         world.cut(node_name(leader), "cloud", 75'000, true);
-         world.freeze(leader, 9000);
+    {"HeldByTheNetworkForMinutes", HardCase::When::ReleaseRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.cut(node_name(leader), "cloud", 75'000, true);
+         simulation.freeze(leader, 9000);
      },
      68'000},
-    {"TwoHoldersReplacedOneAfterTheOther", HardCase::When::ReleaseAsked,
-     [](Simulation& world, std::size_t leader) {
-         hold_and_freeze(world, leader);
-         world.at(world.now() + 5500, [&world] {
-             if (const auto next = world.leader()) hold_and_freeze(world, *next);
+    {"TwoHoldersReplacedOneAfterTheOther", HardCase::When::ReleaseRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         hold_and_freeze(simulation, leader);
+         simulation.at(simulation.now() + 5500, [&simulation] {
+             if (const auto next = simulation.leader()) hold_and_freeze(simulation, *next);
          });
      },
      9500},
-    {"SuccessorEndsBeforeItHasFinished", HardCase::When::ReleaseAsked,
-     [](Simulation& world, std::size_t leader) {
-         hold_and_freeze(world, leader);
+    {"SuccessorEndsBeforeItHasFinished", HardCase::When::ReleaseRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         hold_and_freeze(simulation, leader);
          const auto ended = std::make_shared<bool>(false);
-         world.observe([&world, ended](std::size_t node, const net::HttpRequest& request) {
-             if (*ended || !request.target.starts_with("/store?prefix=intent/")) return;
-             *ended = true;
-             world.at(world.now() + 12, [&world, node] { world.crash(node, 4000); });
-         });
+         simulation.observe(
+             [&simulation, ended](std::size_t node, const net::HttpRequest& request) {
+                 if (*ended || !request.target.starts_with("/store?prefix=intent/")) return;
+                 *ended = true;
+                 simulation.at(simulation.now() + 12,
+                               [&simulation, node] { simulation.crash(node, 4000); });
+             });
      },
      9000},
     {"AllEndWithIntentsOpen", HardCase::When::IntentWritten,
-     [](Simulation& world, std::size_t) {
-         world.cloud_outage(2500);
-         world.at(world.now() + 60, [&world] {
-             for (std::size_t n = 0; n < world.node_count(); ++n) world.crash(n, 3000);
+     [](Simulation& simulation, std::size_t) {
+         simulation.cloud_outage(2500);
+         simulation.at(simulation.now() + 60, [&simulation] {
+             for (std::size_t n = 0; n < simulation.node_count(); ++n) simulation.crash(n, 3000);
          });
      },
      6000},
     {"IntentOnItsWayForSeconds", HardCase::When::IntentWritten,
-     [](Simulation& world, std::size_t) { world.late_writes(1.0, 800); }},
+     [](Simulation& simulation, std::size_t) { simulation.late_writes(1.0, 800); }},
     {"StateServiceSlow", HardCase::When::IntentWritten,
-     [](Simulation& world, std::size_t) { world.slow_state(900, 9000); }},
+     [](Simulation& simulation, std::size_t) { simulation.slow_state(900, 9000); }},
     {"StateServiceRefusesTheLeader", HardCase::When::IntentWritten,
-     [](Simulation& world, std::size_t leader) { world.refuse_node(leader, 9000); }},
-    {"CloudOut", HardCase::When::ReleaseAsked,
-     [](Simulation& world, std::size_t leader) {
-         world.cloud_outage(9000);
-         world.at(world.now() + 2000, [&world, leader] { world.crash(leader, 4000); });
+     [](Simulation& simulation, std::size_t leader) { simulation.refuse_node(leader, 9000); }},
+    {"CloudOut", HardCase::When::ReleaseRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.cloud_outage(9000);
+         simulation.at(simulation.now() + 2000,
+                       [&simulation, leader] { simulation.crash(leader, 4000); });
      }},
-    {"CloudAnswersLost", HardCase::When::ReleaseAsked,
-     [](Simulation& world, std::size_t leader) {
-         world.lose_cloud_answers(1.0, 9000);
-         world.at(world.now() + 5000, [&world, leader] { world.freeze(leader, 6000); });
+    {"CloudAnswersLost", HardCase::When::ReleaseRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.lose_cloud_answers(1.0, 9000);
+         simulation.at(simulation.now() + 5000,
+                       [&simulation, leader] { simulation.freeze(leader, 6000); });
      }},
-    {"RentalUnanswered", HardCase::When::RentalAsked, hold_and_freeze},
-    {"RentalInPartAndUnanswered", HardCase::When::RentalAsked,
-     [](Simulation& world, std::size_t leader) {
-         world.set_capacity(static_cast<int>(kFleet) - 3);
-         world.lose_cloud_answers(1.0, 6000);
-         world.at(world.now() + 300, [&world, leader] { world.freeze(leader, 6000); });
+    {"RentalUnanswered", HardCase::When::ProvisionRequested, hold_and_freeze},
+    {"RentalInPartAndUnanswered", HardCase::When::ProvisionRequested,
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.set_capacity(static_cast<int>(kFleet) - 3);
+         simulation.lose_cloud_answers(1.0, 6000);
+         simulation.at(simulation.now() + 300,
+                       [&simulation, leader] { simulation.freeze(leader, 6000); });
      }},
     {"RentalIntentOnItsWay", HardCase::When::IntentWritten,
-     [](Simulation& world, std::size_t leader) {
-         world.late_writes(1.0, 800);
-         world.at(world.now() + 400, [&world, leader] { world.crash(leader, 200); });
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.late_writes(1.0, 800);
+         simulation.at(simulation.now() + 400,
+                       [&simulation, leader] { simulation.crash(leader, 200); });
      }},
 };
 
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -256,7 +256,7 @@
             holder->on_intent_written(intent->slot, unknown, 0);
         } else if (const auto* removal = std::get_if<MachineHolder::RemoveIntents>(&action)) {
             holder->on_intents_removed(removal->slots, unknown, 0);
-        } else if (const auto* release = std::get_if<MachineHolder::AskRelease>(&action)) {
+        } else if (const auto* release = std::get_if<MachineHolder::RequestRelease>(&action)) {
             const auto outcome = broken_.kept ? CloudOutcome::Done : CloudOutcome::NoAnswer;
             holder->on_released(release->slot, release->request.machines().size(), outcome, 0);
         } else {
@@ -331,7 +331,7 @@
             if (is) s.nodes[from.node].unusable[m] = true;
         }
     }
-    void execute(State& s, const Message& from, const MachineHolder::AskRelease& action) const {
+    void execute(State& s, const Message& from, const MachineHolder::RequestRelease& action) const {
         for (std::size_t m = 0; m < kMachines; ++m) {
             const auto& names = action.request.machines();
             if (std::find(names.begin(), names.end(), machine(m)) == names.end()) continue;
@@ -344,7 +344,7 @@
         changed(s, from.node)
             ->on_released(action.slot, action.request.machines().size(), CloudOutcome::Done, 0);
     }
-    void execute(State&, const Message&, const MachineHolder::AskRental&) const {}
+    void execute(State&, const Message&, const MachineHolder::RequestProvision&) const {}
 
     Limits limits_;
     Broken broken_;
