--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "core/cluster.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -32,35 +32,37 @@
         options.nodes = gap.nodes;
         options.old_peers = gap.old;
         options.guards = guards;
-        Simulation world(options);
+        Simulation simulation(options);
         for (std::size_t n = 0; n < 6; ++n) {
             auto j = plain(numbered(n), 1 + static_cast<std::uint32_t>(n % 2), 120);
             j.kind = n % 3 == 0 ? "ensemble" : "sweep";
-            world.jobs().push_back(j);
+            simulation.jobs().push_back(j);
         }
-        world.advance(20'000);
-        const auto leader = world.leader();
+        simulation.advance(20'000);
+        const auto leader = simulation.leader();
         if (!leader) return "no leader";
         const auto other = (*leader + 1) % gap.nodes;
-        for (auto& [name, w] : world.workers()) w.node = *leader;
-        world.refuse_node(*leader, 60'000);
-        if (gap.apart) world.cut("n" + std::to_string(*leader), "n", 60'000, false);
+        for (auto& [name, w] : simulation.workers()) w.node = *leader;
+        simulation.refuse_node(*leader, 60'000);
+        if (gap.apart) simulation.cut("n" + std::to_string(*leader), "n", 60'000, false);
         if (gap.lost && !gap.back) {
-            world.cut("n" + std::to_string(*leader), "n" + std::to_string(other), 60'000, false);
+            simulation.cut("n" + std::to_string(*leader), "n" + std::to_string(other), 60'000,
+                           false);
         }
-        if (gap.back) world.cut("n" + std::to_string(other), "n", 790, false);
-        world.advance(20'300);
-        for (std::size_t n = 0; n < 4; ++n) world.cancel(world.jobs()[n], other);
-        world.advance(20'800);
+        if (gap.back) simulation.cut("n" + std::to_string(other), "n", 790, false);
+        simulation.advance(20'300);
+        for (std::size_t n = 0; n < 4; ++n) simulation.cancel(simulation.jobs()[n], other);
+        simulation.advance(20'800);
         for (std::size_t n = 0; n < 4; ++n) {
-            if (world.jobs()[n].cancelled_told < 0) return "the cancellation was not confirmed";
+            if (simulation.jobs()[n].cancel_confirmed_at < 0)
+                return "the cancellation was not confirmed";
         }
-        if (gap.ends) world.crash(other, gap.lost && !gap.back ? 60'000 : 1000);
-        world.state_outage(50'000);
-        world.advance(69'000);
-        if (world.leader() && *world.leader() != *leader) return "another leader came";
-        world.advance(110'000);
-        return world.broken();
+        if (gap.ends) simulation.crash(other, gap.lost && !gap.back ? 60'000 : 1000);
+        simulation.state_outage(50'000);
+        simulation.advance(69'000);
+        if (simulation.leader() && *simulation.leader() != *leader) return "another leader came";
+        simulation.advance(110'000);
+        return simulation.broken();
     }
 };
 
@@ -70,15 +72,15 @@
         if (GetParam().apart || GetParam().back || GetParam().old) {
             // Telling alone is not enough where nobody can tell.
             auto unbound = core::Guards{};
-            unbound.cancels_known = false;
+            unbound.cancellations_bound_leases = false;
             EXPECT_TRUE(day(GetParam(), unbound, seed).starts_with("ran_cancelled"));
         }
         auto neither = core::Guards{};
-        neither.cancels_told = neither.cancels_known = false;
+        neither.cancellations_announced = neither.cancellations_bound_leases = false;
         EXPECT_TRUE(day(GetParam(), neither, seed).starts_with("ran_cancelled"));
         // The bound allocations by itself.
         auto untold = core::Guards{};
-        untold.cancels_told = false;
+        untold.cancellations_announced = false;
         EXPECT_EQ(day(GetParam(), untold, seed), "");
     }
 }
@@ -104,31 +106,33 @@
     for (const bool guarded : {true, false}) {
         for (std::uint64_t seed = 220; seed < 226; ++seed) {
             auto options = calm(seed);
-            options.guards.cancels_known = guarded;
-            Simulation world(options);
-            for (std::size_t n = 0; n < 6; ++n) world.jobs().push_back(plain(numbered(n), 1, 120));
-            world.advance(20'000);
-            const auto old = world.leader();
+            options.guards.cancellations_bound_leases = guarded;
+            Simulation simulation(options);
+            for (std::size_t n = 0; n < 6; ++n)
+                simulation.jobs().push_back(plain(numbered(n), 1, 120));
+            simulation.advance(20'000);
+            const auto old = simulation.leader();
             ASSERT_TRUE(old);
-            world.freeze(*old, 10'000);
-            world.advance(20'300);
-            for (std::size_t n = 0; n < 4; ++n) world.cancel(world.jobs()[n], (*old + 1) % 3);
-            world.advance(20'500);
-            world.crash(*old, 60'000);
+            simulation.freeze(*old, 10'000);
+            simulation.advance(20'300);
+            for (std::size_t n = 0; n < 4; ++n)
+                simulation.cancel(simulation.jobs()[n], (*old + 1) % 3);
+            simulation.advance(20'500);
+            simulation.crash(*old, 60'000);
             if (forgot) {
-                world.advance(20'600);
-                world.crash((*old + 1) % 3, 300);
-                world.crash((*old + 2) % 3, 60'000);
+                simulation.advance(20'600);
+                simulation.crash((*old + 1) % 3, 300);
+                simulation.crash((*old + 2) % 3, 60'000);
             }
-            while (!world.leader()) world.advance(world.now() + 1);
-            ASSERT_GE(world.jobs()[0].cancelled_told, 0);
+            while (!simulation.leader()) simulation.advance(simulation.now() + 1);
+            ASSERT_GE(simulation.jobs()[0].cancel_confirmed_at, 0);
             // Before what the new leader reads can have come back.
-            world.state_outage(50'000);
-            world.advance(100'000);
+            simulation.state_outage(50'000);
+            simulation.advance(100'000);
             if (guarded) {
-                EXPECT_EQ(world.broken(), "") << seed;
+                EXPECT_EQ(simulation.broken(), "") << seed;
             }
-            if (world.broken().starts_with("ran_cancelled")) ++broken;
+            if (simulation.broken().starts_with("ran_cancelled")) ++broken;
         }
     }
     EXPECT_GT(broken, 0);
@@ -148,32 +152,33 @@
             auto options = calm(230);
             options.late_start_ms = 1050;
             options.guards.runs_on_fresh_copy = guarded;
-            Simulation world(options);
-            world.set_capacity(3);
+            Simulation simulation(options);
+            simulation.set_capacity(3);
             auto j = plain("job-000001", 3, 60, 11'000);
             j.cpus = 8;
             j.spot = false;
-            world.jobs().push_back(j);
-            world.advance(10'990);
-            for (auto& [name, w] : world.workers()) world.deafen(w, 1110 + later, false);
-            world.advance(12'100);
-            ASSERT_TRUE(world.store().contains("place/job-000001/0"));
-            const auto old = world.leader();
+            simulation.jobs().push_back(j);
+            simulation.advance(10'990);
+            for (auto& [name, w] : simulation.workers())
+                simulation.block_inbound(w, 1110 + later, false);
+            simulation.advance(12'100);
+            ASSERT_TRUE(simulation.store().contains("place/job-000001/0"));
+            const auto old = simulation.leader();
             ASSERT_TRUE(old);
-            world.isolate(*old, 20'000, false);
-            world.advance(12'300);
-            world.cancel(world.jobs()[0], (*old + 1) % 3);
-            world.advance(12'100 + later);
-            for (auto& [name, w] : world.workers()) {
+            simulation.isolate(*old, 20'000, false);
+            simulation.advance(12'300);
+            simulation.cancel(simulation.jobs()[0], (*old + 1) % 3);
+            simulation.advance(12'100 + later);
+            for (auto& [name, w] : simulation.workers()) {
                 w.node = *old;
-                w.next_beat = world.now();
+                w.next_heartbeat = simulation.now();
             }
-            world.advance(40'000);
-            ASSERT_GE(world.jobs()[0].cancelled_told, 0);
+            simulation.advance(40'000);
+            ASSERT_GE(simulation.jobs()[0].cancel_confirmed_at, 0);
             if (guarded) {
-                EXPECT_EQ(world.broken(), "") << later;
+                EXPECT_EQ(simulation.broken(), "") << later;
             }
-            if (world.broken().starts_with("started_cancelled")) ++broken;
+            if (simulation.broken().starts_with("started_cancelled")) ++broken;
         }
         EXPECT_EQ(broken > 0, !guarded);
     }
@@ -186,14 +191,15 @@
         for (Millis later = 200; later < 7000; later += 1100) {
             auto options = calm(240);
             options.nodes = nodes;
-            Simulation world(options);
-            for (std::size_t n = 0; n < 6; ++n) world.jobs().push_back(plain(numbered(n), 1, 60));
-            world.advance(15'000);
-            world.cancel_now(2, 60'000);
-            world.advance(15'000 + later);
-            world.crash(*world.leader(), 3000);
-            world.advance(80'000);
-            EXPECT_EQ(world.broken(), "") << later << " of " << nodes;
+            Simulation simulation(options);
+            for (std::size_t n = 0; n < 6; ++n)
+                simulation.jobs().push_back(plain(numbered(n), 1, 60));
+            simulation.advance(15'000);
+            simulation.cancel_now(2, 60'000);
+            simulation.advance(15'000 + later);
+            simulation.crash(*simulation.leader(), 3000);
+            simulation.advance(80'000);
+            EXPECT_EQ(simulation.broken(), "") << later << " of " << nodes;
         }
     }
 }
@@ -202,16 +208,16 @@
 TEST(FaultCombinations, LastMachineOfTheFleetThatHangsIsGivenUp) {
     auto options = calm(250);
     options.machines = 1;
-    Simulation world(options);
-    world.set_capacity(1);
+    Simulation simulation(options);
+    simulation.set_capacity(1);
     auto j = plain("job-000001", 1, 200);
-    world.jobs().push_back(j);
-    world.advance(60'000);
-    ASSERT_EQ(world.total_starts(), 1U);
-    world.workers().begin()->second.hung_until = 10'000'000;
-    world.advance(150'000);
-    EXPECT_GE(world.total_starts(), 2U);
-    EXPECT_EQ(world.broken(), "");
+    simulation.jobs().push_back(j);
+    simulation.advance(60'000);
+    ASSERT_EQ(simulation.total_starts(), 1U);
+    simulation.workers().begin()->second.hung_until = 10'000'000;
+    simulation.advance(150'000);
+    EXPECT_GE(simulation.total_starts(), 2U);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // It has to be apart, one zone has room for all of it and the other none: each plan asked for one
@@ -219,18 +225,18 @@
 TEST(FaultCombinations, JobThatMustBeApartRentsInTheZoneThatLacksRoom) {
     auto options = calm(251);
     options.machines = 0;
-    Simulation world(options);
-    for (int i = 0; i < 5; ++i) world.add_worker("b", false);
-    world.set_capacity(6);
+    Simulation simulation(options);
+    for (int i = 0; i < 5; ++i) simulation.add_worker("b", false);
+    simulation.set_capacity(6);
     auto j = plain("job-000001", 2, 10, 2000);
     j.kind = "ensemble";
     j.apart = true;
     j.spot = false;
-    world.jobs().push_back(j);
-    world.advance(60'000);
-    EXPECT_TRUE(world.jobs()[0].done_told);
-    EXPECT_LE(world.workers().size(), 7U);
-    EXPECT_EQ(world.broken(), "");
+    simulation.jobs().push_back(j);
+    simulation.advance(60'000);
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
+    EXPECT_LE(simulation.workers().size(), 7U);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // Cancelled between the two reads of a take-over, what is open and what is placed: it had no tasks
@@ -278,19 +284,19 @@
     std::function<void(Simulation&, std::size_t nodes)> bring;
 };
 
-void crash_all(Simulation& world, std::size_t nodes, Millis back) {
-    for (std::size_t n = 0; n < nodes; ++n) world.crash(n, back);
+void crash_all(Simulation& simulation, std::size_t nodes, Millis back) {
+    for (std::size_t n = 0; n < nodes; ++n) simulation.crash(n, back);
 }
 
-void crash_leader(Simulation& world, Millis back) {
-    if (const auto l = world.leader()) world.crash(*l, back);
+void crash_leader(Simulation& simulation, Millis back) {
+    if (const auto l = simulation.leader()) simulation.crash(*l, back);
 }
 
 // Some of the machines that are up: every so many.
-std::vector<Worker*> some(Simulation& world, std::size_t every) {
+std::vector<Worker*> some(Simulation& simulation, std::size_t every) {
     std::vector<Worker*> out;
     std::size_t k = 0;
-    for (auto& [name, w] : world.workers()) {
+    for (auto& [name, w] : simulation.workers()) {
         if (w.up && !w.gone && k++ % every == 0) out.push_back(&w);
     }
     return out;
@@ -357,7 +363,7 @@
          [](Simulation& w, std::size_t) {
              for (Millis t = 10'000; t < 60'000; t += 16'000) {
                  w.at(t, [&w, t] {
-                     for (auto* m : some(w, t == 10'000 ? 1 : 2)) w.mute(*m, 14'000);
+                     for (auto* m : some(w, t == 10'000 ? 1 : 2)) w.block_outbound(*m, 14'000);
                  });
              }
          }},
@@ -368,7 +374,7 @@
                  w.at(t, [&w, t] {
                      bool deaf = t % 2 == 0;
                      for (auto* m : some(w, 2)) {
-                         if (deaf) w.deafen(*m, 12'000, t % 3 == 0);
+                         if (deaf) w.block_inbound(*m, 12'000, t % 3 == 0);
                          if (!deaf) w.cut(m->name, "n", 12'000, t % 3 == 0);
                          deaf = !deaf;
                      }
@@ -455,7 +461,7 @@
              for (Millis t = 8000; t < 60'000; t += 6000) {
                  w.at(t, [&w, t] {
                      for (auto* m : some(w, 2)) {
-                         if (t % 4000 == 0) w.deafen(*m, 5000, true);
+                         if (t % 4000 == 0) w.block_inbound(*m, 5000, true);
                          if (t % 4000 != 0 && m->hung_until + 9000 < w.now()) {
                              m->hung_until = w.now() + 5000;
                          }
@@ -472,7 +478,7 @@
          },
          [](Simulation& w, std::size_t) {
              w.at(20'000, [&w] {
-                 for (auto* m : some(w, 2)) w.mute(*m, 12'000);
+                 for (auto* m : some(w, 2)) w.block_outbound(*m, 12'000);
              });
              w.at(40'000, [&w] { crash_leader(w, 3000); });
          }},
@@ -495,7 +501,7 @@
         options.nodes = seed % 2 == 0 ? 3 : 5;
         options.machines = 5;
         if (combination.set) combination.set(options);
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
         for (std::size_t n = 0; n < 16; ++n) {
             auto j = random_job(rng, n, options.busy_ms - 15'000);
@@ -508,11 +514,11 @@
                 j.run_s = 25;
             }
             if (n % 5 == 0) j.run_s = 40;
-            world.jobs().push_back(j);
+            simulation.jobs().push_back(j);
         }
-        combination.bring(world, options.nodes);
-        EXPECT_EQ(world.run(), "") << combination.name << " of " << options.nodes;
-        EXPECT_GT(world.total_starts(), 10U);
+        combination.bring(simulation, options.nodes);
+        EXPECT_EQ(simulation.run(), "") << combination.name << " of " << options.nodes;
+        EXPECT_GT(simulation.total_starts(), 10U);
     }
 }
 INSTANTIATE_TEST_SUITE_P(Operators, NamedCombination,
@@ -524,18 +530,18 @@
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(210);
         options.nodes = nodes;
-        Simulation world(options);
+        Simulation simulation(options);
         auto j = plain("job-000001", 4, 70);
         j.spot = false;
-        world.jobs().push_back(j);
-        world.jobs().push_back(plain("job-000002", 1, 70));
-        world.at(9000, [&] { world.cancel(world.jobs()[1]); });
-        world.at(10'000, [&] { world.state_outage(50'000); });
-        world.advance(120'000);
-        EXPECT_EQ(world.broken(), "");
-        EXPECT_TRUE(world.jobs()[0].done_told);
-        EXPECT_EQ(world.jobs()[0].starts, 4U);
-        for (const auto& [name, w] : world.workers()) {
+        simulation.jobs().push_back(j);
+        simulation.jobs().push_back(plain("job-000002", 1, 70));
+        simulation.at(9000, [&] { simulation.cancel(simulation.jobs()[1]); });
+        simulation.at(10'000, [&] { simulation.state_outage(50'000); });
+        simulation.advance(120'000);
+        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_TRUE(simulation.jobs()[0].done_reported);
+        EXPECT_EQ(simulation.jobs()[0].starts, 4U);
+        for (const auto& [name, w] : simulation.workers()) {
             if (!w.gone) {
                 EXPECT_EQ(w.session, 1U) << name << " of " << nodes;
             }
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "core/cluster.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -12,21 +12,21 @@
 TEST(Faults, MachineThatNothingReachesGetsNoMoreWorkAndIsReturned) {
     for (const auto& [held, guarded] : {std::pair(false, true), {true, true}, {false, false}}) {
         auto options = calm(21);
-        options.guards.judged_by_effect = guarded;
-        Simulation world(options);
+        options.guards.command_effect_check = guarded;
+        Simulation simulation(options);
         // Both machines of the zone are needed, so that the deaf one would be used.
         for (std::size_t n = 1; n <= 28; ++n) {
             auto j = plain(numbered(n), 1, 3, static_cast<Millis>(n) * 2500 - 2500);
             j.cpus = 8;
             j.zone = "b";
             j.spot = false;
-            world.jobs().push_back(j);
+            simulation.jobs().push_back(j);
         }
-        world.advance(22'500);
+        simulation.advance(22'500);
         std::string deaf;
-        for (auto& [name, w] : world.workers()) {
+        for (auto& [name, w] : simulation.workers()) {
             if (w.tasks.empty() || w.tasks[0].state == "exited") continue;
-            world.deafen(w, 150'000, held);
+            simulation.block_inbound(w, 150'000, held);
             deaf = name;
             break;
         }
@@ -34,16 +34,16 @@
         // What was there already waits for its lease to end; from then on nothing goes there.
         std::set<std::string> placed;
         for (Millis t = 50'000; t <= 95'000; t += 250) {
-            world.advance(t);
-            for (const auto& [key, entry] : world.store()) {
+            simulation.advance(t);
+            for (const auto& [key, entry] : simulation.store()) {
                 const bool there = entry.first.find('"' + deaf + '"') != std::string::npos;
                 if (key.starts_with("place/") && there) placed.insert(key);
             }
         }
-        EXPECT_EQ(world.broken(), "");
+        EXPECT_EQ(simulation.broken(), "");
         EXPECT_EQ(placed.empty(), guarded) << placed.size();
         if (guarded) {
-            EXPECT_TRUE(world.workers().at(deaf).gone);
+            EXPECT_TRUE(simulation.workers().at(deaf).gone);
         }
     }
 }
@@ -57,37 +57,38 @@
             auto options = calm(seed);
             options.nodes = nodes;
             options.machines = 10;
-            Simulation world(options);
-            world.set_capacity(10);
+            Simulation simulation(options);
+            simulation.set_capacity(10);
             auto j = plain("job-000001", 10, 120, 1000);
             j.cpus = 8;
-            world.jobs().push_back(j);
-            world.advance(30'000);
-            const auto silent = world.leader();
+            simulation.jobs().push_back(j);
+            simulation.advance(30'000);
+            const auto silent = simulation.leader();
             ASSERT_TRUE(silent.has_value());
-            world.freeze(*silent, 25'000);
-            world.advance(60'000);
-            EXPECT_NE(world.leader(), silent);
-            for (const auto& [name, w] : world.workers()) {
+            simulation.freeze(*silent, 25'000);
+            simulation.advance(60'000);
+            EXPECT_NE(simulation.leader(), silent);
+            for (const auto& [name, w] : simulation.workers()) {
                 EXPECT_EQ(w.session, 1U) << name << " seed " << seed << " of " << nodes;
             }
-            EXPECT_EQ(world.run(), "");
+            EXPECT_EQ(simulation.run(), "");
         }
     }
 }
 
 TEST(Faults, MachineThatIsDeafForMomentsIsUsedAgain) {
-    Simulation world(calm(22));
+    Simulation simulation(calm(22));
     auto j = plain("job-000001", 3, 40);
     j.cpus = 8;
     j.spot = false;
-    world.jobs().push_back(j);
-    world.at(9000, [&] { world.deafen(world.workers().begin()->second, 3000, false); });
-    world.advance(60'000);
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_TRUE(world.jobs()[0].done_told);
-    EXPECT_FALSE(world.workers().begin()->second.gone);
-    EXPECT_EQ(world.total_starts(), 3U);
+    simulation.jobs().push_back(j);
+    simulation.at(
+        9000, [&] { simulation.block_inbound(simulation.workers().begin()->second, 3000, false); });
+    simulation.advance(60'000);
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
+    EXPECT_FALSE(simulation.workers().begin()->second.gone);
+    EXPECT_EQ(simulation.total_starts(), 3U);
 }
 
 // Answering with its old token, it would keep its workers until their leases end.
@@ -96,21 +97,21 @@
         for (const auto& [hold, refuse] : {std::pair(false, false), {true, false}, {false, true}}) {
             auto options = calm(23);
             options.nodes = nodes;
-            Simulation world(options);
+            Simulation simulation(options);
             auto j = plain("job-000001", 3, 60);
             j.cpus = 8;
             j.spot = false;
-            world.jobs().push_back(j);
-            world.advance(10'000);
-            const auto old = world.leader();
+            simulation.jobs().push_back(j);
+            simulation.advance(10'000);
+            const auto old = simulation.leader();
             ASSERT_TRUE(old);
-            for (auto& [name, w] : world.workers()) w.node = *old;
-            world.isolate(*old, 45'000, hold, refuse);
-            world.advance(110'000);
-            EXPECT_EQ(world.broken(), "");
-            EXPECT_TRUE(world.jobs()[0].done_told);
-            EXPECT_EQ(world.total_starts(), 3U);
-            for (const auto& [name, w] : world.workers()) {
+            for (auto& [name, w] : simulation.workers()) w.node = *old;
+            simulation.isolate(*old, 45'000, hold, refuse);
+            simulation.advance(110'000);
+            EXPECT_EQ(simulation.broken(), "");
+            EXPECT_TRUE(simulation.jobs()[0].done_reported);
+            EXPECT_EQ(simulation.total_starts(), 3U);
+            for (const auto& [name, w] : simulation.workers()) {
                 if (!w.gone) {
                     EXPECT_EQ(w.session, 1U) << name << " of " << nodes;
                 }
@@ -128,44 +129,45 @@
     options.cancel_s = 59;
     options.machines = 12;
     options.teams = {{"core", {}, {}}};
-    Simulation world(options);
-    world.set_capacity(12);
+    Simulation simulation(options);
+    simulation.set_capacity(12);
     auto j = plain("job-000001", 12, 100);
     j.cpus = 8;
     j.spot = false;
-    world.jobs().push_back(j);
-    world.advance(30'000);
-    const auto old = world.leader();
+    simulation.jobs().push_back(j);
+    simulation.advance(30'000);
+    const auto old = simulation.leader();
     ASSERT_TRUE(old);
-    world.cut("n" + std::to_string(*old), "", 40'000, true);
-    world.advance(90'000);
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_EQ(world.total_starts(), 12U);
-    for (const auto& [name, w] : world.workers()) EXPECT_FALSE(w.gone) << name;
+    simulation.cut("n" + std::to_string(*old), "", 40'000, true);
+    simulation.advance(90'000);
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.total_starts(), 12U);
+    for (const auto& [name, w] : simulation.workers()) EXPECT_FALSE(w.gone) << name;
 }
 
 // Records still name the machines that tasks were on before they were given back.
 TEST(Faults, NewLeaderWaitsNotForMachinesThatAreGone) {
     auto options = calm(28);
     options.machines = 4;
-    Simulation world(options);
+    Simulation simulation(options);
     auto j = plain("job-000001", 2, 60);
     j.cpus = 8;
     j.spot = false;
-    world.jobs().push_back(j);
-    world.advance(12'000);
+    simulation.jobs().push_back(j);
+    simulation.advance(12'000);
     std::size_t lost = 0;
-    for (auto& [name, w] : world.workers()) {
+    for (auto& [name, w] : simulation.workers()) {
         if (w.tasks.empty() || lost > 0) continue;
-        world.lose_worker(w);
+        simulation.lose_worker(w);
         ++lost;
     }
     ASSERT_EQ(lost, 1U);
-    world.crash(*world.leader(), 400);
-    const auto at = world.now();
-    while (world.total_starts() < 3 && world.now() < at + 60'000) world.advance(world.now() + 100);
-    EXPECT_LT(world.now() - at, 9000);
-    EXPECT_EQ(world.broken(), "");
+    simulation.crash(*simulation.leader(), 400);
+    const auto at = simulation.now();
+    while (simulation.total_starts() < 3 && simulation.now() < at + 60'000)
+        simulation.advance(simulation.now() + 100);
+    EXPECT_LT(simulation.now() - at, 9000);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 TEST(Faults, ZonesCutOffOrApartLoseNoJob) {
@@ -173,110 +175,112 @@
         for (const bool hold : {false, true}) {
             auto options = calm(30);
             options.nodes = 5;
-            Simulation world(options);
+            Simulation simulation(options);
             for (std::size_t n = 1; n <= 8; ++n) {
                 auto j = plain(numbered(n), 2, 12, static_cast<Millis>(n) * 4000);
                 if (n % 3 == 0) j.kind = "ensemble";
                 j.one_zone = n % 2 == 0;
-                world.jobs().push_back(j);
+                simulation.jobs().push_back(j);
             }
-            world.at(12'000,
-                     [&, apart, hold] { world.cut_zone("a", apart ? "b" : "", 30'000, hold); });
-            EXPECT_EQ(world.run(), "") << apart << hold;
+            simulation.at(12'000, [&, apart, hold] {
+                simulation.cut_zone("a", apart ? "b" : "", 30'000, hold);
+            });
+            EXPECT_EQ(simulation.run(), "") << apart << hold;
         }
     }
 }
 
 TEST(Faults, SlowStateServiceDelaysAndLosesNothing) {
-    Simulation world(calm(31));
+    Simulation simulation(calm(31));
     for (std::size_t n = 1; n <= 10; ++n) {
-        world.jobs().push_back(plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000));
+        simulation.jobs().push_back(plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000));
     }
-    world.at(6000, [&] { world.slow_state(400, 40'000); });
-    EXPECT_EQ(world.run(), "");
+    simulation.at(6000, [&] { simulation.slow_state(400, 40'000); });
+    EXPECT_EQ(simulation.run(), "");
 }
 
 // A watch from before what the state service still keeps: everything is read again.
 TEST(Faults, ChangesThatTheStateServiceForgotAreReadAgain) {
-    Simulation world(calm(32));
+    Simulation simulation(calm(32));
     for (std::size_t n = 1; n <= 10; ++n) {
         auto j = plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000);
         if (n == 4) j.cancel_at = 16'000;
-        world.jobs().push_back(j);
+        simulation.jobs().push_back(j);
     }
-    for (Millis t = 5000; t < 40'000; t += 2500) world.at(t, [&] { world.forget_changes(); });
-    EXPECT_EQ(world.run(), "");
+    for (Millis t = 5000; t < 40'000; t += 2500)
+        simulation.at(t, [&] { simulation.forget_changes(); });
+    EXPECT_EQ(simulation.run(), "");
 }
 
 TEST(Faults, WaveOfSpotNoticesMovesTheWork) {
     auto options = calm(33);
     options.machines = 0;
-    Simulation world(options);
-    for (std::size_t i = 0; i < 10; ++i) world.add_worker(i % 2 == 0 ? "a" : "b", true);
-    world.set_capacity(14);
+    Simulation simulation(options);
+    for (std::size_t i = 0; i < 10; ++i) simulation.add_worker(i % 2 == 0 ? "a" : "b", true);
+    simulation.set_capacity(14);
     for (std::size_t n = 1; n <= 12; ++n) {
         auto j = plain(numbered(n), 3, 20, 0);
         j.kind = n % 2 == 0 ? "ensemble" : "sweep";
-        world.jobs().push_back(j);
+        simulation.jobs().push_back(j);
     }
-    world.at(15'000, [&] {
+    simulation.at(15'000, [&] {
         std::size_t n = 0;
-        for (auto& [name, w] : world.workers()) {
-            if (w.up && ++n % 3 != 0) w.taken_at = world.now() + 5000;
+        for (auto& [name, w] : simulation.workers()) {
+            if (w.up && ++n % 3 != 0) w.taken_at = simulation.now() + 5000;
         }
     });
-    EXPECT_EQ(world.run(), "");
+    EXPECT_EQ(simulation.run(), "");
 }
 
 // Several times as many jobs of a class as there is room for, beside another team's guarantee.
 TEST(Faults, BurstOfAClassStarvesNoOther) {
-    Simulation world(calm(34));
-    world.set_capacity(5);
+    Simulation simulation(calm(34));
+    simulation.set_capacity(5);
     std::size_t n = 0;
     for (; n < 60; ++n) {
         auto j = plain(numbered(n), 3, 6, 5000 + static_cast<Millis>(n) * 250);
         j.cls = "burst";
-        world.jobs().push_back(j);
+        simulation.jobs().push_back(j);
     }
     for (; n < 70; ++n) {
         auto j = plain(numbered(n), 2, 6, static_cast<Millis>(n - 60) * 4000);
         j.cls = "calm";
         j.team = "side";
-        world.jobs().push_back(j);
+        simulation.jobs().push_back(j);
     }
-    world.advance(75'000);
-    EXPECT_EQ(world.broken(), "");
-    for (const auto& j : world.jobs()) {
+    simulation.advance(75'000);
+    EXPECT_EQ(simulation.broken(), "");
+    for (const auto& j : simulation.jobs()) {
         if (j.cls == "calm") {
-            EXPECT_TRUE(j.done_told) << j.id;
+            EXPECT_TRUE(j.done_reported) << j.id;
         }
     }
-    EXPECT_EQ(world.run(), "");
+    EXPECT_EQ(simulation.run(), "");
 }
 
 // A flood of what can't be taken: each is answered at once, and the fleet does not notice.
 TEST(Faults, FloodOfRefusedRequestsStarvesNeitherBeatsNorRenewals) {
-    Simulation world(calm(35));
-    world.jobs().push_back(plain("job-000001", 4, 60));
-    world.advance(10'000);
-    const auto leader = world.leader();
+    Simulation simulation(calm(35));
+    simulation.jobs().push_back(plain("job-000001", 4, 60));
+    simulation.advance(10'000);
+    const auto leader = simulation.leader();
     ASSERT_TRUE(leader);
     for (int round = 0; round < 40; ++round) {
         for (int i = 0; i < 60; ++i) {
             const auto node = static_cast<std::size_t>(i % 3);
-            world.at(world.now() + Millis{3} * i, [&world, node, i] {
-                world.throw_at(node, i % 2 == 0
-                                         ? net::HttpRequest{"POST", "/v2/runs", "{\"nameId\":1}"}
-                                         : net::HttpRequest{"GET", "/v2/runs/job-999999", ""});
+            simulation.at(simulation.now() + Millis{3} * i, [&simulation, node, i] {
+                simulation.throw_at(
+                    node, i % 2 == 0 ? net::HttpRequest{"POST", "/v2/runs", "{\"nameId\":1}"}
+                                     : net::HttpRequest{"GET", "/v2/runs/job-999999", ""});
             });
         }
-        world.advance(world.now() + 500);
+        simulation.advance(simulation.now() + 500);
     }
-    EXPECT_EQ(world.thrown_answered(), 40U * 60U);
-    EXPECT_EQ(world.leader(), leader);
-    for (const auto& [name, w] : world.workers()) EXPECT_EQ(w.session, 1U) << name;
-    EXPECT_EQ(world.run(), "");
-    EXPECT_EQ(world.total_starts(), 4U);
+    EXPECT_EQ(simulation.thrown_answered(), 40U * 60U);
+    EXPECT_EQ(simulation.leader(), leader);
+    for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
+    EXPECT_EQ(simulation.run(), "");
+    EXPECT_EQ(simulation.total_starts(), 4U);
 }
 
 // Resources for a guarantee is kept while its team has work, and not for ever after.
@@ -286,7 +290,7 @@
     core::ClusterSettings settings;
     settings.teams = {{"core", {16000, 0, 0}, {}}};
     settings.token = 3;
-    settings.aims = {{core::Aim::Kind::Guarantee, "", 10}};
+    settings.objectives = {{core::Objective::Kind::Guarantee, "", 10}};
     core::Cluster cluster(settings, types, zones);
     core::MachineType type;
     type.name = "box";
@@ -296,7 +300,7 @@
     type.zones = {"a"};
     cluster.set_types({type});
     std::uint64_t seq = 0;
-    const auto returns = [&](Millis now) {
+    const auto releases = [&](Millis now) {
         for (const char* name : {"host-1", "host-2"}) {
             core::Report r;
             r.machine = name;
@@ -308,19 +312,19 @@
             r.token = 3;
             cluster.on_report(r, true, now);
         }
-        return core::make_plan(cluster.snapshot(now, now)).returns.size();
+        return core::make_plan(cluster.snapshot(now, now)).releases.size();
     };
     core::JobText job;
     job.id = "job-000001";
     job.team = "core";
     job.cpus = 100;  // fits nowhere, and goes on waiting
-    returns(1000);
+    releases(1000);
     cluster.add_job(job, 1, 1000);
-    EXPECT_EQ(returns(200'000), 0U);
+    EXPECT_EQ(releases(200'000), 0U);
     cluster.job_over("job-000001", true, 200'000);
-    EXPECT_EQ(returns(210'000), 0U);
+    EXPECT_EQ(releases(210'000), 0U);
     // One of the two stays as the spare machine.
-    EXPECT_EQ(returns(210'000 + settings.tuning.guarantee_keep_ms + 60'000), 1U);
+    EXPECT_EQ(releases(210'000 + settings.tuning.guarantee_keep_ms + 60'000), 1U);
 }
 
 // What is known of images grows with the fleet, one value of the state service does not.
@@ -328,15 +332,15 @@
     auto options = calm(29);
     options.machines = 200;
     options.teams = {{"core", {}, {}}};
-    Simulation world(options);
-    world.set_capacity(200);
+    Simulation simulation(options);
+    simulation.set_capacity(200);
     auto j = plain("job-000001", 200, 30);
     j.cpus = 8;
     j.spot = false;
-    world.jobs().push_back(j);
-    world.advance(30'000);
+    simulation.jobs().push_back(j);
+    simulation.advance(30'000);
     std::size_t machines = 0;
-    for (const auto& [key, entry] : world.store()) {
+    for (const auto& [key, entry] : simulation.store()) {
         if (!key.starts_with("images/")) continue;
         EXPECT_LE(entry.first.size(), 8192U);
         for (std::size_t at = 0; (at = entry.first.find("host-", at)) != std::string::npos; ++at) {
@@ -344,7 +348,7 @@
         }
     }
     EXPECT_GT(machines, 190U);
-    EXPECT_EQ(world.broken(), "");
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // Two zones can't reach each other, a third reaches both: reports go round by a node there. Before,
@@ -354,26 +358,26 @@
         auto options = calm(36);
         options.machines = 6;
         options.teams = {{"core", {}, {}}};
-        Simulation world(options);
-        world.set_capacity(6);
+        Simulation simulation(options);
+        simulation.set_capacity(6);
         auto j = plain("job-000001", 6, 70);
         j.cpus = 8;
         j.spot = false;
-        world.jobs().push_back(j);
-        world.advance(12'000);
-        const auto leader = world.leader();
+        simulation.jobs().push_back(j);
+        simulation.advance(12'000);
+        const auto leader = simulation.leader();
         ASSERT_TRUE(leader);
         const auto near = (*leader + 1) % 3;
-        world.cut("n" + std::to_string(near), "n" + std::to_string(*leader), 40'000, hold);
-        for (auto& [name, w] : world.workers()) {
+        simulation.cut("n" + std::to_string(near), "n" + std::to_string(*leader), 40'000, hold);
+        for (auto& [name, w] : simulation.workers()) {
             w.node = near;
-            world.cut(name, "n" + std::to_string(*leader), 40'000, hold);
+            simulation.cut(name, "n" + std::to_string(*leader), 40'000, hold);
         }
-        world.advance(100'000);
-        EXPECT_EQ(world.broken(), "");
-        EXPECT_TRUE(world.jobs()[0].done_told);
-        EXPECT_EQ(world.total_starts(), 6U);
-        for (const auto& [name, w] : world.workers()) EXPECT_EQ(w.session, 1U) << name;
+        simulation.advance(100'000);
+        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_TRUE(simulation.jobs()[0].done_reported);
+        EXPECT_EQ(simulation.total_starts(), 6U);
+        for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
     }
 }
 
@@ -382,18 +386,18 @@
 TEST(Faults, RefusedConnectionsBetweenControllersCostNoTasks) {
     auto options = calm(24);
     options.nodes = 5;
-    Simulation world(options);
+    Simulation simulation(options);
     auto j = plain("job-000001", 3, 60);
     j.cpus = 8;
     j.spot = false;
-    world.jobs().push_back(j);
-    world.advance(10'000);
-    world.cut("n", "n", 40'000, false);
-    world.advance(110'000);
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_TRUE(world.jobs()[0].done_told);
-    EXPECT_EQ(world.total_starts(), 3U);
-    for (const auto& [name, w] : world.workers()) EXPECT_EQ(w.session, 1U) << name;
+    simulation.jobs().push_back(j);
+    simulation.advance(10'000);
+    simulation.cut("n", "n", 40'000, false);
+    simulation.advance(110'000);
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
+    EXPECT_EQ(simulation.total_starts(), 3U);
+    for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
 }
 
 // On a few days in a hundred all reports of a machine meet a controller without a leader for longer
@@ -404,17 +408,18 @@
         for (const std::size_t nodes : {3, 5}) {
             auto options = calm(seed);
             options.nodes = nodes;
-            Simulation world(options);
-            world.jobs().push_back(plain("job-000001", 4, 40));
+            Simulation simulation(options);
+            simulation.jobs().push_back(plain("job-000001", 4, 40));
             for (Millis t = 8000; t < 30'000; t += 1300) {
-                world.at(t, [&world, nodes, t] {
-                    const auto l = world.leader();
-                    world.crash(l ? *l : static_cast<std::size_t>(t / 1300) % nodes, 60 + t % 300);
+                simulation.at(t, [&simulation, nodes, t] {
+                    const auto l = simulation.leader();
+                    simulation.crash(l ? *l : static_cast<std::size_t>(t / 1300) % nodes,
+                                     60 + t % 300);
                 });
             }
-            EXPECT_EQ(world.run(), "") << seed;
-            EXPECT_GE(world.total_starts(), 4U);
-            days_with_lost_leases += world.total_starts() > 4U ? 1 : 0;
+            EXPECT_EQ(simulation.run(), "") << seed;
+            EXPECT_GE(simulation.total_starts(), 4U);
+            days_with_lost_leases += simulation.total_starts() > 4U ? 1 : 0;
         }
     }
     EXPECT_LE(days_with_lost_leases, 2);
@@ -430,20 +435,20 @@
         options.guards.claims = claims;
         options.settle_ms = 300'000;
         options.teams = {{"core", {}, {}}};
-        Simulation world(options);
-        world.set_capacity(4);
+        Simulation simulation(options);
+        simulation.set_capacity(4);
         std::size_t n = 1;
         for (Millis t = 0; t < 330'000; t += 1200) {
             auto small = plain(numbered(++n), 3, 10, t);
-            world.jobs().push_back(small);
+            simulation.jobs().push_back(small);
         }
         auto big = plain("job-000001", 3, 10, 30'000);
         big.kind = gang ? "ensemble" : "sweep";
         big.cpus = 8;
-        world.jobs().push_back(big);
-        world.advance(340'000);
-        EXPECT_EQ(world.broken(), "");
-        const auto& me = world.jobs().back();
+        simulation.jobs().push_back(big);
+        simulation.advance(340'000);
+        EXPECT_EQ(simulation.broken(), "");
+        const auto& me = simulation.jobs().back();
         return me.begun < 0 ? Millis{1'000'000} : me.begun - me.submit_at;
     };
     EXPECT_LT(begun_after(true), 240'000);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -15,8 +15,8 @@
     NetTest() : loop_([this] { return now_; }) {}
 
     // Serves on a port that the system picks.
-    void serve(std::size_t most_connections, HttpServer::Handle handle) {
-        server_.emplace(loop_, budget_, 1000, most_connections, std::move(handle));
+    void serve(std::size_t max_connections, HttpServer::Handle handle) {
+        server_.emplace(loop_, budget_, 1000, max_connections, std::move(handle));
         std::string error;
         for (int port = 20000; port < 60000; port += 97) {
             port_ = port;
@@ -211,7 +211,7 @@
         addresses.push_back("127.0.0.1:" + std::to_string(port));
     }
     ASSERT_EQ(workers.size(), 30U);
-    budget_.most = 28;
+    budget_.max_sockets = 28;
     HttpClient client(loop_, budget_);
     int answered = 0;
     for (int round = 0; round < 2; ++round) {
@@ -228,7 +228,7 @@
 TEST_F(NetTest, ClientKeepsToTheLimitOfSocketsAndSaysWhatNeverLeft) {
     std::vector<Respond> all;
     serve(60, [&](const HttpRequest&, Respond respond) { all.push_back(std::move(respond)); });
-    budget_.most = 30;
+    budget_.max_sockets = 30;
     HttpClient client(loop_, budget_);
     int failed = 0;
     int answered = 0;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -23,7 +23,7 @@
     }
     MachineIndex machine(ZoneIndex zone, std::int64_t cpus_free, bool spot = false) {
         MachineView m;
-        m.ix = static_cast<MachineIndex>(s.machines.size());
+        m.index = static_cast<MachineIndex>(s.machines.size());
         m.type = 0;
         m.zone = zone;
         m.spot = spot;
@@ -31,11 +31,11 @@
         m.room = s.types[0].room;
         m.free = {cpus_free, 2000, 16000};
         s.machines.push_back(m);
-        return m.ix;
+        return m.index;
     }
     JobIndex job(std::uint32_t count, std::int64_t cpus, bool gang,
                  Priority priority = Priority::Normal, TeamIndex team = 0) {
-        const auto ix = static_cast<JobIndex>(s.jobs.size());
+        const auto index = static_cast<JobIndex>(s.jobs.size());
         JobSpec spec;
         spec.team = team;
         spec.gang = gang;
@@ -43,19 +43,19 @@
         spec.count = count;
         spec.need = {cpus, 0, 1000};
         spec.spot = true;
-        spec.image = ix;
-        spec.submitted_ms = ix;
-        s.jobs[ix] = {spec, false};
+        spec.image = index;
+        spec.submitted_ms = index;
+        s.jobs[index] = {spec, false};
         ItemView item;
-        item.job = ix;
+        item.job = index;
         item.waiting = count;
         s.items.push_back(item);
-        return ix;
+        return index;
     }
     void hold(JobIndex owner, MachineIndex on) {
         AllocationView h;
-        h.ix = static_cast<AllocationIndex>(s.allocations.size());
-        h.attempt = 100 + h.ix;
+        h.index = static_cast<AllocationIndex>(s.allocations.size());
+        h.attempt = 100 + h.index;
         h.machine = on;
         h.job = owner;
         h.left_s = 100;
@@ -73,11 +73,11 @@
     const auto j = job(2, 8000, true);
     s.jobs[j].spec.apart = true;
     auto plan = make_plan(s);
-    ASSERT_EQ(plan.rents.size(), 1U);
-    EXPECT_EQ(plan.rents[0].zone, 0U);
-    EXPECT_EQ(plan.rents[0].number, 1U);
+    ASSERT_EQ(plan.provisions.size(), 1U);
+    EXPECT_EQ(plan.provisions[0].zone, 0U);
+    EXPECT_EQ(plan.provisions[0].number, 1U);
     s.refused = {{0, 0, true}, {0, 0, false}};
-    EXPECT_TRUE(make_plan(s).rents.empty());
+    EXPECT_TRUE(make_plan(s).provisions.empty());
 }
 
 // A gang waited for ever: the machines that it kept off after failures there counted as room for
@@ -90,8 +90,8 @@
     s.items[0].avoid = {failed};
     const auto plan = make_plan(s);
     EXPECT_TRUE(plan.starts.empty());
-    ASSERT_EQ(plan.rents.size(), 1U);
-    EXPECT_EQ(plan.rents[0].zone, 0U);
+    ASSERT_EQ(plan.provisions.size(), 1U);
+    EXPECT_EQ(plan.provisions[0].zone, 0U);
 }
 
 // The rest of an array was rented in the zone in which its last task was, where it may not go.
@@ -102,9 +102,9 @@
     s.items[0].begun = true;
     s.items[0].zone_counts = {0, 2};
     const auto plan = make_plan(s);
-    ASSERT_EQ(plan.rents.size(), 1U);
-    EXPECT_EQ(plan.rents[0].zone, 0U);
-    EXPECT_EQ(plan.rents[0].number, 2U);
+    ASSERT_EQ(plan.provisions.size(), 1U);
+    EXPECT_EQ(plan.provisions[0].zone, 0U);
+    EXPECT_EQ(plan.provisions[0].number, 2U);
 }
 
 // Two gangs of different zones each had a part of the few machines that the cloud gave. What the
@@ -121,7 +121,7 @@
     s.items[1].order_s = 2;
     s.refused = {{0, 0, false}, {0, 0, true}, {0, 1, false}, {0, 1, true}};
     const auto plan = make_plan(s);
-    EXPECT_EQ(plan.returns, std::vector<MachineIndex>{second}) << first;
+    EXPECT_EQ(plan.releases, std::vector<MachineIndex>{second}) << first;
 }
 
 TEST_F(PlannerTest, ReplicasAreSpreadUnlessTheImageIsInOnePlaceOnly) {
@@ -240,15 +240,15 @@
 TEST_F(PlannerTest, RentsTheCheapestAllowedKind) {
     job(3, 4000, false);
     auto plan = make_plan(s);
-    ASSERT_FALSE(plan.rents.empty());
+    ASSERT_FALSE(plan.provisions.empty());
     std::uint32_t n = 0;
-    for (const auto& r : plan.rents) {
+    for (const auto& r : plan.provisions) {
         EXPECT_TRUE(r.spot);
         n += r.number;
     }
     EXPECT_EQ(n, 2U);
     s.jobs[0].spec.spot = false;
-    for (const auto& r : make_plan(s).rents) EXPECT_FALSE(r.spot);
+    for (const auto& r : make_plan(s).provisions) EXPECT_FALSE(r.spot);
 }
 
 // Many large arrays that waited too long: each begins with a few tasks, none takes all the room.
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "core/planner.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift {
 namespace {
@@ -163,8 +163,8 @@
         job.slack_s = slack;
         EXPECT_DOUBLE_EQ(built_in.order_s(job), slack);
         const auto cheap = std::clamp(slack * 0.5, 3.0, 20.0);
-        EXPECT_DOUBLE_EQ(built_in.rent_patience_s(job), cheap);
-        EXPECT_DOUBLE_EQ(built_in.dear_patience_s(job), std::clamp(slack * 0.6, cheap, 60.0));
+        EXPECT_DOUBLE_EQ(built_in.provision_patience_s(job), cheap);
+        EXPECT_DOUBLE_EQ(built_in.on_demand_patience_s(job), std::clamp(slack * 0.6, cheap, 60.0));
     }
     EXPECT_DOUBLE_EQ(built_in.starving_s(job), 120);
     job.gang = true;
@@ -224,8 +224,8 @@
             options.seed = seed;
             options.jobs = 20;
             options.policy = text;
-            simulation::Simulation world(options);
-            const auto broken = world.run();
+            simulation::Simulation simulation(options);
+            const auto broken = simulation.run();
             // A bad policy may serve badly; it must not break a rule.
             if (!broken.starts_with("unfinished") && !broken.starts_with("unserved")) {
                 EXPECT_EQ(broken, "") << text << seed;
--- a/tests/provisioning_faults_test.cpp
+++ b/tests/provisioning_faults_test.cpp
@@ -1,7 +1,7 @@
 // What the operators met on bad nights, apart from combinations of troubles.
 #include <gtest/gtest.h>
 
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -11,65 +11,65 @@
 TEST(Nights, MachinesThatNeverComeUpAreRentedForAgainAndGivenUp) {
     auto options = calm(300);
     options.machines = 0;
-    Simulation world(options);
-    world.set_capacity(30);
-    world.set_never(1.0);
+    Simulation simulation(options);
+    simulation.set_capacity(30);
+    simulation.set_never(1.0);
     auto j = plain("job-000001", 4, 20, 1000);
     j.cpus = 8;
-    world.jobs().push_back(j);
-    world.at(12'000, [&] { world.set_never(0); });
-    world.advance(60'000);
-    EXPECT_TRUE(world.jobs()[0].done_told);
-    world.advance(100'000);
-    for (const auto& [name, w] : world.workers()) {
+    simulation.jobs().push_back(j);
+    simulation.at(12'000, [&] { simulation.set_never(0); });
+    simulation.advance(60'000);
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
+    simulation.advance(100'000);
+    for (const auto& [name, w] : simulation.workers()) {
         if (w.never) {
             EXPECT_TRUE(w.gone) << name;
         }
     }
-    EXPECT_LE(world.workers().size(), 16U);
-    EXPECT_EQ(world.broken(), "");
+    EXPECT_LE(simulation.workers().size(), 16U);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // A straggler that comes up long after its work went elsewhere is used or returned.
 TEST(Nights, StragglersAreUsedOrReturned) {
     auto options = calm(301);
     options.machines = 0;
-    Simulation world(options);
-    world.set_capacity(12);
-    world.set_boot(40'000);
+    Simulation simulation(options);
+    simulation.set_capacity(12);
+    simulation.set_boot(40'000);
     auto j = plain("job-000001", 4, 20, 1000);
     j.cpus = 8;
-    world.jobs().push_back(j);
-    world.at(14'000, [&] { world.set_boot(2000); });
-    world.advance(230'000);
-    EXPECT_TRUE(world.jobs()[0].done_told);
+    simulation.jobs().push_back(j);
+    simulation.at(14'000, [&] { simulation.set_boot(2000); });
+    simulation.advance(230'000);
+    EXPECT_TRUE(simulation.jobs()[0].done_reported);
     std::size_t left = 0;
-    for (const auto& [name, w] : world.workers()) left += w.gone ? 0 : 1;
+    for (const auto& [name, w] : simulation.workers()) left += w.gone ? 0 : 1;
     EXPECT_LE(left, 1U);
-    EXPECT_EQ(world.broken(), "");
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // Everybody refreshes: one read of the state service serves all that wait, and the rest of the work
 // does not notice.
 TEST(Nights, StormOfQuestionsCostsFewReadsAndNoLease) {
-    Simulation world(calm(302));
-    for (std::size_t n = 0; n < 6; ++n) world.jobs().push_back(plain(numbered(n), 1, 60));
-    world.advance(12'000);
-    const auto leader = world.leader();
-    const auto reads = world.state_requests();
+    Simulation simulation(calm(302));
+    for (std::size_t n = 0; n < 6; ++n) simulation.jobs().push_back(plain(numbered(n), 1, 60));
+    simulation.advance(12'000);
+    const auto leader = simulation.leader();
+    const auto reads = simulation.state_requests();
     const std::size_t storm = 6000;
     for (std::size_t i = 0; i < storm; ++i) {
-        world.at(12'000 + static_cast<Millis>(i * 20'000 / storm), [&world, i] {
-            world.throw_at(i % 3, {"GET", "/v2/runs/" + numbered(i % 6), ""});
+        simulation.at(12'000 + static_cast<Millis>(i * 20'000 / storm), [&simulation, i] {
+            simulation.throw_at(i % 3, {"GET", "/v2/runs/" + numbered(i % 6), ""});
         });
     }
-    world.advance(35'000);
-    EXPECT_EQ(world.thrown_answered(), storm);
+    simulation.advance(35'000);
+    EXPECT_EQ(simulation.thrown_answered(), storm);
     // Three nodes with a read each 120 ms at most, renewals, watches and records.
-    EXPECT_LT(world.state_requests() - reads, 23U * 3 * 12);
-    EXPECT_EQ(world.leader(), leader);
-    for (const auto& [name, w] : world.workers()) EXPECT_EQ(w.session, 1U) << name;
-    EXPECT_EQ(world.run(), "");
+    EXPECT_LT(simulation.state_requests() - reads, 23U * 3 * 12);
+    EXPECT_EQ(simulation.leader(), leader);
+    for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
+    EXPECT_EQ(simulation.run(), "");
 }
 
 // Guests without a guarantee, with one huge array, long sweeps and a swarm of single tasks: they
@@ -78,8 +78,8 @@
     auto options = calm(303);
     options.machines = 4;
     options.teams = {{"core", {16'000, 0, 0}, {}}, {"guests", {}, {}}};
-    Simulation world(options);
-    world.set_capacity(5);
+    Simulation simulation(options);
+    simulation.set_capacity(5);
     const auto guest = [&](std::size_t n, std::uint32_t count, double run_s, const char* cls) {
         auto j = plain(numbered(n), count, run_s, 1000 + static_cast<Millis>(n) * 30);
         j.team = "guests";
@@ -87,17 +87,17 @@
         j.cls = cls;
         return j;
     };
-    world.jobs().push_back(guest(1, 600, 2, "array"));
-    for (std::size_t n = 2; n < 8; ++n) world.jobs().push_back(guest(n, 3, 40, "sweep"));
-    for (std::size_t n = 8; n < 108; ++n) world.jobs().push_back(guest(n, 1, 3, "swarm"));
+    simulation.jobs().push_back(guest(1, 600, 2, "array"));
+    for (std::size_t n = 2; n < 8; ++n) simulation.jobs().push_back(guest(n, 3, 40, "sweep"));
+    for (std::size_t n = 8; n < 108; ++n) simulation.jobs().push_back(guest(n, 1, 3, "swarm"));
     for (std::size_t n = 200; n < 212; ++n) {
         auto j = plain(numbered(n), 2, 8, 15'000 + static_cast<Millis>(n - 200) * 4000);
         j.cpus = 3;
         j.cls = "own";
-        world.jobs().push_back(j);
+        simulation.jobs().push_back(j);
     }
-    EXPECT_EQ(world.run(), "");
-    for (const auto& j : world.jobs()) {
+    EXPECT_EQ(simulation.run(), "");
+    for (const auto& j : simulation.jobs()) {
         if (j.cls == "own") {
             EXPECT_LT(j.begun - j.submit_at, 15'000) << j.id;
         }
@@ -110,23 +110,23 @@
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(304);
         options.nodes = nodes;
-        Simulation world(options);
+        Simulation simulation(options);
         for (std::size_t n = 0; n < 3; ++n) {
             auto bad = plain(numbered(n), 2, 10);
             bad.always_fails = true;
             bad.kind = n == 2 ? "ensemble" : "sweep";
             bad.cancel_at = 120'000;
-            world.jobs().push_back(bad);
+            simulation.jobs().push_back(bad);
         }
         for (std::size_t n = 10; n < 22; ++n) {
-            world.jobs().push_back(plain(numbered(n), 2, 8, static_cast<Millis>(n) * 3000));
+            simulation.jobs().push_back(plain(numbered(n), 2, 8, static_cast<Millis>(n) * 3000));
         }
-        world.at(40'000, [&] { world.crash(*world.leader(), 3000); });
-        EXPECT_EQ(world.run(), "");
-        EXPECT_LT(world.workers().size(), 12U);
+        simulation.at(40'000, [&] { simulation.crash(*simulation.leader(), 3000); });
+        EXPECT_EQ(simulation.run(), "");
+        EXPECT_LT(simulation.workers().size(), 12U);
         for (std::size_t n = 0; n < 3; ++n) {
-            EXPECT_GE(world.jobs()[n].cancelled_told, 0);
-            EXPECT_LT(world.jobs()[n].starts, 40U);
+            EXPECT_GE(simulation.jobs()[n].cancel_confirmed_at, 0);
+            EXPECT_LT(simulation.jobs()[n].starts, 40U);
         }
     }
 }
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -6,7 +6,7 @@
 
 #include <cstdlib>
 
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -29,9 +29,9 @@
     Options options;
     options.seed = 5;
     options.faults = false;
-    Simulation world(options);
-    EXPECT_EQ(world.run(), "");
-    EXPECT_GT(world.total_starts(), 10U);
+    Simulation simulation(options);
+    EXPECT_EQ(simulation.run(), "");
+    EXPECT_GT(simulation.total_starts(), 10U);
 }
 
 class RandomDay : public ::testing::TestWithParam<int> {};
@@ -49,8 +49,8 @@
             options.late_copy = 0.1;
         }
         if (i % 4 == 3) options.repeats = 0.1;
-        Simulation world(options);
-        EXPECT_EQ(world.run(), "") << "seed " << options.seed;
+        Simulation simulation(options);
+        EXPECT_EQ(simulation.run(), "") << "seed " << options.seed;
     }
 }
 INSTANTIATE_TEST_SUITE_P(Days, RandomDay, ::testing::Range(1, 9));
@@ -64,15 +64,15 @@
 };
 
 // Machines hang, with their tasks, and the cloud is out, so that none can be returned.
-void hang_machines_while_the_cloud_is_out(Simulation& world) {
+void hang_machines_while_the_cloud_is_out(Simulation& simulation) {
     constexpr Millis kFor = 16'000;
     for (Millis t = 12'000; t < 60'000; t += 20'000) {
-        world.at(t, [&world] {
-            world.cloud_outage(kFor);
+        simulation.at(t, [&simulation] {
+            simulation.cloud_outage(kFor);
             std::size_t hung = 0;
-            for (auto& [name, worker] : world.workers()) {
+            for (auto& [name, worker] : simulation.workers()) {
                 if (worker.tasks.empty() || worker.gone || ++hung > 2) continue;
-                worker.hung_until = world.now() + kFor;
+                worker.hung_until = simulation.now() + kFor;
             }
         });
     }
@@ -92,9 +92,9 @@
         options.late_request = 0.15;
         options.repeats = 0.05;
         options.guards.*GetParam().guard = false;
-        Simulation world(options);
-        if (GetParam().bring != nullptr) GetParam().bring(world);
-        const auto broken = world.run();
+        Simulation simulation(options);
+        if (GetParam().bring != nullptr) GetParam().bring(simulation);
+        const auto broken = simulation.run();
         if (!broken.empty() && !broken.starts_with("unfinished")) {
             SUCCEED() << broken;
             return;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "core/cluster.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::core {
 namespace {
@@ -20,12 +20,12 @@
         type.spot_hourly = 2;
         type.zones = {"a", "b"};
         cluster_.set_types({type});
-        for (std::size_t m = 0; m < machines; ++m) beat(m, {});
+        for (std::size_t m = 0; m < machines; ++m) heartbeat(m, {});
         // Arrays that fill the fleet.
         JobText job = text(1, static_cast<std::uint32_t>(machines * 2));
         cluster_.add_job(job, 1, now_);
         place();
-        for (std::size_t m = 0; m < machines; ++m) beat(m, tasks_[m]);
+        for (std::size_t m = 0; m < machines; ++m) heartbeat(m, tasks_[m]);
     }
     static JobText text(std::size_t number, std::uint32_t count) {
         JobText job;
@@ -40,7 +40,7 @@
         job.estimate_s = 500;
         return job;
     }
-    void beat(std::size_t m, const std::vector<TaskReport>& tasks) {
+    void heartbeat(std::size_t m, const std::vector<TaskReport>& tasks) {
         Report r;
         r.machine = name(m);
         r.endpoint = "10.0.0.1:1";
@@ -67,21 +67,21 @@
         for (int round = 0; round < 3; ++round) {
             cluster_.apply(plan(), now_);
             for (;;) {
-                const auto writes = cluster_.next_chunk_writes({}, true, now_);
+                const auto writes = cluster_.next_record_writes({}, true, now_);
                 if (writes.empty()) break;
-                for (const auto& w : writes) cluster_.chunk_written(w, true, ++rev_, now_);
+                for (const auto& w : writes) cluster_.on_record_written(w, true, ++revision_, now_);
             }
             const auto n = cluster_.machine_count();
-            for (std::size_t m = 0; m < n; ++m) beat(m, tasks_[m]);
+            for (std::size_t m = 0; m < n; ++m) heartbeat(m, tasks_[m]);
             now_ += 1000;
         }
     }
     static std::string name(std::size_t m) { return "host-" + std::to_string(100000 + m); }
 
-    std::uint64_t work_of_beats(std::size_t beats) {
+    std::uint64_t work_of_heartbeats(std::size_t heartbeats) {
         const auto before = cluster_.work();
         const auto n = cluster_.machine_count();
-        for (std::size_t i = 0; i < beats; ++i) beat(i * 7 % n, tasks_[i * 7 % n]);
+        for (std::size_t i = 0; i < heartbeats; ++i) heartbeat(i * 7 % n, tasks_[i * 7 % n]);
         return cluster_.work() - before;
     }
     std::uint64_t steps_with_waiting_jobs(std::size_t jobs) {
@@ -109,7 +109,7 @@
     Cluster cluster_;
     Millis now_ = 1000;
     std::uint64_t seq_ = 0;
-    std::uint64_t rev_ = 0;
+    std::uint64_t revision_ = 0;
     std::map<std::size_t, std::vector<TaskReport>> tasks_;
 };
 
@@ -118,14 +118,14 @@
     Fleet fast(328, 1.5);
     Fleet large(1200, 5);
     Fleet largest(4000, 5);
-    const auto base = small.work_of_beats(2000);
-    EXPECT_LE(fast.work_of_beats(2000), base + base / 10);
-    EXPECT_LE(large.work_of_beats(2000), base + base / 10);
-    EXPECT_LE(largest.work_of_beats(2000), base + base / 10);
+    const auto base = small.work_of_heartbeats(2000);
+    EXPECT_LE(fast.work_of_heartbeats(2000), base + base / 10);
+    EXPECT_LE(large.work_of_heartbeats(2000), base + base / 10);
+    EXPECT_LE(largest.work_of_heartbeats(2000), base + base / 10);
     // Five looks for each: itself, two tasks as held and two as reported.
     EXPECT_LE(base, 2000U * 5);
     large.changed_ = 0;
-    large.work_of_beats(100);
+    large.work_of_heartbeats(100);
     EXPECT_EQ(large.changed_, 0U);
 }
 
@@ -176,7 +176,7 @@
         }
         Millis now = 1000;
         cluster.on_list(list, now);
-        std::size_t asked = 0;
+        std::size_t requested = 0;
         std::deque<Cluster::Direct> under_way;
         for (;;) {
             // As the leader does it: whenever one of 24 calls ends, the next machine is asked.
@@ -186,7 +186,7 @@
             if (under_way.empty()) break;
             const auto direct = under_way.front();
             under_way.pop_front();
-            ++asked;
+            ++requested;
             cluster.direct_result(direct, Cluster::DirectResult::Executed, now);
             Report r;
             r.machine = direct.machine;
@@ -198,7 +198,7 @@
             r.token = direct.token;
             cluster.on_report(r, false, now);
         }
-        EXPECT_EQ(asked, machines);
+        EXPECT_EQ(requested, machines);
         return cluster.work();
     };
     const auto base = work(200);
@@ -216,13 +216,13 @@
         Cluster cluster(settings, types, zones);
         cluster.records_to_come();
         cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
-        for (std::uint32_t first = 0; first < machines; first += settings.chunk_tasks) {
+        for (std::uint32_t first = 0; first < machines; first += settings.tasks_per_record) {
             PlacementRecord record;
-            const auto end = std::min<std::size_t>(first + settings.chunk_tasks, machines);
+            const auto end = std::min<std::size_t>(first + settings.tasks_per_record, machines);
             for (auto task = first; task < end; ++task) {
                 record.placed.push_back({task, 77, Fleet::name(task), 1});
             }
-            cluster.load_record("job-100001", first / settings.chunk_tasks, record, 5, 1000);
+            cluster.load_record("job-100001", first / settings.tasks_per_record, record, 5, 1000);
         }
         cluster.records_loaded();
         for (std::size_t m = 0; m < machines; ++m) {
@@ -258,7 +258,7 @@
     s.team_used.resize(1);
     for (MachineIndex m = 0; m < 1200; ++m) {
         MachineView view;
-        view.ix = m;
+        view.index = m;
         view.type = 0;
         view.zone = 0;
         view.usable = true;
@@ -288,20 +288,20 @@
     auto options = simulation::calm(41);
     options.machines = 40;
     options.teams = {{"core", {}, {}}};
-    simulation::Simulation world(options);
-    world.set_capacity(40);
+    simulation::Simulation simulation(options);
+    simulation.set_capacity(40);
     for (std::size_t n = 0; n < 60; ++n) {
         auto j = simulation::plain(simulation::numbered(n), n % 2 == 0 ? 2 : 12, 20,
                                    static_cast<Millis>(n) * 700);
         j.kind = n % 2 == 0 ? "ensemble" : "sweep";
-        world.jobs().push_back(j);
+        simulation.jobs().push_back(j);
     }
-    const auto before = world.writes();
-    EXPECT_EQ(world.run(), "");
+    const auto before = simulation.writes();
+    EXPECT_EQ(simulation.run(), "");
     // Open, one record, final word with two removals; arrays a few records more.
-    EXPECT_LE(world.writes() - before, 60U * 8);
+    EXPECT_LE(simulation.writes() - before, 60U * 8);
     // Direct commands go where something is placed or stopped, a few for each start.
-    EXPECT_LE(world.direct_calls(), world.total_starts() * 3 + 200);
+    EXPECT_LE(simulation.direct_calls(), simulation.total_starts() * 3 + 200);
 }
 
 }  // namespace
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -14,9 +14,9 @@
                : static_cast<double>(job.replica_up_ms) / static_cast<double>(job.replica_due_ms);
 }
 
-std::map<std::string, int> replicas_by_machine(Simulation& world, const std::string& id) {
+std::map<std::string, int> replicas_by_machine(Simulation& simulation, const std::string& id) {
     std::map<std::string, int> out;
-    for (const auto& [name, worker] : world.workers()) {
+    for (const auto& [name, worker] : simulation.workers()) {
         for (const auto& task : worker.tasks) {
             if (!worker.gone && task.job == id && task.state == "running") ++out[name];
         }
@@ -24,9 +24,9 @@
     return out;
 }
 
-int running(Simulation& world, const std::string& id) {
+int running(Simulation& simulation, const std::string& id) {
     int sum = 0;
-    for (const auto& [name, count] : replicas_by_machine(world, id)) sum += count;
+    for (const auto& [name, count] : replicas_by_machine(simulation, id)) sum += count;
     return sum;
 }
 
@@ -39,124 +39,124 @@
 }
 
 TEST(Services, RunUntilCancelledAndAreNeverDone) {
-    Simulation world(services_day(1));
-    world.jobs().push_back(service("job-000001", 4, 1000, 60'000));
-    world.advance(58'000);
-    EXPECT_EQ(running(world, "job-000001"), 4);
-    EXPECT_GT(served(world.jobs()[0]), 0.99);
-    EXPECT_EQ(world.run(), "");
-    EXPECT_GE(world.jobs()[0].cancelled_told, 60'000);
-    EXPECT_EQ(running(world, "job-000001"), 0);
-    EXPECT_EQ(world.total_starts(), 4U);
+    Simulation simulation(services_day(1));
+    simulation.jobs().push_back(service("job-000001", 4, 1000, 60'000));
+    simulation.advance(58'000);
+    EXPECT_EQ(running(simulation, "job-000001"), 4);
+    EXPECT_GT(served(simulation.jobs()[0]), 0.99);
+    EXPECT_EQ(simulation.run(), "");
+    EXPECT_GE(simulation.jobs()[0].cancel_confirmed_at, 60'000);
+    EXPECT_EQ(running(simulation, "job-000001"), 0);
+    EXPECT_EQ(simulation.total_starts(), 4U);
 }
 
 TEST(Services, ReplicasAreSpreadOverMachinesAndZones) {
-    Simulation world(services_day(2));
+    Simulation simulation(services_day(2));
     // Before that the leader has not heard of all machines.
-    world.jobs().push_back(service("job-000001", 6, 6000));
-    world.advance(20'000);
-    for (const auto& [name, count] : replicas_by_machine(world, "job-000001")) {
+    simulation.jobs().push_back(service("job-000001", 6, 6000));
+    simulation.advance(20'000);
+    for (const auto& [name, count] : replicas_by_machine(simulation, "job-000001")) {
         EXPECT_LE(count, 2) << name;
     }
 }
 
 TEST(Services, ReplicasOfALostMachineRunElsewhereSoon) {
-    Simulation world(services_day(3));
-    world.jobs().push_back(service("job-000001", 4, 1000));
-    world.advance(20'000);
-    const auto lost = replicas_by_machine(world, "job-000001").begin()->first;
-    world.lose_worker(world.workers().at(lost));
-    world.advance(40'000);
-    EXPECT_EQ(running(world, "job-000001"), 4);
-    EXPECT_EQ(world.broken(), "");
+    Simulation simulation(services_day(3));
+    simulation.jobs().push_back(service("job-000001", 4, 1000));
+    simulation.advance(20'000);
+    const auto lost = replicas_by_machine(simulation, "job-000001").begin()->first;
+    simulation.lose_worker(simulation.workers().at(lost));
+    simulation.advance(40'000);
+    EXPECT_EQ(running(simulation, "job-000001"), 4);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 TEST(Services, ReplicasMoveBeforeTheirMachineIsTaken) {
-    Simulation world(services_day(4));
+    Simulation simulation(services_day(4));
     auto job = service("job-000001", 4, 1000);
-    world.jobs().push_back(job);
-    world.advance(20'000);
-    const auto going = replicas_by_machine(world, "job-000001").begin()->first;
-    world.workers().at(going).taken_at = 28'000;
-    world.advance(27'000);
-    EXPECT_EQ(replicas_by_machine(world, "job-000001").count(going), 0U);
-    EXPECT_EQ(running(world, "job-000001"), 4);
-    EXPECT_EQ(world.broken(), "");
+    simulation.jobs().push_back(job);
+    simulation.advance(20'000);
+    const auto going = replicas_by_machine(simulation, "job-000001").begin()->first;
+    simulation.workers().at(going).taken_at = 28'000;
+    simulation.advance(27'000);
+    EXPECT_EQ(replicas_by_machine(simulation, "job-000001").count(going), 0U);
+    EXPECT_EQ(running(simulation, "job-000001"), 4);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // A replica that ends, well or not, runs again at once; one that does so again and again backs off.
 TEST(Services, ReplicasThatEndRunAgain) {
     for (const bool crash : {false, true}) {
-        Simulation world(services_day(5));
+        Simulation simulation(services_day(5));
         auto job = service("job-000001", 3, 1000);
         job.replica_s = 40;
         job.replicas_crash = crash;
-        world.jobs().push_back(job);
-        world.advance(180'000);
-        EXPECT_EQ(world.broken(), "");
-        EXPECT_GT(served(world.jobs()[0]), 0.9);
+        simulation.jobs().push_back(job);
+        simulation.advance(180'000);
+        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_GT(served(simulation.jobs()[0]), 0.9);
     }
 }
 
 TEST(Services, CrashLoopsBackOffAndCondemnNoMachine) {
-    Simulation world(services_day(6));
+    Simulation simulation(services_day(6));
     for (std::size_t n = 1; n <= 3; ++n) {
         auto job = service(numbered(n), 2, 1000);
         job.always_fails = true;
-        world.jobs().push_back(job);
+        simulation.jobs().push_back(job);
     }
-    world.jobs().push_back(service("job-000009", 4, 1000));
-    world.advance(150'000);
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_GT(served(world.jobs()[3]), 0.9);
-    EXPECT_LE(world.total_starts(), 100U);
-    EXPECT_GT(world.total_starts(), 20U);
+    simulation.jobs().push_back(service("job-000009", 4, 1000));
+    simulation.advance(150'000);
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_GT(served(simulation.jobs()[3]), 0.9);
+    EXPECT_LE(simulation.total_starts(), 100U);
+    EXPECT_GT(simulation.total_starts(), 20U);
     int up = 0;
-    for (const auto& [name, worker] : world.workers()) up += worker.up && !worker.gone ? 1 : 0;
+    for (const auto& [name, worker] : simulation.workers()) up += worker.up && !worker.gone ? 1 : 0;
     EXPECT_GE(up, 2);
 }
 
 TEST(Services, CriticalReplicasDisplaceLowerWorkWhenAllIsTaken) {
     auto options = services_day(7);
     options.teams = {{"core", {}, {}}};
-    Simulation world(options);
-    world.set_capacity(6);
+    Simulation simulation(options);
+    simulation.set_capacity(6);
     auto low = plain("job-000001", 200, 60, 500);
     low.priority = "low";
     low.checkpoint_s = 0;
-    world.jobs().push_back(low);
-    world.jobs().push_back(service("job-000002", 4, 20'000));
-    world.advance(30'000);
-    EXPECT_EQ(running(world, "job-000002"), 4);
-    EXPECT_EQ(world.broken(), "");
+    simulation.jobs().push_back(low);
+    simulation.jobs().push_back(service("job-000002", 4, 20'000));
+    simulation.advance(30'000);
+    EXPECT_EQ(running(simulation, "job-000002"), 4);
+    EXPECT_EQ(simulation.broken(), "");
 }
 
 // All replicas together count against the team's limit, in any resource.
 TEST(Services, MoreThanTheTeamsLimitIsRefused) {
     auto options = services_day(8);
     options.teams = {{"core", {}, {3000, 0, 0}}};
-    Simulation world(options);
-    world.jobs().push_back(service("job-000001", 4, 1000));
-    world.jobs().push_back(service("job-000002", 3, 1000));
-    world.advance(20'000);
-    EXPECT_LT(world.jobs()[0].accepted, 0);
-    EXPECT_GE(world.jobs()[1].accepted, 0);
-    EXPECT_EQ(running(world, "job-000002"), 3);
+    Simulation simulation(options);
+    simulation.jobs().push_back(service("job-000001", 4, 1000));
+    simulation.jobs().push_back(service("job-000002", 3, 1000));
+    simulation.advance(20'000);
+    EXPECT_LT(simulation.jobs()[0].accepted, 0);
+    EXPECT_GE(simulation.jobs()[1].accepted, 0);
+    EXPECT_EQ(running(simulation, "job-000002"), 3);
 }
 
 TEST(Services, SurviveALeaderAndItsMachine) {
     for (std::uint64_t seed = 10; seed < 20; ++seed) {
-        Simulation world(services_day(seed));
-        world.jobs().push_back(service("job-000001", 4, 1000));
-        world.at(20'000, [&world] {
-            if (const auto leader = world.leader()) world.crash(*leader, 2000);
-            const auto on = replicas_by_machine(world, "job-000001");
-            if (!on.empty()) world.lose_worker(world.workers().at(on.begin()->first));
+        Simulation simulation(services_day(seed));
+        simulation.jobs().push_back(service("job-000001", 4, 1000));
+        simulation.at(20'000, [&simulation] {
+            if (const auto leader = simulation.leader()) simulation.crash(*leader, 2000);
+            const auto on = replicas_by_machine(simulation, "job-000001");
+            if (!on.empty()) simulation.lose_worker(simulation.workers().at(on.begin()->first));
         });
-        world.advance(50'000);
-        EXPECT_EQ(running(world, "job-000001"), 4) << seed;
-        EXPECT_EQ(world.broken(), "");
-        EXPECT_GT(served(world.jobs()[0]), 0.85);
+        simulation.advance(50'000);
+        EXPECT_EQ(running(simulation, "job-000001"), 4) << seed;
+        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_GT(served(simulation.jobs()[0]), 0.85);
     }
 }
 
@@ -165,19 +165,19 @@
 TEST(Services, ReplicasOfAZoneThatIsCutOffRunElsewhereOnceItsLeasesAreOver) {
     auto options = services_day(30);
     options.machines = 20;
-    Simulation world(options);
-    world.set_capacity(30);
-    world.jobs().push_back(service("job-000001", 6, 6000));
-    world.jobs()[0].apart = false;
+    Simulation simulation(options);
+    simulation.set_capacity(30);
+    simulation.jobs().push_back(service("job-000001", 6, 6000));
+    simulation.jobs()[0].apart = false;
     // The controller of the zone must not lead, or it would keep its workers.
-    world.at(8000, [&world] {
-        if (world.leader() == std::optional<std::size_t>(0)) world.crash(0, 2000);
+    simulation.at(8000, [&simulation] {
+        if (simulation.leader() == std::optional<std::size_t>(0)) simulation.crash(0, 2000);
     });
-    world.at(20'000, [&world] { world.cut_zone("a", "", 22'000, false); });
-    world.advance(38'000);
-    EXPECT_EQ(running(world, "job-000001"), 6);
-    EXPECT_EQ(world.broken(), "");
-    EXPECT_EQ(world.run(), "");
+    simulation.at(20'000, [&simulation] { simulation.cut_zone("a", "", 22'000, false); });
+    simulation.advance(38'000);
+    EXPECT_EQ(running(simulation, "job-000001"), 6);
+    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.run(), "");
 }
 
 // Random days with services among the other jobs; every rule is checked after each step.
@@ -188,7 +188,7 @@
         Options options;
         options.seed = 20'000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
         options.nodes = i % 2 == 0 ? 3 : 5;
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(options.seed);
         for (std::size_t n = 0; n < 5; ++n) {
             const auto at = static_cast<Millis>(rng() % 50'000);
@@ -199,9 +199,9 @@
             if (n < 3) job.cancel_at = at + static_cast<Millis>(rng() % 80'000);
             if (n == 1) job.replica_s = 4;
             job.replicas_crash = rng() % 2 == 0;
-            world.jobs().push_back(job);
+            simulation.jobs().push_back(job);
         }
-        EXPECT_EQ(world.run(), "") << "seed " << options.seed;
+        EXPECT_EQ(simulation.run(), "") << "seed " << options.seed;
     }
 }
 INSTANTIATE_TEST_SUITE_P(Days, ServicesDay, ::testing::Range(1, 6));
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -76,7 +76,7 @@
     EXPECT_EQ(s.peers.at(0).address, "127.0.0.2:8081");
     EXPECT_EQ(s.teams.at(0).guarantee.cpus, 1500);
     EXPECT_EQ(s.teams.at(0).limit.gpus, 4000);
-    EXPECT_EQ(s.state_txn_ops, 12U);
+    EXPECT_EQ(s.state_transaction_operations, 12U);
 }
 
 TEST_F(SettingsFile, SampleThatTheRepositoryShipsIsGood) {
@@ -127,7 +127,7 @@
     ASSERT_TRUE(std::holds_alternative<control::Settings>(loaded));
     const auto& next = std::get<control::Settings>(loaded).state_next;
     EXPECT_EQ(next.value_kb, 2.0);
-    EXPECT_FALSE(next.txn_ops || next.write_rps || next.rps);
+    EXPECT_FALSE(next.transaction_operations || next.write_rps || next.rps);
 }
 
 TEST_F(SettingsFile, BrokenTomlNamesTheLine) {
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
@@ -18,7 +18,7 @@
     w.type = "box";
     w.zone = zone;
     w.spot = spot;
-    w.rented_at = now_;
+    w.provisioned_at = now_;
     w.up_at = now_ == 0 ? 0
                         : now_ + boot_ms_ / 2 +
                               static_cast<Millis>(dice(static_cast<std::uint64_t>(boot_ms_)));
@@ -39,7 +39,7 @@
     if (request.method == "POST" && refuses_epoch(doc)) return respond({409, "{}"});
     if (request.target == "/rentals") {
         const std::string name = doc["richiesta"].GetString();
-        auto [it, fresh] = rentals_.try_emplace(name);
+        auto [it, fresh] = provisions_.try_emplace(name);
         if (fresh) {
             const auto alive = std::count_if(workers_.begin(), workers_.end(),
                                              [](const auto& w) { return !w.second.gone; });
@@ -51,7 +51,7 @@
                                        zone_capacity_ - static_cast<int>(in_zone));
             const auto n = std::min<int>(room, doc["number"].GetInt());
             if (n <= 0) {
-                rentals_.erase(it);
+                provisions_.erase(it);
                 return respond({503, R"({"error":"no capacity"})"});
             }
             for (int i = 0; i < n; ++i) {
@@ -71,13 +71,13 @@
     const auto lag = static_cast<Millis>(2000 + dice(2000));
     std::string items;
     for (const auto& [name, w] : workers_) {
-        if (w.gone || w.rented_at > now_ - lag) continue;
+        if (w.gone || w.provisioned_at > now_ - lag) continue;
         if (!items.empty()) items += ',';
         items += fmt::format(
             R"({{"nameId":"{0}","endpoint":"{5}","modello":"box","sede":"{1}","inPrestito":{2},)"
             R"("stato":"{3}","ageS":{4}}})",
             name, w.zone, w.spot, w.up ? "running" : "starting",
-            static_cast<double>(now_ - w.rented_at) / 1000, w.endpoint);
+            static_cast<double>(now_ - w.provisioned_at) / 1000, w.endpoint);
     }
     respond({200, R"({"banchi":[)" + items + R"(],"more":false})"});
 }
--- a/tests/simulation/duties.cpp
+++ b/tests/simulation/duties.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
@@ -88,7 +88,7 @@
     }
     const auto leads = leader();
     for (const auto& [name, w] : workers_) {
-        if (w.gone || !leads || now_ - w.rented_at < 30'000) continue;
+        if (w.gone || !leads || now_ - w.provisioned_at < 30'000) continue;
         if (!nodes_[*leads].controller->knows_machine(name)) fail("unknown_rental", name);
     }
 }
--- a/tests/simulation/loopback_region.cpp
+++ b/tests/simulation/loopback_environment.cpp
@@ -1,4 +1,4 @@
-#include "simulation/loopback_region.h"
+#include "simulation/loopback_environment.h"
 
 #include <signal.h>
 #include <sys/wait.h>
@@ -20,20 +20,20 @@
 constexpr unsigned kMachinePort = 7009;
 constexpr unsigned kFirstMachine = 20;  // hosts of the test's own network
 constexpr unsigned kMachineHosts = 200;
-constexpr std::size_t kMostBody = std::size_t{1} << 20;
+constexpr std::size_t kMaxBody = std::size_t{1} << 20;
 constexpr Millis kStep = 5;
 
 unsigned host_of_node(std::size_t node) { return static_cast<unsigned>(node) + 1; }
 
 }  // namespace
 
-LoopbackRegion::LoopbackRegion(Options options, const std::string& features)
+LoopbackEnvironment::LoopbackEnvironment(Options options, const std::string& features)
     : directory_(std::filesystem::temp_directory_path() /
                  ("lichendrift-region-" + std::to_string(::getpid()))),
       client_(loop_, budget_),
       options_(std::move(options)),
       began_(net::EventLoop::steady_clock()) {
-    budget_.most = 2000;
+    budget_.max_sockets = 2000;
     std::filesystem::create_directories(directory_);
     options_.external = [this](std::size_t node, const net::HttpRequest& request,
                                net::Respond respond) {
@@ -60,18 +60,18 @@
     loop_.after(kStep, [this] { tick(); });
 }
 
-LoopbackRegion::~LoopbackRegion() {
+LoopbackEnvironment::~LoopbackEnvironment() {
     for (const auto& controller : controllers_) end_process(controller.pid);
     std::error_code ignored;
     std::filesystem::remove_all(directory_, ignored);
 }
 
-void LoopbackRegion::tick() {
+void LoopbackEnvironment::tick() {
     simulation_->advance(net::EventLoop::steady_clock() - began_);
     loop_.after(kStep, [this] { tick(); });
 }
 
-bool LoopbackRegion::run_until(const std::function<bool()>& condition, Millis at_most) {
+bool LoopbackEnvironment::run_until(const std::function<bool()>& condition, Millis at_most) {
     const auto until = net::EventLoop::steady_clock() + at_most;
     while (net::EventLoop::steady_clock() < until) {
         if (condition()) return true;
@@ -80,7 +80,7 @@
     return condition();
 }
 
-void LoopbackRegion::write_settings(std::size_t node, std::size_t nodes) const {
+void LoopbackEnvironment::write_settings(std::size_t node, std::size_t nodes) const {
     const auto host = host_of_node(node);
     std::ofstream out(directory_ / (node_name(node) + ".toml"));
     out << "member = \"" << node_name(node) << "\"\nlocation = \"a\"\nlisten = \""
@@ -101,10 +101,10 @@
         << "list_lag_s = 2.0\n";
 }
 
-void LoopbackRegion::listen(const std::string& address, net::HttpServer::Handle handle) {
-    constexpr std::size_t kMostConnections = 400;
-    servers_.push_back(std::make_unique<net::HttpServer>(loop_, budget_, kMostBody,
-                                                         kMostConnections, std::move(handle)));
+void LoopbackEnvironment::listen(const std::string& address, net::HttpServer::Handle handle) {
+    constexpr std::size_t kMaxConnections = 400;
+    servers_.push_back(std::make_unique<net::HttpServer>(loop_, budget_, kMaxBody, kMaxConnections,
+                                                         std::move(handle)));
     std::string error;
     if (!servers_.back()->listen(address, error)) {
         throw std::runtime_error("cannot listen on " + error);
@@ -112,7 +112,7 @@
 }
 
 // State service and cloud have an address for each controller, so that it is known who asks.
-void LoopbackRegion::listen_for_controller(std::size_t node) {
+void LoopbackEnvironment::listen_for_controller(std::size_t node) {
     const auto handler = [this, node](const char* to) {
         return [this, node, to](const net::HttpRequest& request, net::Respond respond) {
             const auto held = delay_ ? delay_(node, request) : 0;
@@ -127,7 +127,7 @@
     listen(own_address(host_of_node(node), kCloudPort), handler("cloud:1"));
 }
 
-std::string LoopbackRegion::listen_for_machine(const std::string& machine) {
+std::string LoopbackEnvironment::listen_for_machine(const std::string& machine) {
     const auto number = machines_++;
     auto address =
         own_address(kFirstMachine + number % kMachineHosts, kMachinePort + number / kMachineHosts);
@@ -137,8 +137,8 @@
     return address;
 }
 
-void LoopbackRegion::forward(std::size_t node, const net::HttpRequest& request,
-                             net::Respond respond) {
+void LoopbackEnvironment::forward(std::size_t node, const net::HttpRequest& request,
+                                  net::Respond respond) {
     constexpr Millis kDeadline = 5000;
     client_.call(own_address(host_of_node(node), kUserPort), request, kDeadline,
                  [respond = std::move(respond)](const net::HttpReply& reply) {
@@ -146,21 +146,21 @@
                  });
 }
 
-void LoopbackRegion::stop(std::size_t node) {
+void LoopbackEnvironment::stop(std::size_t node) {
     auto& controller = controllers_[node];
     if (controller.pid <= 0 || controller.stopped) return;
     controller.stopped = true;
     ::kill(controller.pid, SIGSTOP);
 }
 
-void LoopbackRegion::resume(std::size_t node) {
+void LoopbackEnvironment::resume(std::size_t node) {
     auto& controller = controllers_[node];
     if (!controller.stopped) return;
     controller.stopped = false;
     ::kill(controller.pid, SIGCONT);
 }
 
-bool LoopbackRegion::terminate(std::size_t node, Millis at_most) {
+bool LoopbackEnvironment::terminate(std::size_t node, Millis at_most) {
     auto& controller = controllers_[node];
     ::kill(controller.pid, SIGTERM);
     int status = 0;
--- a/tests/simulation/loopback_region.h
+++ b/tests/simulation/loopback_environment.h
@@ -7,19 +7,19 @@
 #include "net/event_loop.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
 // The simulated state service, cloud, workers and users in real time, over loopback, with
 // controllers that are real processes. All rules are checked as in virtual time.
-class LoopbackRegion {
+class LoopbackEnvironment {
   public:
     // `features`: path of a features file.
-    LoopbackRegion(Options options, const std::string& features);
-    ~LoopbackRegion();
-    LoopbackRegion(const LoopbackRegion&) = delete;
-    LoopbackRegion& operator=(const LoopbackRegion&) = delete;
+    LoopbackEnvironment(Options options, const std::string& features);
+    ~LoopbackEnvironment();
+    LoopbackEnvironment(const LoopbackEnvironment&) = delete;
+    LoopbackEnvironment& operator=(const LoopbackEnvironment&) = delete;
 
     Simulation& simulation() { return *simulation_; }
     // Goes on until the condition holds; false if it does not within that time.
--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -1,6 +1,6 @@
 // Random days: what happens on them, and the jobs that the tests submit.
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
@@ -56,7 +56,7 @@
         case 10:
             if (auto* w = random_worker(); w != nullptr && w->hung_until + 3000 < now_) {
                 w->hung_until = now_ + span;
-                trouble_until(w->hung_until);
+                fault_until(w->hung_until);
             }
             break;
         case 11:
@@ -71,11 +71,11 @@
             }
             break;
         case 14:
-            if (auto* w = random_worker()) deafen(*w, span, hold);
+            if (auto* w = random_worker()) block_inbound(*w, span, hold);
             break;
         case 15:
             for (auto& [n, w] : workers_) {
-                if (w.up && !w.gone && chance(0.4)) deafen(w, span, hold);
+                if (w.up && !w.gone && chance(0.4)) block_inbound(w, span, hold);
             }
             break;
         case 16:
@@ -126,11 +126,11 @@
             late_writes(0.2 + static_cast<double>(dice(40)) / 100, span);
             break;
         case 24:
-            if (auto* w = random_worker()) mute(*w, span + 5000);
+            if (auto* w = random_worker()) block_outbound(*w, span + 5000);
             break;
         case 25:
             for (auto& [n, w] : workers_) {
-                if (w.up && !w.gone && chance(0.4)) mute(w, span);
+                if (w.up && !w.gone && chance(0.4)) block_outbound(w, span);
             }
             break;
         case 26:
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
@@ -19,13 +19,13 @@
 }  // namespace
 
 void Simulation::check_start(const Worker& worker, const Job& j, std::uint32_t task, Millis sent) {
-    if (j.cancelled_told >= 0 && sent > j.cancelled_told + options_.late_start_ms) {
+    if (j.cancel_confirmed_at >= 0 && sent > j.cancel_confirmed_at + options_.late_start_ms) {
         fail("started_cancelled", j.id + " by an order sent " +
-                                      std::to_string(sent - j.cancelled_told) +
+                                      std::to_string(sent - j.cancel_confirmed_at) +
                                       " ms after its cancellation was confirmed");
     }
-    if (j.cancelled_told >= 0 &&
-        now_ - j.cancelled_told > static_cast<Millis>(options_.cancel_s * 1000)) {
+    if (j.cancel_confirmed_at >= 0 &&
+        now_ - j.cancel_confirmed_at > static_cast<Millis>(options_.cancel_s * 1000)) {
         fail("ran_cancelled", j.id + " starts");
     }
     if (worker.spot && !j.spot) fail("wrong_place", j.id + " on a spot machine");
@@ -58,11 +58,12 @@
             used[j.team] += j.cpus;
             // A machine that hangs past its lease kills its tasks when it goes on, and only its
             // return takes them off before; nobody can return it while nobody surely leads.
-            const bool dead = w.hung_until > now_ &&
-                              now_ - w.answered_sent > static_cast<Millis>(options_.lease_s * 1000);
+            const bool dead =
+                w.hung_until > now_ &&
+                now_ - w.last_answered_sent_at > static_cast<Millis>(options_.lease_s * 1000);
             if (dead && now_ - unsettled_at_ < kSettled) continue;
-            if (j.cancelled_told >= 0 &&
-                now_ - j.cancelled_told > static_cast<Millis>(options_.cancel_s * 1000)) {
+            if (j.cancel_confirmed_at >= 0 &&
+                now_ - j.cancel_confirmed_at > static_cast<Millis>(options_.cancel_s * 1000)) {
                 fail("ran_cancelled", j.id + " is still on " + name);
             }
         }
@@ -77,7 +78,7 @@
     if (now_ % 1000 != 0) return;
     for (const auto& j : jobs_) {
         if (j.accepted < 0) continue;
-        const auto since = std::max({j.answered, j.accepted, troubles_over_});
+        const auto since = std::max({j.answered, j.accepted, faults_over_at_});
         if (now_ - since > kUnanswered) fail("forgotten", j.id + " gets no answer");
     }
 }
@@ -102,7 +103,8 @@
     }
     for (const auto& [name, w] : workers_) {
         const bool well = w.up && !w.gone && !w.sick && w.hung_until <= now_ &&
-                          w.deaf_until <= now_ && w.mute_until <= now_ && w.taken_at < 0;
+                          w.inbound_blocked_until <= now_ && w.outbound_blocked_until <= now_ &&
+                          w.taken_at < 0;
         if (!well || (w.spot && !j.spot) || (j.zone && *j.zone != w.zone)) continue;
         double cpus = kCpus;
         for (const auto& t : w.tasks) {
@@ -113,14 +115,14 @@
         }
         fit[w.zone] += static_cast<int>((cpus + 1e-9) / j.cpus);
     }
-    int most = 0;
+    int maximum = 0;
     int sum = 0;
     for (const auto& [zone, n] : fit) {
-        most = std::max(most, n);
+        maximum = std::max(maximum, n);
         const int half = (static_cast<int>(j.count) + 1) / 2;
         sum += j.apart ? std::min(n, std::max(0, half - there[zone])) : n;
     }
-    return (j.one_zone && gang ? most : sum) >= need;
+    return (j.one_zone && gang ? maximum : sum) >= need;
 }
 
 // Whether one replica has not been placed for too long; others may come and go meanwhile.
@@ -128,14 +130,14 @@
     for (std::uint32_t task = 0; task < j.count; ++task) {
         const auto seen = j.replica_seen.find(task);
         const auto since = seen == j.replica_seen.end() ? j.accepted : seen->second;
-        if (now_ - std::max(since, troubles_over_) > kLeftWaiting) return true;
+        if (now_ - std::max(since, faults_over_at_) > kLeftWaiting) return true;
     }
     return false;
 }
 
 // Once all troubles are over nothing waits for long beside room that fits it.
 void Simulation::check_waiting() {
-    if (now_ % 1000 != 0 || now_ < std::max(troubles_over_, options_.busy_ms)) return;
+    if (now_ % 1000 != 0 || now_ < std::max(faults_over_at_, options_.busy_ms)) return;
     std::map<std::string, double> used;
     std::map<std::string, std::set<std::uint32_t>> placed;  // tasks, by job
     for (const auto& [name, w] : workers_) {
@@ -151,7 +153,7 @@
         served.insert(j.done_tasks.begin(), j.done_tasks.end());
         const bool left = j.kind == "ensemble" ? served.empty() : served.size() < j.count;
         for (auto task : placed[j.id]) j.replica_seen[task] = now_;
-        const bool waits = j.accepted >= 0 && j.cancel_asked < 0 && !j.done_told &&
+        const bool waits = j.accepted >= 0 && j.cancel_requested_at < 0 && !j.done_reported &&
                            j.done_tasks.size() < j.count && left;
         if (!waits || !has_room(j, used)) {
             j.room_since = -1;
@@ -167,7 +169,7 @@
 // calls the service off.
 void Simulation::measure_services() {
     for (auto& j : jobs_) {
-        const bool due = j.is_service() && j.accepted >= 0 && j.cancel_asked < 0 &&
+        const bool due = j.is_service() && j.accepted >= 0 && j.cancel_requested_at < 0 &&
                          now_ >= j.accepted + kServedFrom;
         if (!due) continue;
         std::set<std::uint32_t> up;
@@ -189,7 +191,7 @@
     std::map<std::string, std::uint32_t> largest;
     for (const auto& j : jobs_) largest[j.cls] = std::max(largest[j.cls], j.count);
     for (const auto& j : jobs_) {
-        if (j.accepted < 0 || j.cancel_asked >= 0 || j.always_fails) continue;
+        if (j.accepted < 0 || j.cancel_requested_at >= 0 || j.always_fails) continue;
         std::vector<std::string> groups{"class " + j.cls, "team " + j.team};
         if (j.count == largest[j.cls]) groups.push_back("largest of " + j.cls);
         for (const auto& group : groups) {
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/simulation.cpp
@@ -1,5 +1,5 @@
 // The simulation itself: controllers, network, faults and time.
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 #include <spdlog/spdlog.h>
 
@@ -11,26 +11,26 @@
 
 class Simulation::NodePort : public net::Port {
   public:
-    NodePort(Simulation& world, std::size_t node) : world_(world), node_(node) {}
+    NodePort(Simulation& simulation, std::size_t node) : simulation_(simulation), node_(node) {}
     Millis now() override {
         // Steady clocks drift apart.
-        return world_.now_ + world_.now_ * static_cast<Millis>(node_) / 4000;
+        return simulation_.now_ + simulation_.now_ * static_cast<Millis>(node_) / 4000;
     }
     Millis read_clock() override { return now(); }
-    std::int64_t wall_ms() override { return 1'700'000'000'000 + world_.now_; }
-    std::uint64_t random() override { return world_.rng_(); }
+    std::int64_t wall_ms() override { return 1'700'000'000'000 + simulation_.now_; }
+    std::uint64_t random() override { return simulation_.rng_(); }
     void call(const std::string& address, net::HttpRequest request, Millis deadline,
               net::OnReply on_reply) override {
-        world_.trace("request", node_name(node_) + ">" + address,
-                     request.method + " " + request.target, request.body, deadline);
-        world_.trace("bound", node_name(node_), "", "", request.not_after);
-        world_.call(node_name(node_), address, std::move(request), deadline,
-                    guard(std::move(on_reply)));
+        simulation_.trace("request", node_name(node_) + ">" + address,
+                          request.method + " " + request.target, request.body, deadline);
+        simulation_.trace("bound", node_name(node_), "", "", request.not_after);
+        simulation_.call(node_name(node_), address, std::move(request), deadline,
+                         guard(std::move(on_reply)));
     }
     net::TimerId after(Millis delay, std::function<void()> fn) override {
         const auto id = ++next_;
         timers_.insert(id);
-        fire(world_.now_ + std::max<Millis>(delay, 0), [this, id, fn = std::move(fn)] {
+        fire(simulation_.now_ + std::max<Millis>(delay, 0), [this, id, fn = std::move(fn)] {
             if (timers_.erase(id) != 0) fn();
         });
         return id;
@@ -40,33 +40,35 @@
     [[nodiscard]] Millis frozen_until() const { return frozen_until_; }
     void cancel(net::TimerId id) override { timers_.erase(id); }
     void log_context(const std::string& text) override {
-        spdlog::set_pattern(std::to_string(world_.now_) + " " + text + " %v");
+        spdlog::set_pattern(std::to_string(simulation_.now_) + " " + text + " %v");
     }
     void plan(std::function<core::Snapshot()> take, std::function<void(core::Plan)> done) override {
         auto plan = core::make_plan(take());
         // The planner takes its time, and the picture moves on meanwhile.
-        after(static_cast<Millis>(world_.dice(40)),
+        after(static_cast<Millis>(simulation_.dice(40)),
               [plan = std::move(plan), done = std::move(done)] { done(plan); });
     }
 
   private:
     void fire(Millis when, std::function<void()> fn) {
-        world_.at(when, [this, fn = std::move(fn), alive = std::weak_ptr<bool>(alive_)]() mutable {
-            if (alive.expired()) return;
-            if (frozen_until_ > world_.now_) return fire(frozen_until_, std::move(fn));
-            fn();
-        });
+        simulation_.at(when,
+                       [this, fn = std::move(fn), alive = std::weak_ptr<bool>(alive_)]() mutable {
+                           if (alive.expired()) return;
+                           if (frozen_until_ > simulation_.now_)
+                               return fire(frozen_until_, std::move(fn));
+                           fn();
+                       });
     }
     net::OnReply guard(net::OnReply fn) {
         return [this, fn = std::move(fn), alive = std::weak_ptr<bool>(alive_)](net::HttpReply got) {
             if (alive.expired()) return;
-            world_.trace("reply", node_name(node_), got.sent ? "sent" : "unsent", got.body,
-                         got.status);
-            if (frozen_until_ <= world_.now_) return fn(std::move(got));
+            simulation_.trace("reply", node_name(node_), got.sent ? "sent" : "unsent", got.body,
+                              got.status);
+            if (frozen_until_ <= simulation_.now_) return fn(std::move(got));
             fire(frozen_until_, [fn, got = std::move(got)] { fn(got); });
         };
     }
-    Simulation& world_;
+    Simulation& simulation_;
     std::size_t node_;
     net::TimerId next_ = 0;
     std::set<net::TimerId> timers_;
@@ -125,7 +127,7 @@
     for (auto& j : jobs_) {
         if (j.accepted < 0 || j.always_fails) continue;
         if (j.is_service()) continue;
-        if (j.cancelled_told < 0 && !j.done_told) {
+        if (j.cancel_confirmed_at < 0 && !j.done_reported) {
             fail("unfinished", j.id + " has " + std::to_string(j.done_tasks.size()) + " of " +
                                    std::to_string(j.count) + " done");
         }
@@ -177,7 +179,7 @@
     s.gang_wait_s = kGangWait;
     s.state_rps = 150;
     s.state_write_rps = 60;
-    s.state_txn_ops = kOps;
+    s.state_transaction_operations = kOps;
     s.cloud_rps = 6;
     s.guards = options_.guards;
     s.guards.current_version &= nodes_[n].current;
@@ -194,7 +196,7 @@
     nodes_[n].controller.reset();
     nodes_[n].port.reset();
     std::erase_if(watches_, [&](const Watch& w) { return w.from == node_name(n); });
-    trouble_until(now_ + back_after);
+    fault_until(now_ + back_after);
     at(now_ + back_after, [this, n] { boot(n); });
 }
 
@@ -221,25 +223,25 @@
 void Simulation::cut(const std::string& a, const std::string& b, Millis for_ms, bool hold,
                      bool refuse) {
     cuts_.push_back({a, b, now_ + for_ms, hold, refuse});
-    trouble_until(now_ + for_ms);
+    fault_until(now_ + for_ms);
 }
 
 void Simulation::freeze(std::size_t node, Millis for_ms) {
     if (!nodes_[node].port) return;
     nodes_[node].port->freeze(now_ + for_ms);
     ++freezes_;
-    trouble_until(now_ + for_ms);
+    fault_until(now_ + for_ms);
 }
 
 void Simulation::refuse_node(std::size_t node, Millis for_ms) {
     refused_until_[node] = now_ + for_ms;
-    trouble_until(now_ + for_ms);
+    fault_until(now_ + for_ms);
 }
 
-void Simulation::deafen(Worker& worker, Millis for_ms, bool held) {
-    worker.deaf_until = now_ + for_ms;
-    worker.deaf_held = held;
-    trouble_until(now_ + for_ms);
+void Simulation::block_inbound(Worker& worker, Millis for_ms, bool held) {
+    worker.inbound_blocked_until = now_ + for_ms;
+    worker.inbound_held = held;
+    fault_until(now_ + for_ms);
 }
 
 void Simulation::cut_zone(const std::string& zone, const std::string& other, Millis for_ms,
@@ -410,9 +412,9 @@
     auto it = workers_.find(host);
     if (it == workers_.end() || it->second.gone || !it->second.up) return;
     Worker& worker = it->second;
-    if (worker.deaf_until > now_) {
-        if (!worker.deaf_held) return;
-        at(worker.deaf_until + 1,
+    if (worker.inbound_blocked_until > now_) {
+        if (!worker.inbound_held) return;
+        at(worker.inbound_blocked_until + 1,
            [this, from, to, request, sent, respond] { serve(from, to, request, sent, respond); });
         return;
     }
@@ -451,20 +453,20 @@
 }
 
 void Simulation::tick() {
-    for (auto& [id, grant] : grants_) {
+    for (auto& [id, lease] : leases_) {
         // Leases do not run out during an outage and have their full time again after it.
         if (now_ < outage_until_)
-            grant.second = std::max(grant.second, outage_until_ + grant.first);
+            lease.second = std::max(lease.second, outage_until_ + lease.first);
     }
     std::vector<std::uint64_t> ended;
-    for (auto& [id, grant] : grants_) {
-        if (now_ >= grant.second) ended.push_back(id);
+    for (auto& [id, lease] : leases_) {
+        if (now_ >= lease.second) ended.push_back(id);
     }
     for (auto id : ended) {
-        grants_.erase(id);
+        leases_.erase(id);
         std::vector<std::string> keys;
-        for (auto& [key, grant] : key_grant_) {
-            if (grant == id) keys.push_back(key);
+        for (auto& [key, lease] : key_lease_) {
+            if (lease == id) keys.push_back(key);
         }
         if (!keys.empty()) ++revision_;
         for (const auto& key : keys) apply(key, "", 0);
--- a/tests/simulation/world.h
+++ b/tests/simulation/simulation.h
@@ -47,9 +47,9 @@
     // What the user knows.
     bool submitted = false;
     Millis accepted = -1;
-    Millis cancel_asked = -1;
-    Millis cancelled_told = -1;
-    bool done_told = false;
+    Millis cancel_requested_at = -1;
+    Millis cancel_confirmed_at = -1;
+    bool done_reported = false;
     Millis give_up_submit = 0;
     Millis answered = -1;    // the last question about it that got an answer
     Millis room_since = -1;  // something of it waits, though there is room for it
@@ -76,7 +76,7 @@
     Millis run_since = 0;
     double done_before = 0;
     Millis save_until = 0;
-    Millis lonely_since = 0;
+    Millis gang_incomplete_since = 0;
 };
 
 struct Worker {
@@ -85,26 +85,27 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    Millis rented_at = 0;
+    Millis provisioned_at = 0;
     Millis up_at = 0;
     bool up = false;
     bool never = false;
     bool gone = false;
     bool sick = false;
     Millis hung_until = 0;
-    Millis mute_until = 0;   // it can open no connection to a controller
-    Millis deaf_until = 0;   // its reports arrive, but neither answers nor commands reach it
-    bool deaf_held = false;  // commands are held until then, or else lost
+    Millis outbound_blocked_until = 0;  // it can open no connection to a controller
+    Millis inbound_blocked_until =
+        0;                      // its reports arrive, but neither answers nor commands reach it
+    bool inbound_held = false;  // commands are held until then, or else lost
     Millis taken_at = -1;
     std::uint64_t session = 1;
     std::uint64_t seq = 0;
     std::uint64_t token = 0;
-    Millis answered_sent = 0;
+    Millis last_answered_sent_at = 0;
     bool in_flight = false;
     std::size_t node = 0;
-    Millis next_beat = 0;
+    Millis next_heartbeat = 0;
     bool changed = false;
-    Millis last_beat = 0;
+    Millis last_heartbeat = 0;
     std::vector<Task> tasks;
     std::vector<std::function<void()>> held;
 };
@@ -171,14 +172,14 @@
              bool refuse = false);
     void state_outage(Millis for_ms) {
         outage_until_ = now_ + for_ms;
-        trouble_until(outage_until_);
+        fault_until(outage_until_);
     }
     void refuse_node(std::size_t node, Millis for_ms);
     // The process stands still, its clocks run on, what is sent to it waits.
     void freeze(std::size_t node, Millis for_ms);
     void cloud_outage(Millis for_ms) {
         cloud_outage_until_ = now_ + for_ms;
-        trouble_until(cloud_outage_until_);
+        fault_until(cloud_outage_until_);
     }
     std::map<std::string, Worker>& workers() { return workers_; }
     void add_worker(const std::string& zone, bool spot);
@@ -191,7 +192,7 @@
     void lose_cloud_answers(double share, Millis for_ms) {
         lost_cloud_answers_ = share;
         lost_cloud_answers_until_ = now_ + for_ms;
-        trouble_until(lost_cloud_answers_until_);
+        fault_until(lost_cloud_answers_until_);
     }
     // What came of requests to release machines, for the tests of duties.
     struct Releases {
@@ -208,16 +209,16 @@
     void throw_at(std::size_t node, net::HttpRequest request);
     [[nodiscard]] std::size_t thrown_answered() const { return thrown_answered_; }
     net::HttpReply ask(std::size_t node, net::HttpRequest request, Millis wait_ms = 5000);
-    void deafen(Worker& worker, Millis for_ms, bool held);
-    void mute(Worker& worker, Millis for_ms) {
-        worker.mute_until = now_ + for_ms;
-        trouble_until(worker.mute_until);
+    void block_inbound(Worker& worker, Millis for_ms, bool held);
+    void block_outbound(Worker& worker, Millis for_ms) {
+        worker.outbound_blocked_until = now_ + for_ms;
+        fault_until(worker.outbound_blocked_until);
     }
     // That share of the transactions gets no answer and is carried out 2 to 12 s later.
     void late_writes(double share, Millis for_ms) {
         late_writes_ = share;
         late_writes_until_ = now_ + for_ms;
-        trouble_until(late_writes_until_ + 12'000);
+        fault_until(late_writes_until_ + 12'000);
     }
     // A controller that keeps its workers and loses everything else.
     void isolate(std::size_t node, Millis for_ms, bool hold, bool refuse = false);
@@ -230,7 +231,7 @@
         return nodes_[node].controller != nullptr;
     }
     std::map<std::string, std::pair<std::string, std::uint64_t>>& store() { return store_; }
-    [[nodiscard]] std::size_t highest_writes() const { return most_writes_; }
+    [[nodiscard]] std::size_t highest_writes() const { return max_writes_; }
     [[nodiscard]] std::size_t writes() const { return writes_; }
     [[nodiscard]] std::size_t direct_calls() const { return direct_calls_; }
     // Keeps a zone from another, or from everything with an empty name.
@@ -239,7 +240,7 @@
     void slow_state(Millis by, Millis for_ms) {
         slow_by_ = by;
         slow_until_ = now_ + for_ms;
-        trouble_until(slow_until_);
+        fault_until(slow_until_);
     }
     // The state service forgets older changes, as after ten thousand newer ones.
     void forget_changes() { forgotten_ = revision_; }
@@ -247,16 +248,16 @@
     void slow_links(Millis by, Millis for_ms) {
         links_by_ = by;
         links_until_ = now_ + for_ms;
-        trouble_until(links_until_);
+        fault_until(links_until_);
     }
     void set_boot(Millis ms) { boot_ms_ = ms; }
     // That share of the machines rented from now on never comes up.
     void set_never(double share) { never_ = share; }
     // Requests to the state service so far.
     [[nodiscard]] std::size_t state_requests() const { return state_requests_; }
-    void set_capacity(int most) { capacity_ = most; }
+    void set_capacity(int maximum) { capacity_ = maximum; }
     // As in the protocol, what the cloud has is counted zone by zone.
-    void set_zone_capacity(int most) { zone_capacity_ = most; }
+    void set_zone_capacity(int maximum) { zone_capacity_ = maximum; }
     // By a node of the load balancer's choice, or by the one named first.
     void cancel(Job& job, std::optional<std::size_t> node = std::nullopt);
     // Users call off that many jobs that run, within a fifth of a second; some machines hang.
@@ -292,7 +293,7 @@
     struct Change {
         std::string key;
         std::string value;
-        std::uint64_t rev = 0;
+        std::uint64_t revision = 0;
     };
     using Deliver = std::function<void(net::Respond)>;
 
@@ -314,7 +315,7 @@
 
     void serve_state(const std::string& from, const net::HttpRequest& request,
                      net::Respond respond);
-    void apply(const std::string& key, const std::string& value, std::uint64_t grant);
+    void apply(const std::string& key, const std::string& value, std::uint64_t lease);
     void wake_watches();
     void answer_watch(const Watch& watch);
     void serve_cloud(const net::HttpRequest& request, const net::Respond& respond);
@@ -327,7 +328,7 @@
 
     void tick();
     void worker_tick(Worker& worker);
-    void beat(Worker& worker);
+    void heartbeat(Worker& worker);
     void commands(Worker& worker, const std::string& body, Millis sent);
     std::string report(Worker& worker);
     void start_task(Worker& worker, const std::string& name, std::uint64_t attempt, Millis sent);
@@ -343,7 +344,7 @@
     [[nodiscard]] bool has_room(const Job& job, const std::map<std::string, double>& used) const;
     void check_answers();
     void check_served();
-    void trouble_until(Millis until) { troubles_over_ = std::max(troubles_over_, until); }
+    void fault_until(Millis until) { faults_over_at_ = std::max(faults_over_at_, until); }
     void fault();
     void user_tick(Job& job);
     void poll(Job& job);
@@ -374,7 +375,7 @@
     };
     std::priority_queue<Event> events_;
     std::string broken_;
-    Millis troubles_over_ = 0;
+    Millis faults_over_at_ = 0;
     std::vector<Node> nodes_;
     std::vector<Cut> cuts_;
     std::vector<Millis> refused_until_;
@@ -386,13 +387,13 @@
     // State service.
     std::uint64_t revision_ = 0;
     std::map<std::string, std::pair<std::string, std::uint64_t>> store_;
-    std::map<std::string, std::uint64_t> key_grant_;
-    std::map<std::uint64_t, std::pair<Millis, Millis>> grants_;  // ttl, ends
-    std::uint64_t next_grant_ = 0;
+    std::map<std::string, std::uint64_t> key_lease_;
+    std::map<std::uint64_t, std::pair<Millis, Millis>> leases_;  // ttl, ends
+    std::uint64_t next_lease_ = 0;
     std::vector<Change> changes_;
     std::vector<Watch> watches_;
     std::map<Millis, std::size_t> writes_in_second_;
-    std::size_t most_writes_ = 0;
+    std::size_t max_writes_ = 0;
     std::size_t writes_ = 0;
     std::size_t direct_calls_ = 0;
     bool keep_direct_ = false;
@@ -415,7 +416,7 @@
     double lost_cloud_answers_ = 0;
     Millis lost_cloud_answers_until_ = 0;
     // Cloud and workers.
-    std::map<std::string, std::vector<std::string>> rentals_;
+    std::map<std::string, std::vector<std::string>> provisions_;
     std::map<std::string, Worker> workers_;
     std::vector<std::pair<Millis, std::string>> listings_;
     std::uint64_t next_worker_ = 0;
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -2,17 +2,17 @@
 #include <algorithm>
 
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
 namespace {
 
-constexpr int kMostRejected = 6;  // tries with one key until its writer has learned of the limits
+constexpr int kMaxRejected = 6;  // tries with one key until its writer has learned of the limits
 
 }  // namespace
 
-void Simulation::apply(const std::string& key, const std::string& value, std::uint64_t grant) {
+void Simulation::apply(const std::string& key, const std::string& value, std::uint64_t lease) {
     if (key.starts_with("place/") && !value.empty()) {
         const auto lead = [](const std::string& text) {
             return parsed(text)["t"].GetUint64() / core::kTokensOfALead;
@@ -28,13 +28,13 @@
     trace("store", key, "", value, static_cast<std::int64_t>(revision_));
     if (value.empty()) {
         store_.erase(key);
-        key_grant_.erase(key);
+        key_lease_.erase(key);
     } else {
         store_[key] = {value, revision_};
-        if (grant != 0) {
-            key_grant_[key] = grant;
+        if (lease != 0) {
+            key_lease_[key] = lease;
         } else {
-            key_grant_.erase(key);
+            key_lease_.erase(key);
         }
     }
     changes_.push_back({key, value, revision_});
@@ -49,7 +49,7 @@
     w.Key("news");
     w.StartArray();
     for (const auto& change : changes_) {
-        if (change.rev <= watch.since || !change.key.starts_with(watch.prefix)) continue;
+        if (change.revision <= watch.since || !change.key.starts_with(watch.prefix)) continue;
         w.StartObject();
         w.Key(change.value.empty() ? "remove" : "set");
         w.String(change.key.c_str());
@@ -58,7 +58,7 @@
             w.RawValue(change.value.c_str(), change.value.size(), rapidjson::kObjectType);
         }
         w.Key("timbro");
-        w.Uint64(change.rev);
+        w.Uint64(change.revision);
         w.EndObject();
     }
     w.EndArray();
@@ -75,7 +75,7 @@
             return false;
         }
         const bool news = std::any_of(changes_.rbegin(), changes_.rend(), [&](const Change& c) {
-            return c.rev > watch.since && c.key.starts_with(watch.prefix);
+            return c.revision > watch.since && c.key.starts_with(watch.prefix);
         });
         if (!news && watch.until > now_) return false;
         due.push_back(watch);
@@ -89,18 +89,20 @@
 bool Simulation::within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond) {
     const auto reject = [&](const std::string& key) {
         ++rejections_;
-        if (++rejected_keys_[key] > kMostRejected) fail("rejected_again", key);
+        if (++rejected_keys_[key] > kMaxRejected) fail("rejected_again", key);
         respond({400, "{}"});
         return false;
     };
     const auto key_of = [](const rapidjson::Value& change) {
         return std::string(change[change.HasMember("set") ? "set" : "remove"].GetString());
     };
-    if (then.Size() > options_.next.txn_ops.value_or(kOps)) return reject(key_of(then[0]));
-    const auto most = options_.next.value_kb.value_or(8) * 1024;
+    if (then.Size() > options_.next.transaction_operations.value_or(kOps))
+        return reject(key_of(then[0]));
+    const auto maximum = options_.next.value_kb.value_or(8) * 1024;
     for (const auto& change : then.GetArray()) {
         if (!change.HasMember("value")) continue;
-        if (static_cast<double>(json(change["value"]).size()) > most) return reject(key_of(change));
+        if (static_cast<double>(json(change["value"]).size()) > maximum)
+            return reject(key_of(change));
     }
     if (!options_.next.write_rps) return true;
     const double rate = *options_.next.write_rps;
@@ -165,13 +167,13 @@
     }
     if (target == "/grants") {
         const auto ttl = static_cast<Millis>(doc["ttlMs"].GetUint64());
-        grants_[++next_grant_] = {ttl, now_ + ttl};
-        return respond({200, R"({"concessione":)" + std::to_string(next_grant_) + "}"});
+        leases_[++next_lease_] = {ttl, now_ + ttl};
+        return respond({200, R"({"concessione":)" + std::to_string(next_lease_) + "}"});
     }
     if (target.starts_with("/grants/")) {
         const auto id = std::stoull(target.substr(8));
-        auto it = grants_.find(id);
-        if (it == grants_.end()) return respond({404, "{}"});
+        auto it = leases_.find(id);
+        if (it == leases_.end()) return respond({404, "{}"});
         if (request.method == "DELETE") {
             it->second.second = now_;
         } else {
@@ -189,19 +191,19 @@
         }
         if (limits_hold_ && !within_limits_to_come(then, respond)) return;
         writes_ += then.Size();
-        most_writes_ = std::max(most_writes_, writes_in_second_[now_ / 1000] += then.Size());
+        max_writes_ = std::max(max_writes_, writes_in_second_[now_ / 1000] += then.Size());
         std::string failed;
         for (const auto& c : when.GetArray()) {
             const std::string key = c["path"].GetString();
             auto it = store_.find(key);
-            const auto rev = it == store_.end() ? 0 : it->second.second;
-            if (rev != c["timbro"].GetUint64()) {
+            const auto revision = it == store_.end() ? 0 : it->second.second;
+            if (revision != c["timbro"].GetUint64()) {
                 failed += (failed.empty() ? "\"" : ",\"") + key + "\"";
             }
         }
         const auto registro = [&] { return R"("registro":)" + std::to_string(revision_) + "}"; };
         for (const auto& c : then.GetArray()) {
-            if (c.HasMember("concessione") && !grants_.contains(c["concessione"].GetUint64())) {
+            if (c.HasMember("concessione") && !leases_.contains(c["concessione"].GetUint64())) {
                 return respond({400, R"({"error":"no such lease"})"});
             }
             if (c.HasMember("value") && json(c["value"]).size() > 8192) {
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,6 +1,6 @@
 // The users of the simulation: submissions, questions and cancellations.
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
@@ -54,7 +54,7 @@
              if (reply.status == 201 || reply.status == 200) {
                  if (me.accepted < 0) me.accepted = now_;
                  const std::string state = parsed(reply.body)["stato"].GetString();
-                 if (me.cancelled_told >= 0 && state != "aborted") fail("went_back", id);
+                 if (me.cancel_confirmed_at >= 0 && state != "aborted") fail("went_back", id);
                  return;
              }
              if (reply.status == 400 || reply.status == 422) {
@@ -69,7 +69,7 @@
 
 void Simulation::cancel(Job& j, std::optional<std::size_t> node) {
     const auto id = j.id;
-    if (j.cancel_asked < 0) j.cancel_asked = now_;
+    if (j.cancel_requested_at < 0) j.cancel_requested_at = now_;
     const auto at_node = node ? *node : static_cast<std::size_t>(dice(nodes_.size()));
     call("user", node_name(at_node) + ":1", {"POST", "/v2/runs/" + id + "/cancel", ""}, 5000,
          [this, id](const net::HttpReply& reply) {
@@ -77,11 +77,12 @@
              if (reply.status == 200) {
                  const std::string state = parsed(reply.body)["stato"].GetString();
                  if (state == "aborted") {
-                     if (me.done_told) fail("went_back", id + " cancelled after done");
-                     if (me.cancelled_told < 0) me.cancelled_told = now_;
+                     if (me.done_reported) fail("went_back", id + " cancelled after done");
+                     if (me.cancel_confirmed_at < 0) me.cancel_confirmed_at = now_;
                  } else if (state == "done") {
-                     if (me.cancelled_told >= 0) fail("went_back", id + " done after cancelled");
-                     me.done_told = true;
+                     if (me.cancel_confirmed_at >= 0)
+                         fail("went_back", id + " done after cancelled");
+                     me.done_reported = true;
                  } else {
                      fail("went_back", id + " answers a cancel with " + state);
                  }
@@ -96,7 +97,7 @@
     std::size_t hung = 0;
     for (auto& j : jobs_) {
         if (count == 0) break;
-        if (j.accepted < 0 || j.cancel_asked >= 0 || j.done_told) continue;
+        if (j.accepted < 0 || j.cancel_requested_at >= 0 || j.done_reported) continue;
         bool runs = false;
         for (auto& [name, w] : workers_) {
             for (const auto& t : w.tasks) {
@@ -105,7 +106,7 @@
                 // Two in a row would hang for longer than any bound.
                 if (hang_ms > 0 && w.hung_until + 3000 < now_ && ++hung <= 8) {
                     w.hung_until = now_ + hang_ms;
-                    trouble_until(w.hung_until);
+                    fault_until(w.hung_until);
                 }
             }
         }
@@ -154,22 +155,22 @@
         case 3:
             return expect(node, {"POST", "/v2/runs/" + unknown + "/cancel", ""}, 404, "");
         case 4:
-            if (known == nullptr || !known->done_told) return;
+            if (known == nullptr || !known->done_reported) return;
             return expect(node, {"POST", "/v2/runs/" + known->id + "/cancel", ""}, 200, "done");
         default:
             if (known == nullptr || known->accepted < 0) return;
             return expect(node, {"POST", "/v2/runs", description(*known)}, 200,
-                          known->cancelled_told >= 0 ? "aborted"
-                          : known->done_told         ? "done"
-                                                     : "");
+                          known->cancel_confirmed_at >= 0 ? "aborted"
+                          : known->done_reported          ? "done"
+                                                          : "");
     }
 }
 
 void Simulation::poll(Job& j) {
     const auto id = j.id;
     const bool accepted = j.accepted >= 0;
-    const bool cancelled = j.cancelled_told >= 0;
-    const bool done = j.done_told;
+    const bool cancelled = j.cancel_confirmed_at >= 0;
+    const bool done = j.done_reported;
     call("user", node_name(dice(nodes_.size())) + ":1", {"GET", "/v2/runs/" + id, ""}, 2000,
          [this, id, accepted, cancelled, done](const net::HttpReply& reply) {
              Job& me = *job(id);
@@ -184,11 +185,11 @@
              if (state == "done") {
                  if (me.is_service() || me.done_tasks.size() < me.count) fail("not_done", id);
                  if (cancelled) fail("went_back", id + " done after cancelled");
-                 me.done_told = true;
+                 me.done_reported = true;
              } else if (state == "aborted") {
-                 if (me.cancel_asked < 0) fail("went_back", id + " cancelled by nobody");
+                 if (me.cancel_requested_at < 0) fail("went_back", id + " cancelled by nobody");
                  if (done) fail("went_back", id + " cancelled after done");
-                 if (me.cancelled_told < 0) me.cancelled_told = now_;
+                 if (me.cancel_confirmed_at < 0) me.cancel_confirmed_at = now_;
              } else if (cancelled || done) {
                  fail("went_back", id + " is " + state + " again");
              }
@@ -200,7 +201,7 @@
         j.give_up_submit = now_ + 60000;
         submit(j);
     }
-    if (j.cancel_at >= 0 && j.cancel_asked < 0 && now_ >= j.cancel_at && j.accepted >= 0) {
+    if (j.cancel_at >= 0 && j.cancel_requested_at < 0 && now_ >= j.cancel_at && j.accepted >= 0) {
         cancel(j);
     }
     const auto phase = static_cast<Millis>(std::hash<std::string>{}(j.id) % 20) * 100;
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 
 #include "simulation/messages.h"
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
@@ -132,7 +132,7 @@
     Job& j = *job(task.job);
     if (j.is_service()) return;
     j.done_tasks.insert(task.task);
-    if (j.cancel_at_end && j.done_tasks.size() == j.count && j.cancel_asked < 0) cancel(j);
+    if (j.cancel_at_end && j.done_tasks.size() == j.count && j.cancel_requested_at < 0) cancel(j);
 }
 
 void Simulation::halt_task(Worker& worker, const std::string& name, std::uint64_t attempt,
@@ -167,11 +167,11 @@
     respond({200, report(worker)});
 }
 
-void Simulation::beat(Worker& worker) {
+void Simulation::heartbeat(Worker& worker) {
     worker.in_flight = true;
     worker.changed = false;
-    worker.last_beat = now_;
-    worker.next_beat =
+    worker.last_heartbeat = now_;
+    worker.next_heartbeat =
         now_ + static_cast<Millis>(options_.report_s * 1000 *
                                    (0.75 + 0.5 * static_cast<double>(dice(1000)) / 1000));
     const auto name = worker.name;
@@ -182,18 +182,18 @@
         const auto late =
             1000 + static_cast<Millis>(dice(static_cast<std::uint64_t>(
                        chance(0.5) ? options_.lease_s * 1000 : options_.lease_s * 6000)));
-        trouble_until(now_ + late);
+        fault_until(now_ + late);
         at(now_ + late, [this, name, body] {
             call(name, node_name(dice(nodes_.size())) + ":1", {"POST", "/agent/beat", body}, 4000,
                  [](const net::HttpReply&) {});
         });
     }
-    if (worker.mute_until > now_) {
+    if (worker.outbound_blocked_until > now_) {
         at(now_ + 500, [this, name] {
             Worker& w = workers_.at(name);
             w.in_flight = false;
             w.node = (w.node + 1) % nodes_.size();
-            w.next_beat = now_ + 1000;
+            w.next_heartbeat = now_ + 1000;
         });
         return;
     }
@@ -202,7 +202,7 @@
              Worker& w = workers_.at(name);
              if (w.gone) return;
              auto reply = got;
-             if (w.deaf_until > now_) reply = {0, "", true};
+             if (w.inbound_blocked_until > now_) reply = {0, "", true};
              const auto act = [this, name, sent, session, reply, answered = reply_sent_] {
                  Worker& me = workers_.at(name);
                  me.in_flight = false;
@@ -210,11 +210,11 @@
                  if (reply.status != 200) {
                      const auto doc = parsed(reply.body);
                      me.node = (me.node + 1) % nodes_.size();
-                     me.next_beat = now_ + 1000;
+                     me.next_heartbeat = now_ + 1000;
                      if (reply.status == 421 && doc.HasMember("riferireA")) {
                          const std::string to = doc["riferireA"].GetString();
                          me.node = static_cast<std::size_t>(to.at(1) - '0');
-                         me.next_beat = now_ + static_cast<Millis>(dice(500));
+                         me.next_heartbeat = now_ + static_cast<Millis>(dice(500));
                      }
                      return;
                  }
@@ -223,7 +223,7 @@
                  if (!doc.HasMember("delega") || doc["delega"].GetUint64() < me.token) return;
                  if (doc["delega"].GetUint64() > me.token) me.changed = true;
                  me.token = doc["delega"].GetUint64();
-                 me.answered_sent = std::max(me.answered_sent, sent);
+                 me.last_answered_sent_at = std::max(me.last_answered_sent_at, sent);
                  commands(me, reply.body, answered);
              };
              if (w.hung_until > now_) {
@@ -240,16 +240,16 @@
     if (!worker.up) {
         if (worker.never || now_ < worker.up_at) return;
         worker.up = true;
-        worker.answered_sent = now_;
+        worker.last_answered_sent_at = now_;
     }
     if (worker.hung_until > now_) return;
-    if (now_ - worker.answered_sent > static_cast<Millis>(options_.lease_s * 1000)) {
+    if (now_ - worker.last_answered_sent_at > static_cast<Millis>(options_.lease_s * 1000)) {
         for (auto& t : worker.tasks) {
             if (t.state == "running" || t.state == "saving") save_progress(t, false);
         }
         worker.tasks.clear();
         ++worker.session;
-        worker.answered_sent = now_;
+        worker.last_answered_sent_at = now_;
         worker.changed = true;
         worker.in_flight = false;
     }
@@ -265,14 +265,14 @@
                 continue;
             }
             t.state = gang ? "gathering" : "running";
-            t.lonely_since = now_;
+            t.gang_incomplete_since = now_;
             t.done_before = j.progress[gang ? 0 : t.task];
             if (!gang) t.run_since = now_;
             if (!gang && j.begun < 0) j.begun = now_;
             worker.changed = true;
         }
         if (t.state == "gathering") {
-            if (now_ - t.lonely_since > static_cast<Millis>(kGangWait * 1000)) {
+            if (now_ - t.gang_incomplete_since > static_cast<Millis>(kGangWait * 1000)) {
                 exit_task(worker, t, "alone", false);
                 continue;
             }
@@ -288,7 +288,7 @@
                         if (o.job == t.job && o.attempt == t.attempt && o.state == "gathering") {
                             o.state = "running";
                             o.run_since = now_;
-                            o.lonely_since = now_;
+                            o.gang_incomplete_since = now_;
                             other.changed = true;
                             if (j.begun < 0) j.begun = now_;
                         }
@@ -311,8 +311,8 @@
             }
             whole = running == j.count;
             if (there == j.count) {
-                t.lonely_since = now_;
-            } else if (now_ - t.lonely_since > static_cast<Millis>(kPeer * 1000)) {
+                t.gang_incomplete_since = now_;
+            } else if (now_ - t.gang_incomplete_since > static_cast<Millis>(kPeer * 1000)) {
                 exit_task(worker, t, "peers", false);
                 continue;
             }
@@ -342,8 +342,9 @@
             }
         }
     }
-    const bool due = now_ >= worker.next_beat || (worker.changed && now_ - worker.last_beat >= 500);
-    if (!worker.in_flight && due) beat(worker);
+    const bool due =
+        now_ >= worker.next_heartbeat || (worker.changed && now_ - worker.last_heartbeat >= 500);
+    if (!worker.in_flight && due) heartbeat(worker);
 }
 
 }  // namespace lichendrift::simulation
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -18,9 +18,10 @@
     std::uint64_t random() override { return 4; }
     void call(const std::string&, net::HttpRequest request, core::Millis,
               net::OnReply on_reply) override {
-        const bool txn = request.target == "/txn";
-        after(5, [on_reply = std::move(on_reply), txn] {
-            on_reply({200, txn ? R"({"registro":7})" : R"({"path":"k","value":{},"timbro":1})"});
+        const bool transact = request.target == "/txn";
+        after(5, [on_reply = std::move(on_reply), transact] {
+            on_reply(
+                {200, transact ? R"({"registro":7})" : R"({"path":"k","value":{},"timbro":1})"});
         });
     }
     net::TimerId after(core::Millis delay, std::function<void()> fn) override {
@@ -97,26 +98,26 @@
     client.set_share({0.5, 0.5});
     std::size_t written = 0;
     std::function<void()> write = [&] {
-        client.txn(Lane::Place, {}, std::vector<wire::Change>(8, {"k", "{}", 0}),
-                   [&](const TxnResult& result) {
-                       written += result.outcome == Outcome::Ok ? 8 : 0;
-                       write();
-                   });
+        client.transact(RequestPriority::Place, {}, std::vector<wire::Change>(8, {"k", "{}", 0}),
+                        [&](const TransactionResult& result) {
+                            written += result.outcome == Outcome::Ok ? 8 : 0;
+                            write();
+                        });
     };
     for (int i = 0; i < 5; ++i) write();
-    int asked = 0;
+    int requested = 0;
     int answered = 0;
     for (core::Millis t = 1200; t < 21'200; t += 200) {
         port.advance(t);
-        asked += 2;
+        requested += 2;
         const auto got = [&](Outcome outcome, const wire::Item&) {
             answered += outcome == Outcome::Ok ? 1 : 0;
         };
-        client.get(Lane::Read, "k", got);
-        client.get(Lane::Place, "k", got);
+        client.get(RequestPriority::Read, "k", got);
+        client.get(RequestPriority::Place, "k", got);
     }
     port.advance(23'000);
-    EXPECT_EQ(answered, asked);
+    EXPECT_EQ(answered, requested);
     // And the pace is kept: ten changes a second and a transaction to begin with.
     EXPECT_GT(written, 150U);
     EXPECT_LE(written, 20U * 22 / 2 + 16);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <numeric>
 
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -18,7 +18,7 @@
 control::NextStateLimits smallest_limits() { return {std::nullopt, 8.0, 1.0, 2}; }
 
 // Arrays and gangs whose records exceed the limits to come, of one and of two records.
-void add_large_jobs(Simulation& world, std::mt19937_64& rng, Millis busy_ms) {
+void add_large_jobs(Simulation& simulation, std::mt19937_64& rng, Millis busy_ms) {
     for (std::size_t n = 0; n < 8; ++n) {
         auto job = plain(numbered(500'000 + n), 0, 3 + static_cast<double>(rng() % 10),
                          static_cast<Millis>(rng() % static_cast<std::uint64_t>(busy_ms)));
@@ -27,18 +27,18 @@
         job.count =
             static_cast<std::uint32_t>(job.kind == "ensemble" ? 20 + rng() % 12 : 30 + rng() % 90);
         if (rng() % 4 == 0) job.cancel_at = job.submit_at + static_cast<Millis>(rng() % 30'000);
-        world.jobs().push_back(job);
+        simulation.jobs().push_back(job);
     }
 }
 
-void add_services(Simulation& world, std::mt19937_64& rng, Millis from, Millis until) {
+void add_services(Simulation& simulation, std::mt19937_64& rng, Millis from, Millis until) {
     for (std::size_t n = 0; n < 4; ++n) {
         const auto at =
             from + static_cast<Millis>(rng() % static_cast<std::uint64_t>(until - from));
         auto job = service(numbered(600'000 + n), static_cast<std::uint32_t>(2 + rng() % 4), at);
         if (n % 2 == 0) job.cancel_at = at + 20'000 + static_cast<Millis>(rng() % 60'000);
         if (n == 3) job.replica_s = 6;
-        world.jobs().push_back(job);
+        simulation.jobs().push_back(job);
     }
 }
 
@@ -55,15 +55,15 @@
 }
 
 // Every controller has its turn, in any order, with pauses of any length.
-void roll(Simulation& world, std::mt19937_64& rng, std::size_t nodes, bool back = false) {
+void roll(Simulation& simulation, std::mt19937_64& rng, std::size_t nodes, bool back = false) {
     std::vector<std::size_t> order(nodes);
     std::iota(order.begin(), order.end(), 0);
     std::shuffle(order.begin(), order.end(), rng);
     for (auto node : order) {
         const auto when = kRollBegins + static_cast<Millis>(rng() % (kRollEnds - kRollBegins));
         const auto away = static_cast<Millis>(100 + rng() % 4000);
-        world.at(when, [&world, node, away, back] {
-            back ? world.downgrade(node, away) : world.upgrade(node, away);
+        simulation.at(when, [&simulation, node, away, back] {
+            back ? simulation.downgrade(node, away) : simulation.upgrade(node, away);
         });
     }
 }
@@ -73,16 +73,16 @@
 TEST_P(UpgradeDay, KeepsTheRules) {
     for (std::uint64_t i = 0; i < 12; ++i) {
         const auto seed = static_cast<std::uint64_t>(GetParam()) * 100 + i;
-        Simulation world(upgrade_day(seed));
+        Simulation simulation(upgrade_day(seed));
         std::mt19937_64 rng(seed);
-        add_large_jobs(world, rng, 100'000);
-        add_services(world, rng, kRollEnds + 10'000, 100'000);
-        roll(world, rng, seed % 2 == 0 ? 3 : 5);
+        add_large_jobs(simulation, rng, 100'000);
+        add_services(simulation, rng, kRollEnds + 10'000, 100'000);
+        roll(simulation, rng, seed % 2 == 0 ? 3 : 5);
         const auto limits_at = kRollEnds + 6000 + static_cast<Millis>(rng() % 40'000);
-        world.at(limits_at, [&world] { world.limit_state(); });
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
+        simulation.at(limits_at, [&simulation] { simulation.limit_state(); });
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
         // Each kind of write learns of the limits by a few requests at most.
-        EXPECT_LE(world.rejections(), 40U) << "seed " << seed;
+        EXPECT_LE(simulation.rejections(), 40U) << "seed " << seed;
     }
 }
 INSTANTIATE_TEST_SUITE_P(Days, UpgradeDay, ::testing::Range(1, 9));
@@ -94,19 +94,20 @@
     for (std::uint64_t i = 0; i < 10; ++i) {
         const auto seed = 5000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
         const auto options = upgrade_day(seed);
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
-        add_large_jobs(world, rng, 100'000);
+        add_large_jobs(simulation, rng, 100'000);
         for (std::size_t n = 0; n < options.nodes / 2 + i % 2; ++n) {
-            world.at(9000 + 4000 * static_cast<Millis>(n), [&world, n] { world.upgrade(n, 1500); });
+            simulation.at(9000 + 4000 * static_cast<Millis>(n),
+                          [&simulation, n] { simulation.upgrade(n, 1500); });
         }
         // The lead changes hands again and again.
         for (Millis t = 15'000; t < 105'000; t += 9000) {
-            world.at(t, [&world] {
-                if (const auto leader = world.leader()) world.crash(*leader, 1200);
+            simulation.at(t, [&simulation] {
+                if (const auto leader = simulation.leader()) simulation.crash(*leader, 1200);
             });
         }
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
     }
 }
 INSTANTIATE_TEST_SUITE_P(Days, PartWay, ::testing::Range(1, 5));
@@ -116,24 +117,24 @@
     for (std::uint64_t seed = 7000; seed < 7016; ++seed) {
         auto options = upgrade_day(seed);
         options.old_version = false;
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
-        add_large_jobs(world, rng, 100'000);
-        roll(world, rng, options.nodes, true);
+        add_large_jobs(simulation, rng, 100'000);
+        roll(simulation, rng, options.nodes, true);
         for (std::size_t n = 0; n < options.nodes; ++n) {
-            world.at(70'000 + 3000 * static_cast<Millis>(n),
-                     [&world, n] { world.upgrade(n, 1000); });
+            simulation.at(70'000 + 3000 * static_cast<Millis>(n),
+                          [&simulation, n] { simulation.upgrade(n, 1000); });
         }
         bool finer = false;
         for (Millis t = 1000; t < 100'000; t += 1000) {
-            world.at(t, [&world, &finer] {
-                for (const auto& [key, value] : world.store()) {
+            simulation.at(t, [&simulation, &finer] {
+                for (const auto& [key, value] : simulation.store()) {
                     finer |= key.starts_with("place/") &&
                              std::stoul(key.substr(key.rfind('/') + 1)) >= 1'000'000;
                 }
             });
         }
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
         EXPECT_TRUE(finer || seed != 7000);
     }
 }
@@ -145,16 +146,16 @@
         auto options = upgrade_day(seed);
         options.guards.stable_layout = false;
         options.next = {std::nullopt, std::nullopt, 1.0, std::nullopt};
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
-        add_large_jobs(world, rng, 60'000);
-        roll(world, rng, options.nodes);
+        add_large_jobs(simulation, rng, 60'000);
+        roll(simulation, rng, options.nodes);
         for (Millis t = 12'000; t < 70'000; t += 6000) {
-            world.at(t, [&world] {
-                if (const auto leader = world.leader()) world.crash(*leader, 1000);
+            simulation.at(t, [&simulation] {
+                if (const auto leader = simulation.leader()) simulation.crash(*leader, 1000);
             });
         }
-        const auto broken = world.run();
+        const auto broken = simulation.run();
         if (!broken.empty() && !broken.starts_with("unfinished")) {
             SUCCEED() << broken;
             return;
@@ -177,18 +178,18 @@
         options.old_version = false;
         options.faults = false;
         options.next = seed % 2 == 0 ? smallest_limits() : small_limits();
-        Simulation world(options);
+        Simulation simulation(options);
         std::mt19937_64 rng(seed);
-        add_large_jobs(world, rng, 60'000);
-        add_services(world, rng, 1000, 60'000);
-        GetParam().bring(world);
-        EXPECT_EQ(world.run(), "") << "seed " << seed;
-        EXPECT_LE(world.rejections(), 20U) << "seed " << seed;
+        add_large_jobs(simulation, rng, 60'000);
+        add_services(simulation, rng, 1000, 60'000);
+        GetParam().bring(simulation);
+        EXPECT_EQ(simulation.run(), "") << "seed " << seed;
+        EXPECT_LE(simulation.rejections(), 20U) << "seed " << seed;
     }
 }
 
-void crash_leader(Simulation& world) {
-    if (const auto leader = world.leader()) world.crash(*leader, 2000);
+void crash_leader(Simulation& simulation) {
+    if (const auto leader = simulation.leader()) simulation.crash(*leader, 2000);
 }
 
 std::vector<Moment> moments() {
@@ -234,21 +235,22 @@
     options.old_version = true;
     options.next = smallest_limits();
     options.machines = 12;
-    Simulation world(options);
+    Simulation simulation(options);
     auto job = plain("job-000001", 90, 25, 1000);
     job.cpus = 0.5;
-    world.jobs().push_back(job);
-    world.advance(12'000);
-    const auto coarse = world.store().find("place/job-000001/0");
-    ASSERT_NE(coarse, world.store().end());
+    simulation.jobs().push_back(job);
+    simulation.advance(12'000);
+    const auto coarse = simulation.store().find("place/job-000001/0");
+    ASSERT_NE(coarse, simulation.store().end());
     ASSERT_GT(coarse->second.first.size(), 1024U);
-    for (std::size_t n = 0; n < 3; ++n) world.upgrade(n, 500);
-    world.advance(14'000);
-    world.limit_state();
-    EXPECT_EQ(world.run(), "");
-    for (const auto& [key, value] : world.store()) EXPECT_FALSE(key.starts_with("place/")) << key;
+    for (std::size_t n = 0; n < 3; ++n) simulation.upgrade(n, 500);
+    simulation.advance(14'000);
+    simulation.limit_state();
+    EXPECT_EQ(simulation.run(), "");
+    for (const auto& [key, value] : simulation.store())
+        EXPECT_FALSE(key.starts_with("place/")) << key;
     // No task was started again for the change of layout.
-    EXPECT_LE(world.total_starts(), 92U);
+    EXPECT_LE(simulation.total_starts(), 92U);
 }
 
 }  // namespace
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,7 +1,7 @@
 // The users' interface as a new user would try it, bad input included.
 #include <gtest/gtest.h>
 
-#include "simulation/world.h"
+#include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 namespace {
@@ -24,19 +24,21 @@
 class UserApi : public ::testing::Test {
   protected:
     UserApi()
-        : world_([] {
+        : simulation_([] {
               Options options;
               options.faults = false;
               options.jobs = 0;
               return options;
           }()) {
-        world_.advance(4000);
+        simulation_.advance(4000);
+    }
+    int submit(const std::string& body) {
+        return simulation_.ask(0, {"POST", "/v2/runs", body}).status;
     }
-    int submit(const std::string& body) { return world_.ask(0, {"POST", "/v2/runs", body}).status; }
     net::HttpReply get(const std::string& target, std::size_t node = 1) {
-        return world_.ask(node, {"GET", target, ""});
+        return simulation_.ask(node, {"GET", target, ""});
     }
-    Simulation world_;
+    Simulation simulation_;
 };
 
 TEST_F(UserApi, AcceptsOnceAndKnowsRetries) {
@@ -93,28 +95,28 @@
     EXPECT_EQ(get("/nothing").status, 404);
     EXPECT_EQ(get("/v2/runs").status, 405);
     EXPECT_EQ(get("/v2/runs/job-000001/cancel").status, 405);
-    EXPECT_EQ(world_.ask(0, {"DELETE", "/v2/runs/job-000001", ""}).status, 405);
+    EXPECT_EQ(simulation_.ask(0, {"DELETE", "/v2/runs/job-000001", ""}).status, 405);
     EXPECT_EQ(get("/v2/runs/job-000001/x").status, 404);
     EXPECT_EQ(get("/healthz").status, 200);
 }
 
 TEST_F(UserApi, MalformedBeatsGet400AndChangeNothing) {
     for (const char* body : {"", "{}", "[]", R"({"banco":1})"}) {
-        EXPECT_EQ(world_.ask(0, {"POST", "/agent/beat", body}).status, 400) << body;
+        EXPECT_EQ(simulation_.ask(0, {"POST", "/agent/beat", body}).status, 400) << body;
     }
-    EXPECT_EQ(world_.broken(), "");
+    EXPECT_EQ(simulation_.broken(), "");
 }
 
 TEST_F(UserApi, CancelIsFinalOnEveryNode) {
     EXPECT_EQ(submit(submission()), 201);
-    const auto reply = world_.ask(2, {"POST", "/v2/runs/job-000001/cancel", ""});
+    const auto reply = simulation_.ask(2, {"POST", "/v2/runs/job-000001/cancel", ""});
     EXPECT_EQ(reply.status, 200);
     EXPECT_NE(reply.body.find("aborted"), std::string::npos);
     for (std::size_t n = 0; n < 3; ++n) {
         EXPECT_NE(get("/v2/runs/job-000001", n).body.find("aborted"), std::string::npos);
-        EXPECT_EQ(world_.ask(n, {"POST", "/v2/runs", submission()}).status, 200);
+        EXPECT_EQ(simulation_.ask(n, {"POST", "/v2/runs", submission()}).status, 200);
     }
-    EXPECT_EQ(world_.ask(0, {"POST", "/v2/runs/job-000077/cancel", ""}).status, 404);
+    EXPECT_EQ(simulation_.ask(0, {"POST", "/v2/runs/job-000077/cancel", ""}).status, 404);
 }
 
 TEST_F(UserApi, RetryOfAJobThatIsLongOver) {
@@ -125,66 +127,66 @@
     j.count = 2;
     j.run_s = 3;
     j.submitted = true;
-    j.accepted = world_.now();
-    world_.jobs().push_back(j);
-    world_.advance(world_.now() + 30'000);
-    for (std::size_t n = 0; n < 3; ++n) world_.crash(n, 500);
-    world_.advance(world_.now() + 10'000);
-    const auto reply = world_.ask(1, {"POST", "/v2/runs", submission()});
+    j.accepted = simulation_.now();
+    simulation_.jobs().push_back(j);
+    simulation_.advance(simulation_.now() + 30'000);
+    for (std::size_t n = 0; n < 3; ++n) simulation_.crash(n, 500);
+    simulation_.advance(simulation_.now() + 10'000);
+    const auto reply = simulation_.ask(1, {"POST", "/v2/runs", submission()});
     EXPECT_EQ(reply.status, 200);
     EXPECT_NE(reply.body.find("done"), std::string::npos);
-    EXPECT_EQ(world_.broken(), "");
+    EXPECT_EQ(simulation_.broken(), "");
 }
 
 TEST_F(UserApi, NodeThatTheStateServiceRefusesAlonePassesRequestsOn) {
-    const auto leader = world_.leader();
+    const auto leader = simulation_.leader();
     ASSERT_TRUE(leader);
     const auto other = (*leader + 1) % 3;
-    world_.refuse_node(other, 20'000);
-    world_.advance(world_.now() + 6000);
-    EXPECT_EQ(world_.ask(other, {"POST", "/v2/runs", submission()}).status, 201);
+    simulation_.refuse_node(other, 20'000);
+    simulation_.advance(simulation_.now() + 6000);
+    EXPECT_EQ(simulation_.ask(other, {"POST", "/v2/runs", submission()}).status, 201);
     EXPECT_EQ(get("/v2/runs/job-000001", other).status, 200);
     // It serves users, so it stays in turn; also when it restarts meanwhile.
     EXPECT_EQ(get("/healthz", other).status, 200);
-    world_.crash(other, 300);
-    world_.advance(world_.now() + 3000);
+    simulation_.crash(other, 300);
+    simulation_.advance(simulation_.now() + 3000);
     EXPECT_EQ(get("/healthz", other).status, 200);
     EXPECT_EQ(get("/v2/runs/job-000001", other).status, 200);
 }
 
 TEST_F(UserApi, NodeCutFromStateServiceAndSiblingsLeavesTheTurn) {
-    const auto leader = world_.leader();
+    const auto leader = simulation_.leader();
     ASSERT_TRUE(leader);
     const auto other = (*leader + 1) % 3;
-    world_.cut("n" + std::to_string(other), "state", 20'000, true);
-    world_.cut("n" + std::to_string(other), "n", 20'000, true);
-    world_.advance(world_.now() + 9000);
+    simulation_.cut("n" + std::to_string(other), "state", 20'000, true);
+    simulation_.cut("n" + std::to_string(other), "n", 20'000, true);
+    simulation_.advance(simulation_.now() + 9000);
     EXPECT_EQ(get("/healthz", other).status, 503);
-    world_.advance(world_.now() + 20'000);
+    simulation_.advance(simulation_.now() + 20'000);
     EXPECT_EQ(get("/healthz", other).status, 200);
 }
 
 TEST_F(UserApi, AcceptsAgainSoonAfterAnOutage) {
-    world_.state_outage(4000);
-    world_.advance(world_.now() + 1500);
+    simulation_.state_outage(4000);
+    simulation_.advance(simulation_.now() + 1500);
     // Users who are refused ask nothing of the state service; the node has to find out itself.
     for (std::size_t n = 0; n < 3; ++n) {
-        EXPECT_EQ(world_.ask(n, {"POST", "/v2/runs", submission()}).status, 503);
+        EXPECT_EQ(simulation_.ask(n, {"POST", "/v2/runs", submission()}).status, 503);
     }
-    world_.advance(world_.now() + 4500);
+    simulation_.advance(simulation_.now() + 4500);
     for (std::size_t n = 0; n < 3; ++n) {
-        const auto reply = world_.ask(n, {"POST", "/v2/runs", submission()});
+        const auto reply = simulation_.ask(n, {"POST", "/v2/runs", submission()});
         EXPECT_TRUE(reply.status == 201 || reply.status == 200) << n << ": " << reply.status;
         EXPECT_EQ(get("/healthz", n).status, 200) << n;
     }
 }
 
 TEST_F(UserApi, RefusedAtOnceWhenTheStateServiceIsOut) {
-    world_.state_outage(20'000);
-    world_.advance(world_.now() + 1500);
-    const auto before = world_.now();
+    simulation_.state_outage(20'000);
+    simulation_.advance(simulation_.now() + 1500);
+    const auto before = simulation_.now();
     EXPECT_EQ(submit(submission()), 503);
-    EXPECT_LT(world_.now() - before, 200);
+    EXPECT_LT(simulation_.now() - before, 200);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -77,7 +77,7 @@
     ASSERT_TRUE(news);
     EXPECT_EQ(news->from, 17U);
     ASSERT_EQ(news->cancelled.size(), 2U);
-    EXPECT_EQ(news->cancelled[1].rev, 19U);
+    EXPECT_EQ(news->cancelled[1].revision, 19U);
     EXPECT_EQ(news->cancelled[1].id, "job-000002");
     EXPECT_EQ(decode_cancellation_query(encode_cancellation_query(7)), 7U);
     // Cut short or of another kind, it says nothing.
