--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -105,9 +105,9 @@
 
 void Cleaner::claim() {
     if (!claim_) return;
-    if (claim_->state() == duty::Claim::State::Lost) return lose("lost");
+    if (claim_->state() == duty::Claim::State::Lost) return lose(events::DutyEnd::Lost);
     if (claim_->held()) {
-        host_.log_info("holds the duty cleanup, epoch " + std::to_string(claim_->epoch()));
+        host_.log(events::DutyAcquired{duty::name_of(duty::Duty::Cleanup), claim_->epoch()});
         return next_page_soon();
     }
     claim_->look_again();
@@ -123,8 +123,8 @@
                    const auto record = wire::parse_duty_value(item.value);
                    if (read == duty::ReadOutcome::Found && !record) {
                        read = duty::ReadOutcome::Damaged;
-                       host_.log_info("duty record " + item.key + " is not readable");
-                       lose("gives up");
+                       host_.log(events::RecordUnreadable{item.key});
+                       lose(events::DutyEnd::GivenUp);
                        return;
                    }
                    claim_->on_read(read, record.value_or(duty::DutyRecord{}), item.revision);
@@ -167,16 +167,16 @@
                 if (outcome == store::Outcome::Ok) {
                     valid_until_ = std::max(valid_until_, sent + kLease - kLeaseMargin);
                 } else if (outcome == store::Outcome::Missing) {
-                    lose("lost");
+                    lose(events::DutyEnd::Lost);
                 }
             });
     });
 }
 
-void Cleaner::lose(const std::string& how) {
+void Cleaner::lose(events::DutyEnd how) {
     if (!claim_) return;
-    host_.log_info(how + " the duty cleanup, epoch " + std::to_string(claim_->epoch()) + ", " +
-                   std::to_string(removed_) + " records removed since the start");
+    host_.log(
+        events::DutyEnded{duty::name_of(duty::Duty::Cleanup), how, claim_->epoch(), removed_});
     claim_.reset();
     ++term_;
     vacant_since_ = -1;
@@ -184,7 +184,7 @@
 
 void Cleaner::hand_over() {
     if (!claim_) return;
-    lose("hands over");
+    lose(events::DutyEnd::HandedOver);
     store_.release_lease(lease_);
 }
 
@@ -289,7 +289,7 @@
         const auto verdict = duty::classify(entry, page.states.at(id));
         if (verdict == duty::Verdict::Suspicious) {
             ++suspicious_;
-            host_.log_info("cleanup: " + entry.key + " belongs to no job, it is left in place");
+            host_.log(events::CleanupSuspicious{entry.key});
         }
         if (verdict != duty::Verdict::Remove) continue;
         plan.records.push_back({entry.key, entry.revision});
@@ -344,25 +344,24 @@
     const auto count = plan.records.size();
     if (settings_.features.cleanup == CleanupMode::Report) {
         for (const auto& record : plan.records) {
-            host_.log_info("cleanup: would remove " + record.key);
+            host_.log(events::CleanupWouldRemove{record.key});
         }
         return;
     }
     const auto allowed = permit();
     if (!allowed || !allowed->fenced()) return;
-    send_write(
-        store_, store::RequestPriority::Read, duty::removal_write(*allowed, plan),
-        [this, term = term_, first, count](const duty::WriteResult& result) {
-            if (!claim_ || term != term_) return;
-            if (result.outcome == duty::WriteOutcome::Written) {
-                removed_ += count;
-                host_.log_info("cleanup: removed " + std::to_string(count) + " records, " + first);
-            }
-            const bool replaced = result.outcome == duty::WriteOutcome::Conflict &&
-                                  (result.failed_on(std::string(duty::kCleanupLeaseKey)) ||
-                                   result.failed_on(claim_->key()));
-            if (replaced) lose("lost");
-        });
+    send_write(store_, store::RequestPriority::Read, duty::removal_write(*allowed, plan),
+               [this, term = term_, first, count](const duty::WriteResult& result) {
+                   if (!claim_ || term != term_) return;
+                   if (result.outcome == duty::WriteOutcome::Written) {
+                       removed_ += count;
+                       host_.log(events::CleanupRemoved{count, first});
+                   }
+                   const bool replaced = result.outcome == duty::WriteOutcome::Conflict &&
+                                         (result.failed_on(std::string(duty::kCleanupLeaseKey)) ||
+                                          result.failed_on(claim_->key()));
+                   if (replaced) lose(events::DutyEnd::Lost);
+               });
 }
 
 }  // namespace lichendrift::control
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -8,6 +8,7 @@
 #include "control/settings.h"
 #include "duty/claim.h"
 #include "duty/cleanup.h"
+#include "events/event.h"
 
 namespace lichendrift::control {
 
@@ -18,7 +19,7 @@
     [[nodiscard]] virtual bool leading() const = 0;
     // Whether every controller is known to have fenced duties switched on.
     [[nodiscard]] virtual bool peers_fence_duties() const = 0;
-    virtual void log_info(const std::string& text) = 0;
+    virtual void log(const events::Event& event) = 0;
 };
 
 // The duty of cleaning up: held by one controller, preferably not the leader, under a lease of its
@@ -55,7 +56,7 @@
     void read_duty();
     void write_duty();
     void renew();
-    void lose(const std::string& how);
+    void lose(events::DutyEnd how);
     [[nodiscard]] std::optional<duty::Permit> permit();
 
     void next_page_soon();
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -1,11 +1,12 @@
 // One controller: requests of users and health checks, logging.
 #include "control/controller.h"
 
-#include <spdlog/spdlog.h>
+#include <fmt/format.h>
 
 #include <algorithm>
 
 #include "control/limits.h"
+#include "events/format.h"
 
 namespace lichendrift::control {
 
@@ -50,12 +51,10 @@
 }
 
 void Controller::start() {
-    log_info("started");
+    log(events::ControllerStarted{});
     if (settings_.lease_s * 1000 + kCancellationMargin + kMinRenewalTime >=
         settings_.cancel_s * 1000) {
-        log_info(
-            "lease_s leaves no time below cancel_s: cut off for long, a leader may keep work "
-            "that was cancelled elsewhere for longer than cancel_s");
+        log(events::LeaseMarginTooSmall{settings_.lease_s, settings_.cancel_s});
     }
     job_watcher_.start();
     look();
@@ -69,7 +68,7 @@
     ending_ = true;
     ++election_;
     cleaner_.stop();
-    step_down("the process ends");
+    step_down(events::StepDownReason::Shutdown);
 }
 
 std::string Controller::prefix() const {
@@ -78,18 +77,10 @@
                        leader_ ? leader_->token() : known_.token);
 }
 
-void Controller::log_info(const std::string& text) {
-    if (spdlog::should_log(spdlog::level::info)) {
-        port_.log_context(prefix());
-        spdlog::info("{}", text);
-    }
-}
-
-void Controller::log_debug(const std::string& text) {
-    if (spdlog::should_log(spdlog::level::debug)) {
-        port_.log_context(prefix());
-        spdlog::debug("{}", text);
-    }
+void Controller::log(const events::Event& event) {
+    if (!events::is_logged(event)) return;
+    port_.log_context(prefix());
+    events::log(event);
 }
 
 bool Controller::can_wait(const net::HttpRequest& request) {
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -61,9 +61,8 @@
     Millis sure_until() override { return valid_until_; }
     bool may_run() override;
     bool may_renew_leases() override;
-    void step_down(const std::string& reason) override;
-    void log_info(const std::string& text) override;
-    void log_debug(const std::string& text) override;
+    void step_down(events::StepDownReason reason, std::uint64_t seen_token = 0) override;
+    void log(const events::Event& event) override;
     void types_found(const std::vector<core::MachineType>& types) override;
     void counts_found(std::vector<wire::JobCounts> counts, bool all) override;
 
--- a/src/control/controller_election.cpp
+++ b/src/control/controller_election.cpp
@@ -38,36 +38,37 @@
     highest_token_ = std::max(highest_token_, leader_record->token);
     // Our own mark from before a restart: nobody else acts under it, so it need not run out.
     if (leader_record->member == settings_.member) return campaign_soon(0, item.revision);
-    log_info("leader is " + leader_record->member);
+    log(events::LeaderObserved{leader_record->member, leader_record->token});
     watch_leader(item.revision);
 }
 
 void Controller::watch_leader(std::uint64_t since) {
     const auto number = election_;
-    store_.watch(store::RequestPriority::Leadership, "leader", since, 10000,
-                 [this, number, since](store::Outcome outcome, const wire::ItemPage& page) {
-                     if (number != election_ || leader_) return;
-                     if (outcome != store::Outcome::Ok) return looked(store::Outcome::Unknown, {});
-                     bool gone = false;
-                     auto next = std::max(since, page.revision);
-                     for (const auto& item : page.items) {
-                         if (item.key != "leader") continue;
-                         gone = item.value.empty();
-                         if (auto leader_record = wire::parse_leader_value(item.value);
-                             !gone && leader_record) {
-                             known_ = {leader_record->member,
-                                       leader_record->token,
-                                       item.revision,
-                                       false,
-                                       0,
-                                       port_.now()};
-                             highest_token_ = std::max(highest_token_, leader_record->token);
-                             log_info("leader is " + leader_record->member);
-                         }
-                     }
-                     if (gone) return campaign_soon(0, 0);
-                     watch_leader(next);
-                 });
+    store_.watch(
+        store::RequestPriority::Leadership, "leader", since, 10000,
+        [this, number, since](store::Outcome outcome, const wire::ItemPage& page) {
+            if (number != election_ || leader_) return;
+            if (outcome != store::Outcome::Ok) return looked(store::Outcome::Unknown, {});
+            bool gone = false;
+            auto next = std::max(since, page.revision);
+            for (const auto& item : page.items) {
+                if (item.key != "leader") continue;
+                gone = item.value.empty();
+                if (auto leader_record = wire::parse_leader_value(item.value);
+                    !gone && leader_record) {
+                    known_ = {leader_record->member,
+                              leader_record->token,
+                              item.revision,
+                              false,
+                              0,
+                              port_.now()};
+                    highest_token_ = std::max(highest_token_, leader_record->token);
+                    log(events::LeaderObserved{leader_record->member, leader_record->token});
+                }
+            }
+            if (gone) return campaign_soon(0, 0);
+            watch_leader(next);
+        });
 }
 
 void Controller::campaign_soon(Millis minimum, std::uint64_t leader_revision) {
@@ -144,7 +145,7 @@
     valid_until_ = sent + kLeaderLease - kLeaderLeaseMargin;
     leader_ = std::make_shared<Leader>(port_, settings_, store_, cloud_, job_watcher_,
                                        static_cast<LeaderHost&>(*this), token, revision);
-    log_info("won the election");
+    log(events::LeaderElected{});
     peers_know_at_ = 0;
     renewals_held_ = false;
     leader_->start(users_.types());
@@ -166,7 +167,7 @@
                                if (number != election_ || !leader_) return;
                                if (outcome == store::Outcome::Ok) return extend(sent);
                                if (outcome == store::Outcome::Missing)
-                                   step_down("the grant has run out");
+                                   step_down(events::StepDownReason::LeaderLeaseExpired);
                            });
     });
 }
@@ -174,14 +175,14 @@
 void Controller::extend(Millis sent) {
     const bool was = may_start();
     valid_until_ = std::max(valid_until_, sent + kLeaderLease - kLeaderLeaseMargin);
-    if (!was) log_info("grant renewed, starts go on");
+    if (!was) log(events::LeaderLeaseRecovered{});
 }
 
 bool Controller::may_start() { return leader_ && port_.read_clock() < valid_until_; }
 
-void Controller::step_down(const std::string& reason) {
+void Controller::step_down(events::StepDownReason reason, std::uint64_t seen_token) {
     if (!leader_) return;
-    log_info("steps down: " + reason);
+    log(events::LeaderSteppedDown{reason, seen_token});
     leader_->stop();
     // The leader may be the caller: it must live until its own call is over.
     port_.after(0, [old = std::move(leader_)] {});
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -97,7 +97,7 @@
     if (!announcement) return refuse_malformed(respond);
     highest_token_ = std::max(highest_token_, announcement->token);
     if (leader_ && announcement->token > leader_->token()) {
-        step_down("a higher token is announced");
+        step_down(events::StepDownReason::HigherTokenAnnounced, announcement->token);
     }
     if (!leader_ && announcement->token >= known_.token) {
         known_.member = announcement->member;
@@ -139,7 +139,7 @@
                        if (!version) return malformed_peers_.note(port_.now());
                        if (*version < wire::kProtocolVersion) return;
                        peer_is_current_[i] = true;
-                       if (peers_are_current()) log_info("all controllers are of this version");
+                       if (peers_are_current()) log(events::AllControllersCurrent{});
                    });
     }
     if (!peers_are_current()) port_.after(kAskVersionsEvery, [this] { ask_versions(); });
@@ -173,7 +173,7 @@
                        if (!features) return malformed_peers_.note(port_.now());
                        if ((*features & kFenced) == 0) return;
                        peer_fences_[i] = true;
-                       if (peers_fence_duties()) log_info("all controllers fence their duties");
+                       if (peers_fence_duties()) log(events::AllControllersFenceDuties{});
                    });
     }
     if (!peers_fence_duties()) port_.after(kAskVersionsEvery, [this] { ask_features(); });
@@ -269,8 +269,11 @@
     const bool may = port_.read_clock() - cancellations_known_at() <= bound;
     if (may == renewals_held_) {
         renewals_held_ = !may;
-        log_info(may ? "leases are renewed again"
-                     : "no lease is renewed: jobs may have been cancelled that are not known here");
+        if (may) {
+            log(events::LeaseRenewalsResumed{});
+        } else {
+            log(events::LeaseRenewalsSuspended{});
+        }
     }
     return may;
 }
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -89,12 +89,12 @@
         std::max<Millis>(3000, static_cast<Millis>(settings_.cloud_list_lag_s * 1000));
     if (now - listed_at_ > list_every) poll_list();
     const bool sure = host_.may_start();
-    const auto lines = with([&](core::Cluster& c) { return c.tick(now, sure); });
-    for (const auto& line : lines) host_.log_info(line);
-    for (const auto& line : with([](core::Cluster& c) { return c.policy_complaints(); })) {
-        host_.log_info(line);
+    const auto events = with([&](core::Cluster& c) { return c.tick(now, sure); });
+    for (const auto& event : events) host_.log(event);
+    for (auto& rejected : with([](core::Cluster& c) { return c.take_rejected_policy_values(); })) {
+        host_.log(std::move(rejected));
     }
-    if (!lines.empty()) changed();
+    if (!events.empty()) changed();
     if (now - planned_at_ > 1000) ask_plan();
     if (now - counted_at_ > 800) {
         counted_at_ = now;
@@ -122,7 +122,7 @@
 
 std::optional<wire::HeartbeatAnswer> Leader::on_heartbeat(const core::Report& report) {
     if (report.token >= token_ + core::kTokensOfALead) {
-        host_.step_down("a worker has seen token " + std::to_string(report.token));
+        host_.step_down(events::StepDownReason::HigherTokenAtWorker, report.token);
         return std::nullopt;
     }
     if (!ready_) return heartbeat_before_ready(report);
@@ -219,7 +219,7 @@
                 if (report) outcome = c.on_report(*report, false, at);
             });
             if (outcome.superseded) {
-                return self->host_.step_down("a worker has seen a higher token");
+                return self->host_.step_down(events::StepDownReason::HigherTokenAtWorker);
             }
             if (outcome.changed) self->changed();
             // The next ones that were kept waiting by the bound on calls under way.
@@ -272,7 +272,7 @@
     if (!host_.may_start()) return;
     const auto now = port_.now();
     const auto applied = with([&](core::Cluster& c) { return c.apply(plan, now); });
-    for (const auto& line : applied.lines) host_.log_info(line);
+    for (const auto& event : applied.events) host_.log(event);
     if (applied.starts + applied.stops > 0) {
         write();
         dispatch();
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -10,6 +10,7 @@
 #include "control/machine_duties.h"
 #include "control/settings.h"
 #include "core/cluster.h"
+#include "events/event.h"
 #include "net/malformed.h"
 #include "wire/cbor_messages.h"
 
@@ -29,9 +30,9 @@
     [[nodiscard]] virtual bool peers_are_current() const = 0;
     // Whether every controller is known to have fenced duties switched on.
     [[nodiscard]] virtual bool peers_fence_duties() const = 0;
-    virtual void step_down(const std::string& reason) = 0;
-    virtual void log_info(const std::string& text) = 0;
-    virtual void log_debug(const std::string& text) = 0;
+    // `seen_token`: the higher token, if one was seen.
+    virtual void step_down(events::StepDownReason reason, std::uint64_t seen_token = 0) = 0;
+    virtual void log(const events::Event& event) = 0;
     virtual void types_found(const std::vector<core::MachineType>& types) = 0;
     virtual void counts_found(std::vector<wire::JobCounts> counts, bool all) = 0;
 };
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -65,18 +65,16 @@
 void Leader::on_releases_inherited(const std::vector<std::string>& machines) {
     const auto now = port_.now();
     with([&](core::Cluster& c) { c.release_pending(machines, now); });
-    host_.log_info("finishes the release of " + std::to_string(machines.size()) + " machines, " +
-                   machines.front());
+    host_.log(events::ReleasesInherited{machines.size(), machines.front()});
 }
 
 void Leader::on_released(const std::vector<std::string>& machines) {
     with([&](core::Cluster& c) { c.on_released(machines, true, port_.now()); });
-    host_.log_info("returned " + std::to_string(machines.size()) + " machines, " +
-                   machines.front());
+    host_.log(events::MachinesReleased{machines.size(), machines.front()});
     changed();
 }
 
-void Leader::on_lease_lost() { host_.step_down("another leader has won"); }
+void Leader::on_lease_lost() { host_.step_down(events::StepDownReason::AnotherLeaderElected); }
 
 void Leader::request_provision(const core::Provision& provision) {
     // Token and counter: no request name is ever used twice, by any node.
@@ -88,8 +86,8 @@
         order.type = shared_->types.name(provision.type);
         order.zone = shared_->zones.name(provision.zone);
     });
-    host_.log_info("rent " + std::to_string(order.number) + " " + order.type + " in " + order.zone +
-                   (order.spot ? " (spot) as " : " as ") + order.request);
+    host_.log(events::ProvisionRequested{order.request, order.number, order.type, order.zone,
+                                         order.spot});
     duties_->want_provision(std::move(order));
 }
 
@@ -110,8 +108,8 @@
                          order.spot, now);
         }
     });
-    host_.log_info("rental " + order.request + ": " + std::to_string(machines.size()) +
-                   " machines" + (answer == cloud::Answer::NoCapacity ? ", no capacity" : ""));
+    host_.log(events::ProvisionCompleted{order.request, machines.size(),
+                                         answer == cloud::Answer::NoCapacity});
     ask_plan();
 }
 
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -22,7 +22,7 @@
     if (std::find(result.failed.begin(), result.failed.end(), "leader") == result.failed.end()) {
         return false;
     }
-    host_.step_down("another leader has won");
+    host_.step_down(events::StepDownReason::AnotherLeaderElected);
     return true;
 }
 
@@ -155,7 +155,7 @@
                 self->with(
                     [&](core::Cluster& c) { c.final_written(write, ok, self->port_.now()); });
                 if (ok) {
-                    self->host_.log_info("job " + write.job_id + " done");
+                    self->host_.log(events::JobCompleted{write.job_id});
                     self->job_watcher_.wrote_final(write.job_id, false, result.revision);
                 }
                 self->write();
--- a/src/control/leader_takeover.cpp
+++ b/src/control/leader_takeover.cpp
@@ -34,8 +34,7 @@
                  self->with([&](core::Cluster& c) {
                      c.add_job(text, revision, self->port_.now(), false, self->age_of(text));
                  });
-                 self->host_.log_info("job " + text.id + " (" + text.cls + ") is open, " +
-                                      std::to_string(text.count) + " tasks");
+                 self->host_.log(events::JobOpened{text.id, text.cls, text.count});
                  self->changed();
              },
              [self](const std::string& id, bool aborted) {
@@ -69,7 +68,7 @@
                     std::from_chars(item.key.data() + slash + 1, end, place.record_number);
                 auto record = wire::parse_placement_value(item.value);
                 if (!record || number.ptr != end) {
-                    self->host_.log_info("record " + item.key + " is not readable");
+                    self->host_.log(events::RecordUnreadable{item.key});
                     continue;
                 }
                 place.record = std::move(*record);
@@ -134,8 +133,7 @@
         }
         c.records_loaded();
     });
-    host_.log_info("take-over complete: " + std::to_string(job_watcher_.all_open().size()) +
-                   " open jobs, " + std::to_string(places_.size()) + " records");
+    host_.log(events::FailoverComplete{job_watcher_.all_open().size(), places_.size()});
     places_.clear();
     places_.shrink_to_fit();
     load_hints();
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -107,8 +107,7 @@
                                            : std::nullopt;
                    if (read == duty::ReadOutcome::Found && !record) {
                        read = duty::ReadOutcome::Damaged;
-                       self->host_.log_info("duty record " + item.key +
-                                            " is not readable: nothing is rented or released");
+                       self->host_.log(events::RecordUnreadable{item.key});
                    }
                    const bool held = self->holder_.claim(duty).held();
                    self->holder_.on_duty_read(duty, read, record.value_or(duty::DutyRecord{}),
@@ -126,8 +125,7 @@
                     for (const auto& item : page.items) {
                         stored.push_back(wire::parse_intent(item));
                         if (!stored.back().damaged) continue;
-                        self->host_.log_info("intent " + item.key +
-                                             " is not readable: it is left in place");
+                        self->host_.log(events::RecordUnreadable{item.key});
                     }
                     const auto machines = self->holder_.on_intents_read(
                         outcome == store::Outcome::Ok, stored, page.more, self->port_.now());
@@ -202,7 +200,7 @@
                                          cloud::Answer answer,
                                          const std::vector<std::string>& machines) {
         if (self->stopped_) return;
-        if (answer == cloud::Answer::Stale) self->note_stale("rental " + order.request);
+        if (answer == cloud::Answer::Stale) self->note_stale(order.request);
         self->holder_.on_provisioned(slot, order.request, cloud_outcome(answer), self->port_.now());
         const bool few = answer == cloud::Answer::Ok && machines.size() < order.number;
         self->listener_.on_provisioned(order, machines, few || answer == cloud::Answer::NoCapacity,
@@ -215,17 +213,17 @@
 void MachineDuties::note_claim(duty::Duty duty, bool held_before) {
     const auto& claim = holder_.claim(duty);
     if (claim.held() == held_before) return;
-    const auto name = std::string(duty::name_of(duty));
+    const auto name = duty::name_of(duty);
     if (claim.held()) {
-        host_.log_info("holds the duty " + name + ", epoch " + std::to_string(claim.epoch()));
+        host_.log(events::DutyAcquired{name, claim.epoch()});
     } else {
-        host_.log_info("lost the duty " + name);
+        host_.log(events::DutyEnded{name, events::DutyEnd::Lost, 0, 0});
     }
 }
 
 void MachineDuties::note_stale(const std::string& what) {
     ++refused_as_stale_;
-    host_.log_info("the cloud refuses a " + what + ": a later holder of the duty is known there");
+    host_.log(events::StaleEpochRefused{what});
 }
 
 void MachineDuties::report() {
@@ -235,19 +233,16 @@
     if (const auto oldest = ledger.oldest_open();
         oldest && now - oldest->since > kStuckAfter && now - reported_stuck_at_ > kStuckAfter) {
         reported_stuck_at_ = now;
-        host_.log_info(duty::intent_key(oldest->slot) + " is open for " +
-                       std::to_string((now - oldest->since) / 1000) + " s: " + oldest->what);
+        host_.log(events::IntentOverdue{duty::intent_key(oldest->slot),
+                                        (now - oldest->since) / 1000, oldest->releases,
+                                        oldest->first_machine, oldest->provision_request});
     }
     if (now - reported_at_ < kReportEvery) return;
     reported_at_ = now;
     const auto& counters = ledger.counters();
-    host_.log_info("intents: " + std::to_string(ledger.open_count()) + " open, " +
-                   std::to_string(counters.written) + " written, " +
-                   std::to_string(counters.settled) + " settled, " +
-                   std::to_string(counters.inherited) + " inherited, " +
-                   std::to_string(counters.withdrawn) + " rentals withdrawn, " +
-                   std::to_string(counters.damaged) + " damaged; " +
-                   std::to_string(refused_as_stale_) + " requests refused as stale");
+    host_.log(events::IntentsReport{ledger.open_count(), counters.written, counters.settled,
+                                    counters.inherited, counters.withdrawn, counters.damaged,
+                                    refused_as_stale_});
 }
 
 }  // namespace lichendrift::control
--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -217,10 +217,8 @@
         if (fine(value)) return value;
         if (!entry.reported) {
             entry.reported = true;
-            complaints_.push_back("policy: " + std::string(settings()[setting].name) + " = " +
-                                  entry.program.source() + " gives " + std::to_string(value) +
-                                  ", outside " + std::to_string(minimum) + " to " +
-                                  std::to_string(maximum) + "; the built-in value is used");
+            rejected_values_.push_back({std::string(settings()[setting].name),
+                                        entry.program.source(), value, minimum, maximum});
         }
     }
     return std::clamp(entry.standard.evaluate(variables).number, minimum, maximum);
@@ -279,6 +277,8 @@
     return evaluate(kWarmFor, of(fleet));
 }
 
-std::vector<std::string> OperatorPolicy::complaints() { return std::exchange(complaints_, {}); }
+std::vector<events::PolicyValueRejected> OperatorPolicy::take_rejected_values() {
+    return std::exchange(rejected_values_, {});
+}
 
 }  // namespace lichendrift::control
--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -32,7 +32,7 @@
     double silent_s(const core::FleetFacts& fleet) override;
     double spare_machines(const core::FleetFacts& fleet) override;
     double warm_s(const core::FleetFacts& fleet) override;
-    std::vector<std::string> complaints() override;
+    std::vector<events::PolicyValueRejected> take_rejected_values() override;
 
   private:
     struct Entry {
@@ -47,7 +47,7 @@
 
     std::vector<Entry> entries_;
     std::vector<policy::Value> values_;
-    std::vector<std::string> complaints_;
+    std::vector<events::PolicyValueRejected> rejected_values_;
 };
 
 }  // namespace lichendrift::control
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -1,9 +1,9 @@
 #include "control/user_api.h"
 
-#include <spdlog/spdlog.h>
-
 #include <cmath>
 
+#include "events/format.h"
+
 namespace lichendrift::control {
 
 namespace {
@@ -13,6 +13,7 @@
 constexpr std::size_t kBatchBytes = 40'000;
 constexpr int kMaxBatches = 2;
 constexpr int kRetryAfterS = 1;
+constexpr std::size_t kMaxLoggedBody = 400;
 constexpr Millis kReportInterval = 3000;
 
 const char* state_name(bool aborted) { return aborted ? "aborted" : "done"; }
@@ -31,10 +32,9 @@
 void UserApi::refuse(const net::Respond& respond, const char* reason) {
     ++refused_;
     // Counted, and told once in a while: a flood of refusals must not become a flood of lines.
-    if (port_.now() - refusals_reported_at_ > kReportInterval &&
-        spdlog::should_log(spdlog::level::info)) {
+    if (port_.now() - refusals_reported_at_ > kReportInterval) {
         refusals_reported_at_ = port_.now();
-        spdlog::info("refused {} requests since the start, the last: {}", refused_, reason);
+        events::log(events::RequestsRefused{refused_, reason});
     }
     respond({503, wire::error_body(reason), kRetryAfterS});
 }
@@ -98,9 +98,7 @@
 void UserApi::submit(const std::string& body, net::Respond respond) {
     auto parsed = wire::parse_submission(body);
     if (auto* error = std::get_if<std::string>(&parsed)) {
-        if (spdlog::should_log(spdlog::level::debug)) {
-            spdlog::debug("submission refused: {}: {}", *error, body.substr(0, 400));
-        }
+        events::log(events::SubmissionMalformed{*error, body.substr(0, kMaxLoggedBody)});
         return respond({400, wire::error_body(*error)});
     }
     auto& job = std::get<core::JobText>(parsed);
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -133,8 +133,9 @@
     drop_if_gone(index);
 }
 
-std::vector<std::string> Cluster::policy_complaints() {
-    return settings_.policy ? settings_.policy->complaints() : std::vector<std::string>{};
+std::vector<events::PolicyValueRejected> Cluster::take_rejected_policy_values() {
+    if (!settings_.policy) return {};
+    return settings_.policy->take_rejected_values();
 }
 
 bool Cluster::start_allowed(const Job& job,
@@ -191,13 +192,15 @@
         const auto attempt = settings_.token * 10'000'000 + ++attempts_;
         const auto& images = machines_[on.front().second].images;
         const bool there = std::find(images.begin(), images.end(), job.spec.image) != images.end();
-        std::string line = "place " + job.id + " (" + job.text.cls + ") attempt " +
-                           std::to_string(attempt) + " after " +
-                           std::to_string((now - job.waiting_since) / 1000) + " s, image " +
-                           (there ? "there" : "to fetch") + ", score " +
-                           std::to_string(std::lround(start.score * 100)) + "/100";
-        for (auto zone : start.rejected) line += ", no room in " + zones_.name(zone);
-        line += ", on";
+        events::JobPlaced event;
+        event.job = job.id;
+        event.job_class = job.text.cls;
+        event.attempt = attempt;
+        event.waited_s = (now - job.waiting_since) / 1000;
+        event.image_present = there;
+        event.score_percent = std::lround(start.score * 100);
+        event.tasks = on.size();
+        for (auto zone : start.rejected) event.rejected_zones.push_back(zones_.name(zone));
         for (auto [task, mix] : on) {
             Allocation h;
             h.job = start.job;
@@ -211,10 +214,12 @@
             job.again.erase(task);
             add_allocation(h);
             mark_dirty(job, task);
-            if (line.size() < 200) line += " " + machines_[mix].name;
+            if (event.machines.size() < events::JobPlaced::kMaxMachines) {
+                event.machines.push_back(machines_[mix].name);
+            }
         }
         job.started_at = now;
-        applied.lines.push_back(std::move(line));
+        applied.events.emplace_back(std::move(event));
         ++applied.starts;
     }
     for (std::size_t k = 0; k < plan.stops.size(); ++k) {
@@ -229,9 +234,9 @@
         const bool save = spec.checkpoint_s > 0 && h.phase == TaskPhase::Running &&
                           spec.checkpoint_s / 2 > spec.save_s;
         const auto mine = k < plan.stops_for.size() ? jobs_.find(plan.stops_for[k]) : jobs_.end();
-        applied.lines.push_back("preempt " + jobs_[h.job].id + "/" + std::to_string(h.task) +
-                                " on " + machines_[h.machine].name +
-                                (mine == jobs_.end() ? "" : " for " + mine->second.id));
+        applied.events.emplace_back(
+            events::TaskPreempted{jobs_[h.job].id, h.task, machines_[h.machine].name,
+                                  mine == jobs_.end() ? std::string() : mine->second.id});
         stop_with_gang(allocation_index, save ? spec.save_s : 0, now);
         ++applied.stops;
     }
@@ -239,7 +244,8 @@
         Machine& machine = machines_[mix];
         if (machine.life != Machine::Life::Up || !machine.allocations.empty()) continue;
         machine.life = Machine::Life::Releasing;
-        applied.lines.push_back("idle machine " + machine.name + " is returned");
+        applied.events.emplace_back(
+            events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
     }
     // Emptying several machines in a row left jobs waiting beside half-empty machines that took
     // nothing any more: one in a while, and all are taken back as soon as room is short.
@@ -248,7 +254,7 @@
             continue;
         machine.consolidating = false;
         machine.drain = machine.faulty;
-        applied.lines.push_back("machine " + machine.name + " is kept after all");
+        applied.events.emplace_back(events::MachineDrainCancelled{machine.name});
     }
     const bool may_drain = now - drained_at_ >= settings_.tuning.drain_every_ms;
     for (auto mix : plan.drains) {
@@ -257,7 +263,7 @@
         drained_at_ = now;
         machine.drain = true;
         machine.consolidating = true;
-        applied.lines.push_back("machine " + machine.name + " is emptied to be returned");
+        applied.events.emplace_back(events::MachineDrainStarted{machine.name});
         const auto held = machine.allocations;
         for (auto allocation_index : held) {
             const Allocation& h = allocations_[allocation_index];
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -253,12 +253,12 @@
         std::uint32_t stops = 0;
         std::uint32_t refused = 0;
         std::vector<Provision> provisions;
-        std::vector<std::string> lines;  // for the log, formatted outside the lock
+        std::vector<events::Event> events;  // for the log, formatted outside the lock
     };
     Applied apply(const Plan& plan, Millis now);
     // Time passes: silent machines, patience, boots that never come. A leader that is not `sure` to
     // lead gives nothing up: it may be cut off itself.
-    std::vector<std::string> tick(Millis now, bool sure = true);
+    std::vector<events::Event> tick(Millis now, bool sure = true);
 
     struct Counts {
         std::uint32_t done = 0;
@@ -271,8 +271,8 @@
     [[nodiscard]] std::uint64_t work() const { return work_; }
     [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
     [[nodiscard]] std::size_t machine_count() const;
-    // What the operators' policy had to do without, each told once.
-    std::vector<std::string> policy_complaints();
+    // Values of the operators' policy that were out of range, each reported once.
+    std::vector<events::PolicyValueRejected> take_rejected_policy_values();
     [[nodiscard]] const std::map<JobIndex, Job>& jobs() const { return jobs_; }
     [[nodiscard]] const std::vector<Machine>& machines() const { return machines_; }
     [[nodiscard]] std::uint64_t token() const { return settings_.token; }
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -256,11 +256,11 @@
     }
 }
 
-std::vector<std::string> Cluster::tick(Millis now, bool sure) {
-    std::vector<std::string> lines;
+std::vector<events::Event> Cluster::tick(Millis now, bool sure) {
+    std::vector<events::Event> events;
     if (!sure) {
         sure_since_ = -1;
-        return lines;
+        return events;
     }
     if (sure_since_ < 0) sure_since_ = now;
     note_cut_zones(now);
@@ -325,8 +325,8 @@
                     release_all(mix, std::numeric_limits<std::uint64_t>::max(), now);
                 }
                 machine.life = Machine::Life::Releasing;
-                lines.push_back("machine " + machine.name + " silent for " +
-                                std::to_string(silent) + " ms, returned");
+                events.emplace_back(events::MachineReleaseStarted{
+                    machine.name, events::ReleaseReason::Silent, silent, {}});
                 continue;
             }
             // Many deaf at once is a trouble of ours as well.
@@ -335,16 +335,19 @@
             if (machine.unreachable_since != 0 &&
                 now - machine.unreachable_since > unreachable_patience && deaf * 2 <= up) {
                 machine.life = Machine::Life::Releasing;
-                lines.push_back("machine " + machine.name + " is not reached for " +
-                                std::to_string(now - machine.unreachable_since) + " ms, returned");
+                events.emplace_back(
+                    events::MachineReleaseStarted{machine.name,
+                                                  events::ReleaseReason::Unreachable,
+                                                  now - machine.unreachable_since,
+                                                  {}});
                 continue;
             }
             // Commands may reach it while answers don't: then its tasks die with each lease.
             if (settings_.guards.command_effect_check && machine.lost_leases >= kLostLeases &&
                 losing * 4 <= up) {
                 machine.life = Machine::Life::Releasing;
-                lines.push_back("machine " + machine.name +
-                                " loses one lease after the other, returned");
+                events.emplace_back(events::MachineReleaseStarted{
+                    machine.name, events::ReleaseReason::LeasesLost, 0, {}});
                 continue;
             }
             if (machine.lost_leases > 0 && now - machine.session_at > settings_.lease_ms * 3) {
@@ -360,7 +363,8 @@
             if (machine.taken_at && now > *machine.taken_at + kTakenMargin &&
                 machine.last_heartbeat_at < *machine.taken_at) {
                 machine.life = Machine::Life::Releasing;
-                lines.push_back("machine " + machine.name + " was taken as announced");
+                events.emplace_back(events::MachineReleaseStarted{
+                    machine.name, events::ReleaseReason::NoticeExpired, 0, {}});
                 continue;
             }
             if (machine.taken_at && now > *machine.taken_at + 60000) machine.taken_at.reset();
@@ -370,8 +374,8 @@
                 if (h.stop && h.state == Allocation::State::Sent && h.direct_unconfirmed &&
                     now - h.stop_since > settings_.cancel_ms / 3) {
                     machine.life = Machine::Life::Releasing;
-                    lines.push_back("machine " + machine.name + " may still get a late run of " +
-                                    jobs_[h.job].id + ", returned");
+                    events.emplace_back(events::MachineReleaseStarted{
+                        machine.name, events::ReleaseReason::UnconfirmedRun, 0, jobs_[h.job].id});
                     break;
                 }
             }
@@ -398,11 +402,12 @@
                                now - machine.first_seen > patience + 6000;
             if (stale || (known > minimum && age > (machine.running ? minimum : limit))) {
                 machine.life = Machine::Life::Releasing;
-                lines.push_back("machine " + machine.name + " never came up, returned");
+                events.emplace_back(events::MachineReleaseStarted{
+                    machine.name, events::ReleaseReason::NeverRegistered, 0, {}});
             }
         }
     }
-    return lines;
+    return events;
 }
 
 bool Cluster::has_replicas(const Machine& machine) const {
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include "core/types.h"
+#include "events/event.h"
 
 namespace lichendrift::core {
 
@@ -70,8 +71,8 @@
     virtual double silent_s(const FleetFacts& fleet) = 0;
     virtual double spare_machines(const FleetFacts& fleet) = 0;
     virtual double warm_s(const FleetFacts& fleet) = 0;
-    // What fell back to its default since the last call, each told once.
-    virtual std::vector<std::string> complaints() = 0;
+    // The settings that fell back to their built-in value since the last call, each reported once.
+    virtual std::vector<events::PolicyValueRejected> take_rejected_values() = 0;
 };
 
 }  // namespace lichendrift::core
--- a/src/duty/intents.cpp
+++ b/src/duty/intents.cpp
@@ -470,14 +470,12 @@
     for (const auto& [number, slot] : slots_) {
         if (slot.state != Slot::State::Open || slot.revision == 0) continue;
         if (oldest && oldest->since <= slot.since) continue;
-        std::string what = "rental";
+        oldest = Oldest{number, slot.since, slot.releases.size(), {}, {}};
         if (!slot.releases.empty()) {
-            what = "release of " + std::to_string(slot.releases.size()) + " machines, " +
-                   slot.releases.front();
+            oldest->first_machine = slot.releases.front();
         } else if (!slot.provisions.empty()) {
-            what = "rental " + slot.provisions.front().order.request;
+            oldest->provision_request = slot.provisions.front().order.request;
         }
-        oldest = {number, slot.since, std::move(what)};
     }
     return oldest;
 }
--- a/src/duty/intents.h
+++ b/src/duty/intents.h
@@ -103,10 +103,13 @@
     [[nodiscard]] bool provisioning_in_flight() const;
     // Intents whose request is still to be made or answered.
     [[nodiscard]] std::size_t open_count() const;
+    // What the oldest open intent is about.
     struct Oldest {
         std::uint32_t slot = 0;
         Millis since = 0;
-        std::string what;
+        std::size_t releases = 0;
+        std::string first_machine;      // to release; empty: none
+        std::string provision_request;  // if there is nothing to release
     };
     [[nodiscard]] std::optional<Oldest> oldest_open() const;
     [[nodiscard]] const Counters& counters() const { return counters_; }
--- /dev/null
+++ b/src/events/format.h
@@ -0,0 +1,23 @@
+#pragma once
+
+#include <string>
+
+#include "events/event.h"
+
+namespace lichendrift::events {
+
+enum class Level : std::uint8_t { Info, Debug };
+
+[[nodiscard]] Level level_of(const Event& event);
+
+// `event=NAME field=value ...`. A value with spaces, quotes, `=` or control characters, and an
+// empty one, is put in double quotes with backslash escapes. Fields that do not apply are left out.
+[[nodiscard]] std::string format(const Event& event);
+
+// Whether the log takes events of this level.
+[[nodiscard]] bool is_logged(const Event& event);
+
+// Writes the event to the process's log if its level is wanted. Loop thread only.
+void log(const Event& event);
+
+}  // namespace lichendrift::events
--- a/src/net/malformed.h
+++ b/src/net/malformed.h
@@ -1,10 +1,9 @@
 #pragma once
 
-#include <spdlog/spdlog.h>
-
 #include <cstdint>
 
 #include "core/types.h"
+#include "events/format.h"
 
 namespace lichendrift::net {
 
@@ -17,7 +16,7 @@
         ++count_;
         if (reported_ != 0 && now - reported_ < kReportInterval) return;
         reported_ = now;
-        spdlog::info("malformed message from {}, {} since the start", from_, count_);
+        events::log(events::MalformedMessages{from_, count_});
     }
     [[nodiscard]] std::uint64_t count() const { return count_; }
 
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -1,9 +1,9 @@
 #include "store/store_client.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 
+#include "events/format.h"
+
 namespace lichendrift::store {
 
 namespace {
@@ -233,11 +233,8 @@
     }
     if (port_.now() - rejection_reported_at_ < kReportInterval) return;
     rejection_reported_at_ = port_.now();
-    spdlog::info(
-        "the state service rejects {} changes with values of up to {} bytes; from now on {} "
-        "changes "
-        "of up to {} bytes",
-        operations, largest_value, settings_.transaction_operations, settings_.value_bytes);
+    events::log(events::StateLimitsLowered{
+        operations, largest_value, settings_.transaction_operations, settings_.value_bytes});
 }
 
 void StoreClient::create_lease(Millis ttl, OnLease done) {
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "events/format.h"
 #include "wire/json_messages.h"
 
 namespace lichendrift::core {
@@ -285,7 +286,10 @@
     for (; now < 40'000 && !released; now += 1000) {
         heartbeat("host-1", ++seq, now, 2);
         heartbeat("host-2", seq, now, 3);
-        for (const auto& line : cluster_.tick(now)) released |= line.find("host-1") < 20;
+        for (const auto& event : cluster_.tick(now)) {
+            const auto* release = std::get_if<events::MachineReleaseStarted>(&event);
+            released |= release != nullptr && release->machine == "host-1";
+        }
     }
     EXPECT_TRUE(released);
     EXPECT_LT(now, 25'000);
@@ -307,7 +311,7 @@
         r.seq = ++seq;
         r.token = 3;
         cluster_.on_report(r, true, now);
-        for (const auto& line : cluster_.tick(now)) ADD_FAILURE() << line;
+        for (const auto& event : cluster_.tick(now)) ADD_FAILURE() << events::format(event);
     };
     for (const char* name : {"host-1", "host-2", "host-3"}) report(name, 1, 1000);
     report("host-1", 2, 3000);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -182,7 +182,7 @@
     EXPECT_DOUBLE_EQ(built_in.idle_keep_s(machine, fleet), 10);
     machine.spot = true;
     EXPECT_DOUBLE_EQ(built_in.idle_keep_s(machine, fleet), 45);
-    EXPECT_TRUE(built_in.complaints().empty());
+    EXPECT_TRUE(built_in.take_rejected_values().empty());
 }
 
 TEST(OperatorPolicyTest, OwnLinesReplaceBuiltInOnesAndBadValuesFallBackToldOnce) {
@@ -194,13 +194,13 @@
     job.cls = "train";
     EXPECT_DOUBLE_EQ(own.weights(job).fit, 9);
     EXPECT_DOUBLE_EQ(own.weights(job).price, core::Weights{}.price);
-    EXPECT_TRUE(own.complaints().empty());
+    EXPECT_TRUE(own.take_rejected_values().empty());
     job.cls = "other";
     EXPECT_DOUBLE_EQ(own.weights(job).fit, core::Weights{}.fit);
     EXPECT_DOUBLE_EQ(own.weights(job).fit, core::Weights{}.fit);
     EXPECT_DOUBLE_EQ(own.starving_s(job), 120);
-    EXPECT_EQ(own.complaints().size(), 2U);
-    EXPECT_TRUE(own.complaints().empty());
+    EXPECT_EQ(own.take_rejected_values().size(), 2U);
+    EXPECT_TRUE(own.take_rejected_values().empty());
     core::MachineFacts machine;
     machine.hourly = 12;
     EXPECT_DOUBLE_EQ(own.idle_keep_s(machine, {}), 12);
