--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -75,9 +75,9 @@
     std::thread thread_;
 };
 
-class DaemonPort : public net::Port {
+class DaemonRuntime : public net::Runtime, public control::PlanExecutor {
   public:
-    DaemonPort(net::EventLoop& loop, net::HttpClient& client)
+    DaemonRuntime(net::EventLoop& loop, net::HttpClient& client)
         : loop_(loop), client_(client), planner_(loop), random_(std::random_device{}()) {}
     net::Millis now() override { return loop_.now(); }
     net::Millis read_clock() override { return loop_.read_clock(); }
@@ -149,8 +149,8 @@
     net::SocketBudget budget;
     budget.max_sockets = settings.max_connections > 40 ? settings.max_connections - 20 : 20;
     net::HttpClient client(loop, budget);
-    DaemonPort port(loop, client);
-    control::Controller controller(port, settings);
+    DaemonRuntime runtime(loop, client);
+    control::Controller controller(runtime, runtime, settings);
     net::HttpServer users(
         loop, budget, kMaxBody, budget.max_sockets * 7 / 10,
         [&](const net::HttpRequest& request, net::Respond respond) {
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -21,23 +21,23 @@
 
 }  // namespace
 
-CloudClient::CloudClient(net::Port& port, std::string address, double rps)
-    : port_(port), address_(std::move(address)), rps_(rps) {
-    filled_at_ = port_.now();
+CloudClient::CloudClient(net::Runtime& runtime, std::string address, double rps)
+    : runtime_(runtime), address_(std::move(address)), rps_(rps) {
+    filled_at_ = runtime_.now();
 }
 
 void CloudClient::call(net::HttpRequest request, Millis deadline, net::OnReply done) {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const double rate = share_ * rps_;
     tokens_ = std::min(tokens_ + rate * static_cast<double>(now - filled_at_) / 1000.0,
                        std::max(2.0, rate * 1.5));
     filled_at_ = now;
     if (tokens_ < 1) {
-        port_.after(0, [done = std::move(done)] { done({0, {}, false}); });
+        runtime_.after(0, [done = std::move(done)] { done({0, {}, false}); });
         return;
     }
     tokens_ -= 1;
-    port_.call(address_, std::move(request), deadline, std::move(done));
+    runtime_.call(address_, std::move(request), deadline, std::move(done));
 }
 
 void CloudClient::types(OnTypes done) {
@@ -45,7 +45,7 @@
          [this, done = std::move(done)](const net::HttpReply& reply) {
              if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
              auto types = wire::parse_types(reply.body);
-             if (!types) return malformed_.note(port_.now()), done(Answer::Unavailable, {});
+             if (!types) return malformed_.note(runtime_.now()), done(Answer::Unavailable, {});
              done(Answer::Ok, std::move(*types));
          });
 }
@@ -56,7 +56,7 @@
          kTimeout, [this, done = std::move(done)](const net::HttpReply& reply) {
              if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
              auto names = wire::parse_provisioned(reply.body);
-             if (!names) return malformed_.note(port_.now()), done(Answer::NoAnswer, {});
+             if (!names) return malformed_.note(runtime_.now()), done(Answer::NoAnswer, {});
              done(Answer::Ok, std::move(*names));
          });
 }
@@ -86,14 +86,14 @@
              // A large fleet has more pages than the pace allows at once.
              const bool paced = reply.status == 429 || (reply.status == 0 && !reply.sent);
              if (paced && listing->tries_left-- > 0) {
-                 port_.after(kPagePause, [this, listing, alive] {
+                 runtime_.after(kPagePause, [this, listing, alive] {
                      if (!alive.expired()) list_page(listing);
                  });
                  return;
              }
              auto page =
                  answer_of(reply) == Answer::Ok ? wire::parse_listing(reply.body) : std::nullopt;
-             if (!page && reply.status == 200) malformed_.note(port_.now());
+             if (!page && reply.status == 200) malformed_.note(runtime_.now());
              if (!page) return listing->done(Answer::Unavailable, std::move(listing->machines), {});
              const bool go_on =
                  page->more && !page->machines.empty() && page->machines.back().name > since;
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -6,7 +6,7 @@
 
 #include "duty/fence.h"
 #include "net/malformed.h"
-#include "net/port.h"
+#include "net/runtime.h"
 #include "wire/json_messages.h"
 
 namespace lichendrift::cloud {
@@ -25,7 +25,7 @@
 // with Trouble; the caller's next round asks again.
 class CloudClient {
   public:
-    CloudClient(net::Port& port, std::string address, double rps);
+    CloudClient(net::Runtime& runtime, std::string address, double rps);
 
     void set_share(double share) { share_ = share; }
 
@@ -52,7 +52,7 @@
         int tries_left = 0;
     };
     void list_page(const std::shared_ptr<Listing>& listing);
-    net::Port& port_;
+    net::Runtime& runtime_;
     std::string address_;
     double rps_;
     double share_ = 0.15;
--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-Cleaner::Cleaner(net::Port& port, const Settings& settings, store::StoreClient& store,
+Cleaner::Cleaner(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
                  cloud::CloudClient& cloud, JobWatcher& job_watcher, CleanerHost& host)
-    : port_(port),
+    : runtime_(runtime),
       settings_(settings),
       store_(store),
       cloud_(cloud),
@@ -46,7 +46,8 @@
 
 void Cleaner::look() {
     if (stopped_) return;
-    port_.after(kLookEvery + static_cast<Millis>(port_.random() % kLookSpread), [this] { look(); });
+    runtime_.after(kLookEvery + static_cast<Millis>(runtime_.random() % kLookSpread),
+                   [this] { look(); });
     if (claim_) {
         if (host_.leading() && !should_stand()) hand_over();
         return;
@@ -56,7 +57,7 @@
                [this](store::Outcome outcome, const wire::Item&) {
                    if (outcome == store::Outcome::Ok) vacant_since_ = -1;
                    if (outcome != store::Outcome::Missing || claim_) return;
-                   if (vacant_since_ < 0) vacant_since_ = port_.now();
+                   if (vacant_since_ < 0) vacant_since_ = runtime_.now();
                    if (should_stand()) ask_lease();
                });
 }
@@ -64,7 +65,7 @@
 // The leader has enough to do: it stands only if nobody else does.
 bool Cleaner::should_stand() const {
     if (!host_.leading() || settings_.peers.empty()) return true;
-    return vacant_since_ >= 0 && port_.now() - vacant_since_ > kLeaderStandsAfter;
+    return vacant_since_ >= 0 && runtime_.now() - vacant_since_ > kLeaderStandsAfter;
 }
 
 void Cleaner::ask_lease() {
@@ -92,13 +93,13 @@
     duty::Claim::Setup setup;
     setup.duty = duty::Duty::Cleanup;
     setup.holder = settings_.member;
-    setup.nonce = port_.random() >> 1U;
+    setup.nonce = runtime_.random() >> 1U;
     setup.lease = {std::string(duty::kCleanupLeaseKey), revision};
     setup.fencing = true;
     claim_.emplace(std::move(setup));
     placements_since_.clear();
     hints_due_ = false;
-    round_begins_ = port_.now();
+    round_begins_ = runtime_.now();
     renew();
     claim();
 }
@@ -129,7 +130,7 @@
                    }
                    claim_->on_read(read, record.value_or(duty::DutyRecord{}), item.revision);
                    if (read == duty::ReadOutcome::Failed) {
-                       port_.after(kClaimRetry, [this, term] {
+                       runtime_.after(kClaimRetry, [this, term] {
                            if (term == term_) claim();
                        });
                        return;
@@ -141,7 +142,7 @@
 void Cleaner::write_duty() {
     auto write = claim_->take_write(host_.peers_fence_duties());
     if (!write) {
-        port_.after(kLookEvery, [this, term = term_] {
+        runtime_.after(kLookEvery, [this, term = term_] {
             if (term == term_ && claim_ && !claim_->held()) claim();
         });
         return;
@@ -150,15 +151,15 @@
                [this, term = term_](const duty::WriteResult& result) {
                    if (!claim_ || term != term_) return;
                    claim_->on_written(result);
-                   port_.after(result.outcome == duty::WriteOutcome::Written ? 0 : kClaimRetry,
-                               [this, term] {
-                                   if (term == term_) claim();
-                               });
+                   runtime_.after(result.outcome == duty::WriteOutcome::Written ? 0 : kClaimRetry,
+                                  [this, term] {
+                                      if (term == term_) claim();
+                                  });
                });
 }
 
 void Cleaner::renew() {
-    port_.after(kRenewEvery, [this, term = term_] {
+    runtime_.after(kRenewEvery, [this, term = term_] {
         if (!claim_ || term != term_) return;
         renew();
         store_.renew_lease(
@@ -194,21 +195,21 @@
 }
 
 std::optional<duty::Permit> Cleaner::permit() {
-    if (!claim_ || port_.read_clock() >= valid_until_) return std::nullopt;
+    if (!claim_ || runtime_.read_clock() >= valid_until_) return std::nullopt;
     return claim_->permit(valid_until_);
 }
 
 // ---- what is of no use any more ----
 
 void Cleaner::next_page_soon() {
-    port_.after(static_cast<Millis>(settings_.features.cleanup_page_s * 1000),
-                [this, term = term_] {
-                    if (claim_ && term == term_) next_page();
-                });
+    runtime_.after(static_cast<Millis>(settings_.features.cleanup_page_s * 1000),
+                   [this, term = term_] {
+                       if (claim_ && term == term_) next_page();
+                   });
 }
 
 void Cleaner::next_page() {
-    const bool rests = port_.now() < round_begins_ || !store_.has_room_for(2) || !permit();
+    const bool rests = runtime_.now() < round_begins_ || !store_.has_room_for(2) || !permit();
     if (rests) return next_page_soon();
     if (hints_due_) return read_hints();
     read_placements();
@@ -217,7 +218,7 @@
 void Cleaner::end_round() {
     placements_since_.clear();
     hints_due_ = false;
-    round_begins_ = port_.now() + kRoundPause;
+    round_begins_ = runtime_.now() + kRoundPause;
     next_page_soon();
 }
 
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -26,7 +26,7 @@
 // own. Looks at stored records page by page and removes what is certainly of no use.
 class Cleaner {
   public:
-    Cleaner(net::Port& port, const Settings& settings, store::StoreClient& store,
+    Cleaner(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
             cloud::CloudClient& cloud, JobWatcher& job_watcher, CleanerHost& host);
 
     void start();
@@ -71,7 +71,7 @@
     void remove(duty::RemovalPlan plan);
     void end_round();
 
-    net::Port& port_;
+    net::Runtime& runtime_;
     const Settings& settings_;
     store::StoreClient& store_;
     cloud::CloudClient& cloud_;
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -30,14 +30,15 @@
 
 }  // namespace
 
-Controller::Controller(net::Port& port, Settings settings)
-    : port_(port),
+Controller::Controller(net::Runtime& runtime, PlanExecutor& planner, Settings settings)
+    : runtime_(runtime),
+      planner_(planner),
       settings_(std::move(settings)),
-      store_(port, store_settings(settings_)),
-      cloud_(port, settings_.cloud, settings_.cloud_rps),
-      job_watcher_(port, store_),
-      users_(port, settings_, store_, job_watcher_),
-      cleaner_(port, settings_, store_, cloud_, job_watcher_, static_cast<CleanerHost&>(*this)) {
+      store_(runtime, store_settings(settings_)),
+      cloud_(runtime, settings_.cloud, settings_.cloud_rps),
+      job_watcher_(runtime, store_),
+      users_(runtime, settings_, store_, job_watcher_),
+      cleaner_(runtime, settings_, store_, cloud_, job_watcher_, static_cast<CleanerHost&>(*this)) {
     store_.set_share(follower_share(settings_));
     outboxes_.resize(settings_.peers.size());
     peer_is_current_.resize(settings_.peers.size());
@@ -79,7 +80,7 @@
 
 void Controller::log(const events::Event& event) {
     if (!events::is_logged(event)) return;
-    port_.log_context(prefix());
+    runtime_.log_context(prefix());
     events::log(event);
 }
 
@@ -99,7 +100,7 @@
             return respond({503, wire::error_body("not ready")});
         }
         const bool leader_silent = known_.last_announcement_at > 0 &&
-                                   port_.now() - known_.last_announcement_at > kLeaderFresh;
+                                   runtime_.now() - known_.last_announcement_at > kLeaderFresh;
         if (!leader_ && store_.failing_for() > kAloneFor && leader_silent) {
             return respond({503, wire::error_body("cut off")});
         }
@@ -119,7 +120,7 @@
         return respond({503, wire::error_body("the state service does not answer"), 1});
     }
     ++passing_;
-    port_.call(
+    runtime_.call(
         leader->address,
         {"POST", "/peer/user",
          wire::encode_passed_request({request.method, request.target, request.body})},
@@ -136,7 +137,7 @@
 
 bool Controller::leader_is_good() const {
     return !leader_ && known_.store_good &&
-           port_.now() - known_.last_announcement_at < kLeaderFresh;
+           runtime_.now() - known_.last_announcement_at < kLeaderFresh;
 }
 
 const Peer* Controller::peer(const std::string& member) const {
@@ -164,7 +165,7 @@
             users_.set_types(std::move(types));
             return;
         }
-        port_.after(1000 + static_cast<Millis>(port_.random() % 1000), [this] {
+        runtime_.after(1000 + static_cast<Millis>(runtime_.random() % 1000), [this] {
             if (!users_.types_known()) fetch_types();
         });
     });
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -10,10 +10,10 @@
 namespace lichendrift::control {
 
 // One controller node: election, the users' interface, beats and the link to its peers.
-// Everything it does to the world goes through the port.
+// Everything it does to the world goes through the runtime.
 class Controller : private LeaderHost, private CleanerHost {
   public:
-    Controller(net::Port& port, Settings settings);
+    Controller(net::Runtime& runtime, PlanExecutor& planner, Settings settings);
     ~Controller() override;
 
     void start();
@@ -112,7 +112,8 @@
     [[nodiscard]] const Peer* peer(const std::string& member) const;
     [[nodiscard]] std::string prefix() const;
 
-    net::Port& port_;
+    net::Runtime& runtime_;
+    PlanExecutor& planner_;
     Settings settings_;
     store::StoreClient store_;
     cloud::CloudClient cloud_;
--- a/src/control/controller_election.cpp
+++ b/src/control/controller_election.cpp
@@ -29,12 +29,12 @@
         outcome == store::Outcome::Ok ? wire::parse_leader_value(item.value) : std::nullopt;
     if (!leader_record) {
         const auto number = election_;
-        port_.after(300 + static_cast<Millis>(port_.random() % 200), [this, number] {
+        runtime_.after(300 + static_cast<Millis>(runtime_.random() % 200), [this, number] {
             if (number == election_ && !leader_) look();
         });
         return;
     }
-    known_ = {leader_record->member, leader_record->token, item.revision, false, 0, port_.now()};
+    known_ = {leader_record->member, leader_record->token, item.revision, false, 0, runtime_.now()};
     highest_token_ = std::max(highest_token_, leader_record->token);
     // Our own mark from before a restart: nobody else acts under it, so it need not run out.
     if (leader_record->member == settings_.member) return campaign_soon(0, item.revision);
@@ -56,12 +56,8 @@
                 gone = item.value.empty();
                 if (auto leader_record = wire::parse_leader_value(item.value);
                     !gone && leader_record) {
-                    known_ = {leader_record->member,
-                              leader_record->token,
-                              item.revision,
-                              false,
-                              0,
-                              port_.now()};
+                    known_ = {leader_record->member, leader_record->token, item.revision, false, 0,
+                              runtime_.now()};
                     highest_token_ = std::max(highest_token_, leader_record->token);
                     log(events::LeaderObserved{leader_record->member, leader_record->token});
                 }
@@ -74,8 +70,8 @@
 void Controller::campaign_soon(Millis minimum, std::uint64_t leader_revision) {
     const auto number = ++election_;
     // A random wait keeps the nodes from standing at the same moment again and again.
-    const auto wait = minimum + static_cast<Millis>(port_.random() % 120);
-    port_.after(wait, [this, number, leader_revision] {
+    const auto wait = minimum + static_cast<Millis>(runtime_.random() % 120);
+    runtime_.after(wait, [this, number, leader_revision] {
         if (number == election_ && !leader_ && !campaigning_) campaign(leader_revision);
     });
 }
@@ -128,9 +124,10 @@
                         store_.release_lease(lease);
                         campaigning_ = false;
                         const auto number = ++election_;
-                        port_.after(50 + static_cast<Millis>(port_.random() % 150), [this, number] {
-                            if (number == election_ && !leader_) look();
-                        });
+                        runtime_.after(50 + static_cast<Millis>(runtime_.random() % 150),
+                                       [this, number] {
+                                           if (number == election_ && !leader_) look();
+                                       });
                     });
 }
 
@@ -138,12 +135,12 @@
                      Millis sent) {
     ++election_;
     lease_ = lease;
-    known_ = {settings_.member, token, revision, false, 0, port_.now()};
+    known_ = {settings_.member, token, revision, false, 0, runtime_.now()};
     highest_token_ = std::max(highest_token_, token);
     store_.set_share(kLeaderShare);
     cloud_.set_share(0.8);
     valid_until_ = sent + kLeaderLease - kLeaderLeaseMargin;
-    leader_ = std::make_shared<Leader>(port_, settings_, store_, cloud_, job_watcher_,
+    leader_ = std::make_shared<Leader>(runtime_, planner_, settings_, store_, cloud_, job_watcher_,
                                        static_cast<LeaderHost&>(*this), token, revision);
     log(events::LeaderElected{});
     peers_know_at_ = 0;
@@ -156,7 +153,7 @@
 
 void Controller::renew() {
     const auto number = election_;
-    port_.after(kRenew, [this, number] {
+    runtime_.after(kRenew, [this, number] {
         if (number != election_ || !leader_) return;
         renew();
         if (renewing_) return;
@@ -178,14 +175,14 @@
     if (!was) log(events::LeaderLeaseRecovered{});
 }
 
-bool Controller::may_start() { return leader_ && port_.read_clock() < valid_until_; }
+bool Controller::may_start() { return leader_ && runtime_.read_clock() < valid_until_; }
 
 void Controller::step_down(events::StepDownReason reason, std::uint64_t seen_token) {
     if (!leader_) return;
     log(events::LeaderSteppedDown{reason, seen_token});
     leader_->stop();
     // The leader may be the caller: it must live until its own call is over.
-    port_.after(0, [old = std::move(leader_)] {});
+    runtime_.after(0, [old = std::move(leader_)] {});
     leader_.reset();
     store_.release_lease(lease_);
     store_.set_share(follower_share(settings_));
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -44,7 +44,7 @@
 }
 
 void Controller::refuse_malformed(const net::Respond& respond) {
-    malformed_peers_.note(port_.now());
+    malformed_peers_.note(runtime_.now());
     respond(peer_answer(400));
 }
 
@@ -103,7 +103,7 @@
         known_.member = announcement->member;
         known_.token = announcement->token;
         known_.store_good = announcement->store_good;
-        known_.last_announcement_at = port_.now();
+        known_.last_announcement_at = runtime_.now();
         users_.set_counts(announcement->counts, announcement->all);
     }
     respond(peer_answer(200));
@@ -116,11 +116,12 @@
 
 void Controller::announce(const std::vector<wire::JobCounts>& counts, bool all) {
     if (!leader_) return;
-    announced_at_ = port_.now();
+    announced_at_ = runtime_.now();
     const auto body = wire::encode_announcement(
         {settings_.member, leader_->token(), store_.responsive() && may_start(), all, counts});
     for (const auto& s : settings_.peers) {
-        port_.call(s.address, {"POST", "/peer/leader", body}, 1500, [](const net::HttpReply&) {});
+        runtime_.call(s.address, {"POST", "/peer/leader", body}, 1500,
+                      [](const net::HttpReply&) {});
     }
 }
 
@@ -131,18 +132,18 @@
 void Controller::ask_versions() {
     for (std::size_t i = 0; i < peer_is_current_.size(); ++i) {
         if (peer_is_current_[i]) continue;
-        port_.call(settings_.peers[i].address,
-                   {"POST", "/peer/version", wire::encode_version(wire::kProtocolVersion)},
-                   kVersionDeadline, [this, i](const net::HttpReply& reply) {
-                       if (reply.status != 200 || peer_is_current_[i]) return;
-                       const auto version = wire::decode_version(reply.body);
-                       if (!version) return malformed_peers_.note(port_.now());
-                       if (*version < wire::kProtocolVersion) return;
-                       peer_is_current_[i] = true;
-                       if (peers_are_current()) log(events::AllControllersCurrent{});
-                   });
+        runtime_.call(settings_.peers[i].address,
+                      {"POST", "/peer/version", wire::encode_version(wire::kProtocolVersion)},
+                      kVersionDeadline, [this, i](const net::HttpReply& reply) {
+                          if (reply.status != 200 || peer_is_current_[i]) return;
+                          const auto version = wire::decode_version(reply.body);
+                          if (!version) return malformed_peers_.note(runtime_.now());
+                          if (*version < wire::kProtocolVersion) return;
+                          peer_is_current_[i] = true;
+                          if (peers_are_current()) log(events::AllControllersCurrent{});
+                      });
     }
-    if (!peers_are_current()) port_.after(kAskVersionsEvery, [this] { ask_versions(); });
+    if (!peers_are_current()) runtime_.after(kAskVersionsEvery, [this] { ask_versions(); });
 }
 
 bool Controller::peers_are_current() const {
@@ -165,18 +166,18 @@
     constexpr auto kFenced = static_cast<std::uint64_t>(wire::Feature::FencedDuties);
     for (std::size_t i = 0; i < peer_fences_.size(); ++i) {
         if (peer_fences_[i]) continue;
-        port_.call(settings_.peers[i].address,
-                   {"POST", "/peer/features", wire::encode_features(kFenced)}, kVersionDeadline,
-                   [this, i](const net::HttpReply& reply) {
-                       if (reply.status != 200 || peer_fences_[i]) return;
-                       const auto features = wire::decode_features(reply.body);
-                       if (!features) return malformed_peers_.note(port_.now());
-                       if ((*features & kFenced) == 0) return;
-                       peer_fences_[i] = true;
-                       if (peers_fence_duties()) log(events::AllControllersFenceDuties{});
-                   });
+        runtime_.call(settings_.peers[i].address,
+                      {"POST", "/peer/features", wire::encode_features(kFenced)}, kVersionDeadline,
+                      [this, i](const net::HttpReply& reply) {
+                          if (reply.status != 200 || peer_fences_[i]) return;
+                          const auto features = wire::decode_features(reply.body);
+                          if (!features) return malformed_peers_.note(runtime_.now());
+                          if ((*features & kFenced) == 0) return;
+                          peer_fences_[i] = true;
+                          if (peers_fence_duties()) log(events::AllControllersFenceDuties{});
+                      });
     }
-    if (!peers_fence_duties()) port_.after(kAskVersionsEvery, [this] { ask_features(); });
+    if (!peers_fence_duties()) runtime_.after(kAskVersionsEvery, [this] { ask_features(); });
 }
 
 bool Controller::peers_fence_duties() const {
@@ -203,13 +204,13 @@
     auto& box = outboxes_[peer];
     if (box.waiting.empty() || box.under_way >= kMaxAnnouncementsInFlight) return;
     ++box.under_way;
-    port_.call(settings_.peers[peer].address,
-               {"POST", "/peer/cancelled",
-                wire::encode_cancellation_news({0, std::exchange(box.waiting, {})})},
-               kAnnounceDeadline, [this, peer](const net::HttpReply&) {
-                   --outboxes_[peer].under_way;
-                   send_cancelled(peer);
-               });
+    runtime_.call(settings_.peers[peer].address,
+                  {"POST", "/peer/cancelled",
+                   wire::encode_cancellation_news({0, std::exchange(box.waiting, {})})},
+                  kAnnounceDeadline, [this, peer](const net::HttpReply&) {
+                      --outboxes_[peer].under_way;
+                      send_cancelled(peer);
+                  });
 }
 
 void Controller::on_cancellation_news(const wire::CancellationNews& news) {
@@ -220,10 +221,10 @@
 
 void Controller::watch_over_cancellations() {
     const auto number = election_;
-    port_.after(kAskEvery, [this, number] {
+    runtime_.after(kAskEvery, [this, number] {
         if (number != election_ || !leader_) return;
         watch_over_cancellations();
-        const auto age = port_.read_clock() - job_watcher_.read_at();
+        const auto age = runtime_.read_clock() - job_watcher_.read_at();
         // Without users nothing else brings the copy up in time.
         if (age > kAskEvery) job_watcher_.barrier([](bool) {});
         if (age > kCopyIsOld) ask_for_cancellations();
@@ -234,21 +235,21 @@
     if (!settings_.guards.cancellations_announced) return;
     // What a peer tells later than now has cancel_s from then on; so once all have answered,
     // everything told before now is known. One that has forgotten, or is not there, covers nothing.
-    const auto sent = port_.read_clock();
+    const auto sent = runtime_.read_clock();
     const auto since = job_watcher_.revision();
     auto left = std::make_shared<std::size_t>(settings_.peers.size());
     if (settings_.peers.empty()) peers_know_at_ = sent;
     for (const auto& s : settings_.peers) {
-        port_.call(s.address,
-                   {"POST", "/peer/cancellations", wire::encode_cancellation_query(since)},
-                   kAnnounceDeadline, [this, sent, since, left](const net::HttpReply& reply) {
-                       if (reply.status != 200) return;
-                       const auto news = wire::decode_cancellation_news(reply.body);
-                       if (!news) return malformed_peers_.note(port_.now());
-                       on_cancellation_news(*news);
-                       if (news->from > since || --*left > 0) return;
-                       peers_know_at_ = std::max(peers_know_at_, sent);
-                   });
+        runtime_.call(s.address,
+                      {"POST", "/peer/cancellations", wire::encode_cancellation_query(since)},
+                      kAnnounceDeadline, [this, sent, since, left](const net::HttpReply& reply) {
+                          if (reply.status != 200) return;
+                          const auto news = wire::decode_cancellation_news(reply.body);
+                          if (!news) return malformed_peers_.note(runtime_.now());
+                          on_cancellation_news(*news);
+                          if (news->from > since || --*left > 0) return;
+                          peers_know_at_ = std::max(peers_know_at_, sent);
+                      });
     }
 }
 
@@ -257,7 +258,7 @@
 bool Controller::may_run() {
     if (!may_start()) return false;
     return !settings_.guards.runs_on_fresh_copy ||
-           port_.read_clock() - cancellations_known_at() <= kRunOnCopy;
+           runtime_.read_clock() - cancellations_known_at() <= kRunOnCopy;
 }
 
 // The last word on cancellations that needs no message: a lease that is renewed now ends lease_s
@@ -266,7 +267,7 @@
     if (!settings_.guards.cancellations_bound_leases) return true;
     const auto spare = static_cast<Millis>((settings_.cancel_s - settings_.lease_s) * 1000);
     const auto bound = std::max(spare - kCancellationMargin, kMinRenewalTime);
-    const bool may = port_.read_clock() - cancellations_known_at() <= bound;
+    const bool may = runtime_.read_clock() - cancellations_known_at() <= bound;
     if (may == renewals_held_) {
         renewals_held_ = !may;
         if (may) {
--- a/src/control/controller_reports.cpp
+++ b/src/control/controller_reports.cpp
@@ -22,7 +22,7 @@
 void Controller::on_heartbeat(const std::string& body, net::Respond respond) {
     auto report = wire::parse_report(body);
     if (!report) {
-        malformed_workers_.note(port_.now());
+        malformed_workers_.note(runtime_.now());
         return respond({400, wire::error_body("malformed report")});
     }
     highest_token_ = std::max(highest_token_, report->token);
@@ -42,7 +42,7 @@
 }
 
 bool Controller::leader_is_quiet() const {
-    return port_.now() - std::max(known_.last_announcement_at, known_.seen_at) > kLeaderFresh;
+    return runtime_.now() - std::max(known_.last_announcement_at, known_.seen_at) > kLeaderFresh;
 }
 
 void Controller::forward(const core::Report& report, net::Respond respond, bool may_retry) {
@@ -54,10 +54,10 @@
     // A leader that has gone quiet is not worth waiting for at each report: its answer would come
     // after the deadline, and a worker that waits loses time of its lease.
     const bool quiet = leader_is_quiet();
-    if (quiet && port_.now() - forward_tried_ < kForwardAgain) {
+    if (quiet && runtime_.now() - forward_tried_ < kForwardAgain) {
         return relay(report, std::move(respond), 0);
     }
-    forward_tried_ = port_.now();
+    forward_tried_ = runtime_.now();
     const bool short_of_time = quiet || !may_retry;
     send_report(*leader, "/peer/beat", report, short_of_time ? kRelayDeadline : kForwardDeadline,
                 [this, report, respond, requested = known_.token,
@@ -79,16 +79,17 @@
                              Millis deadline,
                              std::function<void(std::optional<wire::HeartbeatAnswer>)> done) {
     ++forwarding_;
-    port_.call(to.address, {"POST", target, wire::encode_report(report)}, deadline,
-               [this, token = report.token, done = std::move(done)](const net::HttpReply& reply) {
-                   --forwarding_;
-                   auto answer = reply.status == 200 ? wire::decode_heartbeat_answer(reply.body)
-                                                     : std::nullopt;
-                   if (reply.status == 200 && !answer) malformed_peers_.note(port_.now());
-                   // An answer with a lower token would be dropped and keep the worker here.
-                   if (answer && answer->token < token) answer.reset();
-                   done(std::move(answer));
-               });
+    runtime_.call(
+        to.address, {"POST", target, wire::encode_report(report)}, deadline,
+        [this, token = report.token, done = std::move(done)](const net::HttpReply& reply) {
+            --forwarding_;
+            auto answer =
+                reply.status == 200 ? wire::decode_heartbeat_answer(reply.body) : std::nullopt;
+            if (reply.status == 200 && !answer) malformed_peers_.note(runtime_.now());
+            // An answer with a lower token would be dropped and keep the worker here.
+            if (answer && answer->token < token) answer.reset();
+            done(std::move(answer));
+        });
 }
 
 // The way to the leader may be closed from here and open from another node, as when two zones can't
@@ -99,12 +100,12 @@
         if (s.member != known_.member) others.push_back(&s);
     }
     // While nobody leads each report would otherwise ask all the others.
-    const bool vain = port_.now() - relay_failed_at_ < kRelayAgain;
+    const bool vain = runtime_.now() - relay_failed_at_ < kRelayAgain;
     // A leader that was heard just now has rather ended: little time is spent on the way round.
     const bool quiet = leader_is_quiet();
     const auto limit = std::min(quiet ? kMaxRelays : 1, others.size());
     if (tries >= limit || vain) {
-        if (!vain) relay_failed_at_ = port_.now();
+        if (!vain) relay_failed_at_ = runtime_.now();
         return unanswered(respond);
     }
     const auto at = (relay_at_ + tries) % others.size();
@@ -135,7 +136,7 @@
     // With the way between the nodes refused the worker may still reach the leader itself. A leader
     // that has ended must not be named, as its worker would lose seconds of its lease there: one
     // that is quiet for longer than its grant lasts, while the state service still shows it, is up.
-    const auto quiet = port_.now() - std::max(known_.last_announcement_at, known_.seen_at);
+    const auto quiet = runtime_.now() - std::max(known_.last_announcement_at, known_.seen_at);
     if (store_.responsive() && quiet > kLeaderLease + 1000 && peer(known_.member) != nullptr) {
         return respond({421, wire::redirect_body(known_.member), 1});
     }
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-JobWatcher::JobWatcher(net::Port& port, store::StoreClient& store) : port_(port), store_(store) {}
+JobWatcher::JobWatcher(net::Runtime& runtime, store::StoreClient& store)
+    : runtime_(runtime), store_(store) {}
 
 void JobWatcher::start() {
     load("", {}, 0);
@@ -24,8 +25,8 @@
 
 void JobWatcher::keep_up() {
     // Without users the copy would fall behind what the state service keeps of changes.
-    port_.after(3000, [this] {
-        if (loaded_ && !asking_ && waiting_.empty() && port_.now() - requested_at_ > 2500) {
+    runtime_.after(3000, [this] {
+        if (loaded_ && !asking_ && waiting_.empty() && runtime_.now() - requested_at_ > 2500) {
             barrier([](bool) {});
         }
         keep_up();
@@ -35,13 +36,13 @@
 void JobWatcher::load(const std::string& since, std::map<std::string, Open> so_far,
                       std::uint64_t revision) {
     loading_ = true;
-    if (revision == 0) load_sent_ = port_.now();
+    if (revision == 0) load_sent_ = runtime_.now();
     store_.list(store::RequestPriority::Place, std::string(kOpen), since,
                 [this, so_far = std::move(so_far), revision](store::Outcome outcome,
                                                              const wire::ItemPage& page) mutable {
                     if (outcome != store::Outcome::Ok) {
-                        port_.after(400 + static_cast<Millis>(port_.random() % 400),
-                                    [this] { load("", {}, 0); });
+                        runtime_.after(400 + static_cast<Millis>(runtime_.random() % 400),
+                                       [this] { load("", {}, 0); });
                         return;
                     }
                     // Changes since the first page are read again by the watch.
@@ -172,7 +173,7 @@
 
 void JobWatcher::barrier(std::function<void(bool)> done) {
     if (!store_.responsive() || waiting_.size() >= kMaxWaiting) {
-        port_.after(0, [done = std::move(done)] { done(false); });
+        runtime_.after(0, [done = std::move(done)] { done(false); });
         return;
     }
     waiting_.push_back(std::move(done));
@@ -184,10 +185,10 @@
         if (!loaded_ && !waiting_.empty()) answer(std::exchange(waiting_, {}), false);
         return;
     }
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     if (now - requested_at_ < kAskSpacing) {
         ask_timer_ = true;
-        port_.after(kAskSpacing - (now - requested_at_), [this] {
+        runtime_.after(kAskSpacing - (now - requested_at_), [this] {
             ask_timer_ = false;
             ask();
         });
@@ -198,7 +199,7 @@
 
 void JobWatcher::issue() {
     asking_ = true;
-    requested_at_ = port_.now();
+    requested_at_ = runtime_.now();
     auto waiting = std::move(waiting_);
     waiting_.clear();
     const auto sent = requested_at_;
@@ -256,7 +257,7 @@
 
 void JobWatcher::long_watch() {
     const auto number = follow_number_;
-    const auto sent = port_.now();
+    const auto sent = runtime_.now();
     store_.watch(store::RequestPriority::Place, "o", revision_, 8000,
                  [this, number, sent](store::Outcome outcome, const wire::ItemPage& page) {
                      if (number != follow_number_) return;
@@ -271,7 +272,7 @@
                              load("", {}, 0);
                          }
                      }
-                     port_.after(pause, [this, number] {
+                     runtime_.after(pause, [this, number] {
                          if (number == follow_number_) long_watch();
                      });
                  });
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <unordered_map>
 
-#include "net/port.h"
+#include "net/runtime.h"
 #include "store/store_client.h"
 #include "wire/cbor_messages.h"
 
@@ -29,7 +29,7 @@
         std::function<void(const std::string&, bool aborted)> on_over;
     };
 
-    JobWatcher(net::Port& port, store::StoreClient& store);
+    JobWatcher(net::Runtime& runtime, store::StoreClient& store);
     void start();
 
     // Calls back with true once everything that the state service had applied at the time of the
@@ -78,7 +78,7 @@
     void keep_up();
     void remember_final(const std::string& id, bool aborted, std::uint64_t revision);
 
-    net::Port& port_;
+    net::Runtime& runtime_;
     store::StoreClient& store_;
     bool loaded_ = false;
     bool ever_loaded_ = false;
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -22,10 +22,11 @@
 
 }  // namespace
 
-Leader::Leader(net::Port& port, const Settings& settings, store::StoreClient& store,
-               cloud::CloudClient& cloud, JobWatcher& job_watcher, LeaderHost& host,
-               std::uint64_t token, std::uint64_t leader_revision)
-    : port_(port),
+Leader::Leader(net::Runtime& runtime, PlanExecutor& planner, const Settings& settings,
+               store::StoreClient& store, cloud::CloudClient& cloud, JobWatcher& job_watcher,
+               LeaderHost& host, std::uint64_t token, std::uint64_t leader_revision)
+    : runtime_(runtime),
+      planner_(planner),
       settings_(settings),
       store_(store),
       cloud_(cloud),
@@ -56,7 +57,7 @@
     }
     cs.tasks_per_record = std::max(8U, static_cast<std::uint32_t>(kilobytes * 1024 / 80));
     for (const auto& zone : settings.zones) shared_->zones.intern(zone);
-    duties_ = std::make_shared<MachineDuties>(port, settings, store, cloud, host,
+    duties_ = std::make_shared<MachineDuties>(runtime, settings, store, cloud, host,
                                               static_cast<MachineDutiesListener&>(*this), token,
                                               leader_revision);
     shared_->cluster = std::make_unique<core::Cluster>(cs, shared_->types, shared_->zones);
@@ -83,7 +84,7 @@
 
 void Leader::tick() {
     if (stopped_) return;
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     if (now - types_at_ > (types_known_ ? 20000 : 1000)) poll_types();
     const auto list_every =
         std::max<Millis>(3000, static_cast<Millis>(settings_.cloud_list_lag_s * 1000));
@@ -111,7 +112,7 @@
     release_machines();
     dispatch();
     sync_machines();
-    port_.after(kTick, [self = shared_from_this()] { self->tick(); });
+    runtime_.after(kTick, [self = shared_from_this()] { self->tick(); });
 }
 
 void Leader::changed() {
@@ -126,7 +127,7 @@
         return std::nullopt;
     }
     if (!ready_) return heartbeat_before_ready(report);
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     // A lease that nobody can vouch for ends: work on that machine may have been called off.
     const bool may_renew = host_.may_renew_leases();
     const bool may_start = host_.may_run();
@@ -168,7 +169,7 @@
     // Raises the token at machines whose reports still carry an older one, so that commands of
     // earlier leaders, late copies included, end there.
     if (calls_open_ >= kMaxDirectCommands) return;
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const auto limit = kMaxDirectCommands - calls_open_;
     for (const auto& name : with([&](core::Cluster& c) { return c.machines_to_ask(limit, now); })) {
         direct(name);
@@ -178,7 +179,7 @@
 void Leader::dispatch() {
     if (!ready_ || calls_open_ >= kMaxDirectCommands) return;
     const bool may_start = host_.may_run();
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const auto limit = kMaxDirectCommands - calls_open_;
     for (const auto& name :
          with([&](core::Cluster& c) { return c.machines_with_commands(may_start, limit, now); })) {
@@ -187,7 +188,7 @@
 }
 
 void Leader::direct(const std::string& machine) {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const bool may_start = host_.may_run();
     auto commands =
         with([&](core::Cluster& c) { return c.direct_commands(machine, may_start, now); });
@@ -195,13 +196,13 @@
     // A machine that was never heard is in its first session, or says so in its answer.
     if (commands.session == 0) commands.session = 1;
     ++calls_open_;
-    port_.call(
+    runtime_.call(
         commands.endpoint,
         {"POST", "/do", wire::direct_body(commands.token, commands.session, commands.commands)},
         kDirectDeadline, [self = shared_from_this(), commands](const net::HttpReply& reply) {
             --self->calls_open_;
             if (self->stopped_) return;
-            const auto at = self->port_.now();
+            const auto at = self->runtime_.now();
             using Result = core::Cluster::DirectResult;
             auto report = reply.status == 200 || reply.status == 409
                               ? wire::parse_report(reply.body)
@@ -236,14 +237,14 @@
         plan_wanted_ = true;
         return;
     }
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     // Planning gets a bounded part of the time: on a slow or busy machine plans come less often,
     // rather than beats and renewals late.
     const auto spacing = std::clamp(plan_took_ * kPlanPause, kPlanSpacing, kLongestSpacing);
     if (now - planned_at_ < spacing) {
         if (plan_timer_) return;
         plan_timer_ = true;
-        port_.after(spacing - (now - planned_at_), [self = shared_from_this()] {
+        runtime_.after(spacing - (now - planned_at_), [self = shared_from_this()] {
             self->plan_timer_ = false;
             self->ask_plan();
         });
@@ -252,8 +253,8 @@
     planned_at_ = now;
     planning_ = true;
     plan_wanted_ = false;
-    const auto wall = port_.wall_ms();
-    port_.plan(
+    const auto wall = runtime_.wall_ms();
+    planner_.plan(
         [shared = shared_, now, wall] {
             std::scoped_lock lock(shared->mutex);
             return shared->cluster->snapshot(now, wall);
@@ -261,8 +262,8 @@
         [self = shared_from_this()](const core::Plan& plan) {
             self->planning_ = false;
             if (self->stopped_) return;
-            self->plan_took_ = self->port_.now() - self->planned_at_;
-            self->planned_at_ = self->port_.now();
+            self->plan_took_ = self->runtime_.now() - self->planned_at_;
+            self->planned_at_ = self->runtime_.now();
             self->planned(plan);
             if (self->plan_wanted_) self->ask_plan();
         });
@@ -270,7 +271,7 @@
 
 void Leader::planned(const core::Plan& plan) {
     if (!host_.may_start()) return;
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const auto applied = with([&](core::Cluster& c) { return c.apply(plan, now); });
     for (const auto& event : applied.events) host_.log(event);
     if (applied.starts + applied.stops > 0) {
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -8,6 +8,7 @@
 #include "cloud/cloud_client.h"
 #include "control/job_watcher.h"
 #include "control/machine_duties.h"
+#include "control/plan_executor.h"
 #include "control/settings.h"
 #include "core/cluster.h"
 #include "events/event.h"
@@ -41,9 +42,9 @@
 // the election is won and dropped when it is lost.
 class Leader : public std::enable_shared_from_this<Leader>, private MachineDutiesListener {
   public:
-    Leader(net::Port& port, const Settings& settings, store::StoreClient& store,
-           cloud::CloudClient& cloud, JobWatcher& job_watcher, LeaderHost& host,
-           std::uint64_t token, std::uint64_t leader_revision);
+    Leader(net::Runtime& runtime, PlanExecutor& planner, const Settings& settings,
+           store::StoreClient& store, cloud::CloudClient& cloud, JobWatcher& job_watcher,
+           LeaderHost& host, std::uint64_t token, std::uint64_t leader_revision);
 
     void start(const std::vector<core::MachineType>& known_types);
     void stop();
@@ -107,10 +108,11 @@
     [[nodiscard]] std::optional<wire::HeartbeatAnswer> heartbeat_before_ready(
         const core::Report& report) const;
     [[nodiscard]] Millis age_of(const core::JobText& job) {
-        return port_.wall_ms() - job.submitted_ms;
+        return runtime_.wall_ms() - job.submitted_ms;
     }
 
-    net::Port& port_;
+    net::Runtime& runtime_;
+    PlanExecutor& planner_;
     const Settings& settings_;
     store::StoreClient& store_;
     cloud::CloudClient& cloud_;
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -13,7 +13,7 @@
 void Leader::poll_types() {
     if (asking_types_) return;
     asking_types_ = true;
-    types_at_ = port_.now();
+    types_at_ = runtime_.now();
     cloud_.types([self = shared_from_this()](cloud::Answer answer,
                                              const std::vector<core::MachineType>& types) {
         self->asking_types_ = false;
@@ -28,13 +28,13 @@
 void Leader::poll_list() {
     if (listing_) return;
     listing_ = true;
-    listed_at_ = port_.now();
+    listed_at_ = runtime_.now();
     cloud_.list([self = shared_from_this()](cloud::Answer answer,
                                             const std::vector<core::ListedMachine>& machines,
                                             const std::set<std::string>& names) {
         self->listing_ = false;
         if (self->stopped_) return;
-        const auto now = self->port_.now();
+        const auto now = self->runtime_.now();
         self->with([&](core::Cluster& c) {
             c.on_list(machines, now);
             if (answer == cloud::Answer::Ok) c.on_list_complete(names, now);
@@ -49,7 +49,7 @@
 }
 
 void Leader::release_machines() {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     std::vector<std::pair<std::string, bool>> wanted;
     with([&](core::Cluster& c) {
         for (auto& name : c.next_releases(kMaxReleases, now)) {
@@ -63,13 +63,13 @@
 }
 
 void Leader::on_releases_inherited(const std::vector<std::string>& machines) {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     with([&](core::Cluster& c) { c.release_pending(machines, now); });
     host_.log(events::ReleasesInherited{machines.size(), machines.front()});
 }
 
 void Leader::on_released(const std::vector<std::string>& machines) {
-    with([&](core::Cluster& c) { c.on_released(machines, true, port_.now()); });
+    with([&](core::Cluster& c) { c.on_released(machines, true, runtime_.now()); });
     host_.log(events::MachinesReleased{machines.size(), machines.front()});
     changed();
 }
@@ -94,7 +94,7 @@
 void Leader::on_provisioned(const duty::ProvisionRequest& order,
                             const std::vector<std::string>& machines, bool refused,
                             cloud::Answer answer) {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     // Without an answer it is asked again; the next plan waits for what comes of it.
     if (answer == cloud::Answer::NoAnswer && duties_->provisioning_in_flight()) return;
     provisioned_at_ = now;
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -45,7 +45,7 @@
 
 void Leader::write_placement_records() {
     if (record_writes_in_flight_ >= kMaxRecordWrites + kMaxUrgentRecordWrites) return;
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const bool lazy = store_.has_room_for(store_.transaction_operations());
     auto writes =
         with([&](core::Cluster& c) { return c.next_record_writes(record_limits(), lazy, now); });
@@ -69,7 +69,7 @@
                      writes = std::move(writes)](const store::TransactionResult& result) {
                         --self->record_writes_in_flight_;
                         if (self->stopped_ || self->lost(result)) return;
-                        const auto at = self->port_.now();
+                        const auto at = self->runtime_.now();
                         for (const auto& w : writes) {
                             const auto key =
                                 "place/" + w.job_id + "/" + std::to_string(w.record_number);
@@ -104,7 +104,7 @@
                "place/" + write.job_id + "/" + std::to_string(write.record_number),
                [self = shared_from_this(), write](store::Outcome outcome, const wire::Item& item) {
                    if (self->stopped_) return;
-                   const auto now = self->port_.now();
+                   const auto now = self->runtime_.now();
                    if (outcome == store::Outcome::Missing) {
                        self->with([&](core::Cluster& c) { c.on_record_reread(write, 0, 0, now); });
                    } else if (auto record = outcome == store::Outcome::Ok
@@ -114,7 +114,7 @@
                            c.on_record_reread(write, item.revision, record->nonce, now);
                        });
                    } else {
-                       self->port_.after(300, [self, write] {
+                       self->runtime_.after(300, [self, write] {
                            if (!self->stopped_) self->reread(write);
                        });
                        return;
@@ -126,7 +126,7 @@
 
 void Leader::write_finals() {
     while (final_writes_ < 3) {
-        const auto now = port_.now();
+        const auto now = runtime_.now();
         core::JobText text;
         auto write = with([&](core::Cluster& c) {
             auto w = c.next_final_write(store_.transaction_operations() - 2, now);
@@ -153,7 +153,7 @@
                 if (self->stopped_ || self->lost(result)) return;
                 const bool ok = result.outcome == store::Outcome::Ok;
                 self->with(
-                    [&](core::Cluster& c) { c.final_written(write, ok, self->port_.now()); });
+                    [&](core::Cluster& c) { c.final_written(write, ok, self->runtime_.now()); });
                 if (ok) {
                     self->host_.log(events::JobCompleted{write.job_id});
                     self->job_watcher_.wrote_final(write.job_id, false, result.revision);
@@ -191,7 +191,7 @@
                         const auto hints = wire::parse_image_hints_value(item.value);
                         if (!hints) continue;
                         self->with([&](core::Cluster& c) {
-                            c.load_image_hints(*hints, self->port_.now());
+                            c.load_image_hints(*hints, self->runtime_.now());
                         });
                     }
                 });
@@ -204,7 +204,7 @@
     const auto parts = with([&](core::Cluster& c) {
         return 1 + c.machine_count() / std::max<std::size_t>(1, value_bytes / kHintBytes);
     });
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const auto pause = std::max(kHintPause, kHintsEvery / static_cast<Millis>(parts));
     if (now - hints_at_ < pause || !store_.has_room_for(1)) return;
     hints_at_ = now;
--- a/src/control/leader_takeover.cpp
+++ b/src/control/leader_takeover.cpp
@@ -15,13 +15,13 @@
     job_watcher_.barrier([self = shared_from_this()](bool ok) {
         if (self->stopped_) return;
         if (!ok) {
-            self->port_.after(200, [self] {
+            self->runtime_.after(200, [self] {
                 if (!self->stopped_) self->load_jobs();
             });
             return;
         }
         self->jobs_read_ = true;
-        const auto now = self->port_.now();
+        const auto now = self->runtime_.now();
         self->with([&](core::Cluster& c) {
             c.records_to_come();
             for (const auto& [id, job] : self->job_watcher_.all_open()) {
@@ -32,14 +32,15 @@
             {[self](const core::JobText& text, std::uint64_t revision) {
                  if (self->stopped_) return;
                  self->with([&](core::Cluster& c) {
-                     c.add_job(text, revision, self->port_.now(), false, self->age_of(text));
+                     c.add_job(text, revision, self->runtime_.now(), false, self->age_of(text));
                  });
                  self->host_.log(events::JobOpened{text.id, text.cls, text.count});
                  self->changed();
              },
              [self](const std::string& id, bool aborted) {
                  if (self->stopped_) return;
-                 self->with([&](core::Cluster& c) { c.job_over(id, aborted, self->port_.now()); });
+                 self->with(
+                     [&](core::Cluster& c) { c.job_over(id, aborted, self->runtime_.now()); });
                  self->changed();
              }});
         self->load_places("");
@@ -52,7 +53,7 @@
         [self = shared_from_this(), since](store::Outcome outcome, const wire::ItemPage& page) {
             if (self->stopped_) return;
             if (outcome != store::Outcome::Ok) {
-                self->port_.after(200, [self, since] {
+                self->runtime_.after(200, [self, since] {
                     if (!self->stopped_) self->load_places(since);
                 });
                 return;
@@ -100,11 +101,11 @@
                        auto over = wire::parse_over_value(id, item.value);
                        if (over && over->job) {
                            self->with([&](core::Cluster& c) {
-                               c.add_job(*over->job, 0, self->port_.now(), true);
+                               c.add_job(*over->job, 0, self->runtime_.now(), true);
                            });
                        }
                    } else if (outcome != store::Outcome::Missing) {
-                       self->port_.after(200, [self, at] {
+                       self->runtime_.after(200, [self, at] {
                            if (!self->stopped_) self->load_over(at);
                        });
                        return;
@@ -118,10 +119,10 @@
     // A machine that an earlier leader meant to release must not get work.
     if (!duties_->inherited_known()) {
         duties_->pump();
-        port_.after(kIntentsPause, [self = shared_from_this()] { self->loaded(); });
+        runtime_.after(kIntentsPause, [self = shared_from_this()] { self->loaded(); });
         return;
     }
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     with([&](core::Cluster& c) {
         for (const auto& place : places_) {
             if (c.has_job(place.job)) {
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -39,22 +39,22 @@
 
 }  // namespace
 
-MachineDuties::MachineDuties(net::Port& port, const Settings& settings, store::StoreClient& store,
-                             cloud::CloudClient& cloud, LeaderHost& host,
+MachineDuties::MachineDuties(net::Runtime& runtime, const Settings& settings,
+                             store::StoreClient& store, cloud::CloudClient& cloud, LeaderHost& host,
                              MachineDutiesListener& listener, std::uint64_t term,
                              std::uint64_t leader_revision)
-    : port_(port),
+    : runtime_(runtime),
       store_(store),
       cloud_(cloud),
       host_(host),
       listener_(listener),
       holder_(holder_setup(settings, term, leader_revision)),
       intents_kept_(settings.guards.intent_kept),
-      reported_at_(port.now()) {}
+      reported_at_(runtime.now()) {}
 
 duty::MachineHolder::Moment MachineDuties::moment() {
     duty::MachineHolder::Moment moment;
-    moment.now = port_.now();
+    moment.now = runtime_.now();
     moment.sure = host_.may_start();
     moment.records_known = records_known_;
     moment.not_after = host_.sure_until();
@@ -87,11 +87,11 @@
 }
 
 void MachineDuties::want_release(const std::string& machine, bool urgent) {
-    holder_.want_release(machine, urgent, port_.now());
+    holder_.want_release(machine, urgent, runtime_.now());
 }
 
 void MachineDuties::want_provision(duty::ProvisionRequest order) {
-    holder_.want_provision(std::move(order), port_.now());
+    holder_.want_provision(std::move(order), runtime_.now());
 }
 
 // ---- the state service ----
@@ -111,7 +111,7 @@
                    }
                    const bool held = self->holder_.claim(duty).held();
                    self->holder_.on_duty_read(duty, read, record.value_or(duty::DutyRecord{}),
-                                              item.revision, self->port_.now());
+                                              item.revision, self->runtime_.now());
                    self->note_claim(duty, held);
                    if (read != duty::ReadOutcome::Failed) self->pump_again();
                });
@@ -128,7 +128,7 @@
                         self->host_.log(events::RecordUnreadable{item.key});
                     }
                     const auto machines = self->holder_.on_intents_read(
-                        outcome == store::Outcome::Ok, stored, page.more, self->port_.now());
+                        outcome == store::Outcome::Ok, stored, page.more, self->runtime_.now());
                     if (!machines.empty()) self->listener_.on_releases_inherited(machines);
                     if (outcome == store::Outcome::Ok) self->pump_again();
                 });
@@ -144,7 +144,7 @@
                    if (read == duty::ReadOutcome::Found) stored = wire::parse_intent(item);
                    if (stored.damaged) read = duty::ReadOutcome::Damaged;
                    self->holder_.on_intent_read(slot, read, stored.intent, item.revision,
-                                                self->port_.now());
+                                                self->runtime_.now());
                    self->pump_again();
                });
 }
@@ -154,7 +154,7 @@
                [self = shared_from_this(), duty = action.duty](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    const bool held = self->holder_.claim(duty).held();
-                   self->holder_.on_duty_written(duty, result, self->port_.now());
+                   self->holder_.on_duty_written(duty, result, self->runtime_.now());
                    self->note_claim(duty, held);
                    self->pump_again();
                });
@@ -164,7 +164,7 @@
     send_write(store_, store::RequestPriority::Submit, action.write,
                [self = shared_from_this(), slot = action.slot](const duty::WriteResult& result) {
                    if (self->stopped_) return;
-                   self->holder_.on_intent_written(slot, result, self->port_.now());
+                   self->holder_.on_intent_written(slot, result, self->runtime_.now());
                    self->pump_again();
                });
 }
@@ -173,7 +173,7 @@
     send_write(store_, store::RequestPriority::Read, action.write,
                [self = shared_from_this(), slots = action.slots](const duty::WriteResult& result) {
                    if (self->stopped_) return;
-                   self->holder_.on_intents_removed(slots, result, self->port_.now());
+                   self->holder_.on_intents_removed(slots, result, self->runtime_.now());
                    if (self->holder_.lost()) self->listener_.on_lease_lost();
                });
 }
@@ -187,7 +187,8 @@
         const bool doubtful = answer == cloud::Answer::NoAnswer;
         if (doubtful && !self->intents_kept_) answer = cloud::Answer::Ok;
         if (answer == cloud::Answer::Stale) self->note_stale("release");
-        self->holder_.on_released(slot, machines.size(), cloud_outcome(answer), self->port_.now());
+        self->holder_.on_released(slot, machines.size(), cloud_outcome(answer),
+                                  self->runtime_.now());
         if (answer != cloud::Answer::Ok) return;
         self->listener_.on_released(machines);
         self->pump_again();
@@ -195,17 +196,18 @@
 }
 
 void MachineDuties::carry_out(const duty::MachineHolder::RequestProvision& action) {
-    cloud_.provision(action.request, [self = shared_from_this(), slot = action.slot,
-                                      order = action.request.order()](
-                                         cloud::Answer answer,
-                                         const std::vector<std::string>& machines) {
-        if (self->stopped_) return;
-        if (answer == cloud::Answer::Stale) self->note_stale(order.request);
-        self->holder_.on_provisioned(slot, order.request, cloud_outcome(answer), self->port_.now());
-        const bool few = answer == cloud::Answer::Ok && machines.size() < order.number;
-        self->listener_.on_provisioned(order, machines, few || answer == cloud::Answer::NoCapacity,
-                                       answer);
-    });
+    cloud_.provision(
+        action.request,
+        [self = shared_from_this(), slot = action.slot, order = action.request.order()](
+            cloud::Answer answer, const std::vector<std::string>& machines) {
+            if (self->stopped_) return;
+            if (answer == cloud::Answer::Stale) self->note_stale(order.request);
+            self->holder_.on_provisioned(slot, order.request, cloud_outcome(answer),
+                                         self->runtime_.now());
+            const bool few = answer == cloud::Answer::Ok && machines.size() < order.number;
+            self->listener_.on_provisioned(order, machines,
+                                           few || answer == cloud::Answer::NoCapacity, answer);
+        });
 }
 
 // ---- what operators see ----
@@ -228,7 +230,7 @@
 
 void MachineDuties::report() {
     if (!holder_.fenced()) return;
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const auto& ledger = holder_.ledger();
     if (const auto oldest = ledger.oldest_open();
         oldest && now - oldest->since > kStuckAfter && now - reported_stuck_at_ > kStuckAfter) {
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -30,7 +30,7 @@
 // requests to the cloud. Lives as long as the term.
 class MachineDuties : public std::enable_shared_from_this<MachineDuties> {
   public:
-    MachineDuties(net::Port& port, const Settings& settings, store::StoreClient& store,
+    MachineDuties(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
                   cloud::CloudClient& cloud, LeaderHost& host, MachineDutiesListener& listener,
                   std::uint64_t term, std::uint64_t leader_revision);
 
@@ -63,7 +63,7 @@
     void report();
     void pump_again();
 
-    net::Port& port_;
+    net::Runtime& runtime_;
     store::StoreClient& store_;
     cloud::CloudClient& cloud_;
     LeaderHost& host_;
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-UserApi::UserApi(net::Port& port, const Settings& settings, store::StoreClient& store,
+UserApi::UserApi(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
                  JobWatcher& job_watcher)
-    : port_(port), settings_(settings), store_(store), job_watcher_(job_watcher) {}
+    : runtime_(runtime), settings_(settings), store_(store), job_watcher_(job_watcher) {}
 
 void UserApi::set_counts(const std::vector<wire::JobCounts>& counts, bool all) {
     if (all) counts_.clear();
@@ -32,8 +32,8 @@
 void UserApi::refuse(const net::Respond& respond, const char* reason) {
     ++refused_;
     // Counted, and told once in a while: a flood of refusals must not become a flood of lines.
-    if (port_.now() - refusals_reported_at_ > kReportInterval) {
-        refusals_reported_at_ = port_.now();
+    if (runtime_.now() - refusals_reported_at_ > kReportInterval) {
+        refusals_reported_at_ = runtime_.now();
         events::log(events::RequestsRefused{refused_, reason});
     }
     respond({503, wire::error_body(reason), kRetryAfterS});
@@ -131,7 +131,7 @@
         return;
     }
     if (queue_.size() >= kMaxQueued) return refuse(respond, "too many submissions at once");
-    job.submitted_ms = port_.wall_ms();
+    job.submitted_ms = runtime_.wall_ms();
     Submission submission;
     submission.value = wire::job_value(job);
     if (!fits(submission)) {
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -14,7 +14,7 @@
 // state service alone. What can't be taken is refused at once with 503 and Retry-After.
 class UserApi {
   public:
-    UserApi(net::Port& port, const Settings& settings, store::StoreClient& store,
+    UserApi(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
             JobWatcher& job_watcher);
 
     void handle(const net::HttpRequest& request, net::Respond respond);
@@ -40,7 +40,7 @@
     void refuse(const net::Respond& respond, const char* reason);
     [[nodiscard]] std::string check(const core::JobText& job) const;
 
-    net::Port& port_;
+    net::Runtime& runtime_;
     const Settings& settings_;
     store::StoreClient& store_;
     JobWatcher& job_watcher_;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -7,7 +7,7 @@
 
 #include "net/event_loop.h"
 #include "net/http_server.h"
-#include "net/port.h"
+#include "net/runtime.h"
 
 namespace lichendrift::net {
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -5,7 +5,7 @@
 #include <unordered_map>
 
 #include "net/event_loop.h"
-#include "net/port.h"
+#include "net/runtime.h"
 
 namespace lichendrift::net {
 
--- a/src/net/port.h
+++ b/src/net/runtime.h
@@ -4,7 +4,6 @@
 #include <functional>
 #include <string>
 
-#include "core/planner.h"
 #include "core/types.h"
 
 // What the controller needs of the world. The daemon gives it sockets and timers, the tests
@@ -40,9 +39,9 @@
 using OnReply = std::function<void(HttpReply)>;
 using TimerId = std::uint64_t;
 
-class Port {
+class Runtime {
   public:
-    virtual ~Port() = default;
+    virtual ~Runtime() = default;
     virtual Millis now() = 0;            // steady, as of the last wait
     virtual Millis read_clock() = 0;     // steady, read anew: for what depends on the grant
     virtual std::int64_t wall_ms() = 0;  // time of day
@@ -54,9 +53,6 @@
     virtual void log_context(const std::string& /*text*/) {}
     virtual TimerId after(Millis delay, std::function<void()> fn) = 0;
     virtual void cancel(TimerId id) = 0;
-    // Runs both away from the loop, then `done` on the loop.
-    virtual void plan(std::function<core::Snapshot()> take,
-                      std::function<void(core::Plan)> done) = 0;
 };
 
 }  // namespace lichendrift::net
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -28,16 +28,16 @@
 
 }  // namespace
 
-StoreClient::StoreClient(net::Port& port, StoreSettings settings)
-    : port_(port), settings_(std::move(settings)) {
-    filled_at_ = port_.now();
-    last_good_ = port_.now();
+StoreClient::StoreClient(net::Runtime& runtime, StoreSettings settings)
+    : runtime_(runtime), settings_(std::move(settings)) {
+    filled_at_ = runtime_.now();
+    last_good_ = runtime_.now();
     tokens_ = share_.requests * settings_.rps * 0.5;
     write_tokens_ = share_.changes * settings_.write_rps * 0.5;
 }
 
 void StoreClient::refill() {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     const double s = static_cast<double>(now - filled_at_) / 1000.0;
     filled_at_ = now;
     const double rate = share_.requests * settings_.rps;
@@ -53,17 +53,18 @@
                        Millis timeout, net::OnReply done) {
     auto& queue = queues_[static_cast<std::size_t>(priority)];
     if (queue.size() >= kMaxQueued) {
-        port_.after(0, [done = std::move(done)] { done({0, {}, false}); });
+        runtime_.after(0, [done = std::move(done)] { done({0, {}, false}); });
         return;
     }
     queue.push_back({std::move(request), static_cast<double>(writes),
-                     port_.now() + std::min<Millis>(timeout, kTimeout), timeout, std::move(done)});
+                     runtime_.now() + std::min<Millis>(timeout, kTimeout), timeout,
+                     std::move(done)});
     pump();
 }
 
 void StoreClient::pump() {
     refill();
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     Millis wait = 0;
     // Changes that have to wait for the pace hold up later changes, but no reads: a leader with
     // more to write than it may would refuse every question of its users.
@@ -74,7 +75,7 @@
             if (next->expires <= now) {
                 auto done = std::move(next->done);
                 next = queue.erase(next);
-                port_.after(0, [done = std::move(done)] { done({0, {}, false}); });
+                runtime_.after(0, [done = std::move(done)] { done({0, {}, false}); });
                 continue;
             }
             const double writes = next->writes;
@@ -100,7 +101,7 @@
     if (writes_wait) wait = 20;
     if (wait > 0 && !timer_) {
         timer_ = true;
-        port_.after(wait, [this, alive = std::weak_ptr<bool>(alive_)] {
+        runtime_.after(wait, [this, alive = std::weak_ptr<bool>(alive_)] {
             if (alive.expired()) return;
             timer_ = false;
             pump();
@@ -111,21 +112,21 @@
 void StoreClient::launch(Pending pending) {
     const auto number = ++next_open_;
     const bool counted = pending.timeout <= kTimeout;  // long watches may stay silent
-    if (counted) open_.emplace_back(number, port_.now());
-    port_.call(settings_.address, std::move(pending.request), pending.timeout,
-               [this, number, counted, done = std::move(pending.done),
-                alive = std::weak_ptr<bool>(alive_)](net::HttpReply reply) {
-                   if (alive.expired()) return;
-                   if (counted) {
-                       std::erase_if(open_, [&](const auto& o) { return o.first == number; });
-                   }
-                   note(reply.status);
-                   done(std::move(reply));
-               });
+    if (counted) open_.emplace_back(number, runtime_.now());
+    runtime_.call(settings_.address, std::move(pending.request), pending.timeout,
+                  [this, number, counted, done = std::move(pending.done),
+                   alive = std::weak_ptr<bool>(alive_)](net::HttpReply reply) {
+                      if (alive.expired()) return;
+                      if (counted) {
+                          std::erase_if(open_, [&](const auto& o) { return o.first == number; });
+                      }
+                      note(reply.status);
+                      done(std::move(reply));
+                  });
 }
 
 void StoreClient::note(int status) {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     if (status == 429) pause_until_ = now + 150;
     if (status == 0 || status == 503) {
         if (first_bad_ == 0) first_bad_ = now;
@@ -141,7 +142,7 @@
     // a question of our own a node would learn late that it answers again.
     if (probing_) return;
     probing_ = true;
-    port_.after(kProbeEvery, [this, alive = std::weak_ptr<bool>(alive_)] {
+    runtime_.after(kProbeEvery, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
         probing_ = false;
         if (first_bad_ != 0) get(RequestPriority::Read, "token", [](Outcome, const wire::Item&) {});
@@ -149,7 +150,7 @@
 }
 
 bool StoreClient::responsive() const {
-    const auto now = port_.now();
+    const auto now = runtime_.now();
     if (first_bad_ != 0 && now - first_bad_ > 300) return false;
     return open_.empty() || now - open_.front().second < 700;
 }
@@ -160,7 +161,9 @@
            tokens_ >= 2 && write_tokens_ >= static_cast<double>(writes);
 }
 
-Millis StoreClient::failing_for() const { return first_bad_ == 0 ? 0 : port_.now() - first_bad_; }
+Millis StoreClient::failing_for() const {
+    return first_bad_ == 0 ? 0 : runtime_.now() - first_bad_;
+}
 
 void StoreClient::get(RequestPriority priority, const std::string& key, OnItem done) {
     send(priority, {"GET", "/store/" + key, ""}, 0, kTimeout,
@@ -168,7 +171,7 @@
              auto outcome = plain_outcome(reply);
              if (outcome != Outcome::Ok) return done(outcome, {});
              auto item = wire::parse_item(reply.body);
-             if (!item) return malformed_.note(port_.now()), done(Outcome::Unknown, {});
+             if (!item) return malformed_.note(runtime_.now()), done(Outcome::Unknown, {});
              done(Outcome::Ok, std::move(*item));
          });
 }
@@ -183,7 +186,7 @@
              auto outcome = plain_outcome(reply);
              if (outcome != Outcome::Ok) return done(outcome, {});
              auto page = wire::parse_items(reply.body);
-             if (!page) return malformed_.note(port_.now()), done(Outcome::Unknown, {});
+             if (!page) return malformed_.note(runtime_.now()), done(Outcome::Unknown, {});
              done(Outcome::Ok, std::move(*page));
          });
 }
@@ -208,7 +211,7 @@
                  if (revision) {
                      result.revision = *revision;
                  } else {
-                     malformed_.note(port_.now());
+                     malformed_.note(runtime_.now());
                      result.outcome = Outcome::Unknown;
                  }
              } else if (result.outcome == Outcome::Conflict) {
@@ -231,21 +234,21 @@
     } else if (operations > kMinOperations) {
         settings_.transaction_operations = std::max(kMinOperations, operations / 2);
     }
-    if (port_.now() - rejection_reported_at_ < kReportInterval) return;
-    rejection_reported_at_ = port_.now();
+    if (runtime_.now() - rejection_reported_at_ < kReportInterval) return;
+    rejection_reported_at_ = runtime_.now();
     events::log(events::StateLimitsLowered{
         operations, largest_value, settings_.transaction_operations, settings_.value_bytes});
 }
 
 void StoreClient::create_lease(Millis ttl, OnLease done) {
-    const auto sent = port_.now();
+    const auto sent = runtime_.now();
     send(RequestPriority::Leadership,
          {"POST", "/grants", wire::lease_body(static_cast<std::uint64_t>(ttl))}, 0, 1000,
          [this, done = std::move(done), sent](const net::HttpReply& reply) {
              auto outcome = plain_outcome(reply);
              const auto id = wire::parse_lease(reply.body);
              if (outcome == Outcome::Ok && !id) {
-                 malformed_.note(port_.now());
+                 malformed_.note(runtime_.now());
                  outcome = Outcome::Unknown;
              }
              done(outcome, id.value_or(0), sent);
@@ -253,7 +256,7 @@
 }
 
 void StoreClient::renew_lease(std::uint64_t lease, OnLease done) {
-    const auto sent = port_.now();
+    const auto sent = runtime_.now();
     send(RequestPriority::Leadership, {"POST", "/grants/" + std::to_string(lease) + "/touch", ""},
          0, 1000, [done = std::move(done), lease, sent](const net::HttpReply& reply) {
              done(plain_outcome(reply), lease, sent);
@@ -277,7 +280,7 @@
              auto outcome = plain_outcome(reply);
              if (outcome != Outcome::Ok) return done(outcome, {});
              auto page = wire::parse_changes(reply.body);
-             if (!page) return malformed_.note(port_.now()), done(Outcome::Unknown, {});
+             if (!page) return malformed_.note(runtime_.now()), done(Outcome::Unknown, {});
              done(Outcome::Ok, std::move(*page));
          });
 }
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "net/malformed.h"
-#include "net/port.h"
+#include "net/runtime.h"
 #include "wire/json_messages.h"
 
 namespace lichendrift::store {
@@ -47,7 +47,7 @@
 // request with a deadline, every queue bounded.
 class StoreClient {
   public:
-    StoreClient(net::Port& port, StoreSettings settings);
+    StoreClient(net::Runtime& runtime, StoreSettings settings);
 
     // The part of the service's limits that this node may use.
     struct Share {
@@ -107,7 +107,7 @@
     void probe();
     void note_rejected(std::size_t largest_value, std::size_t operations);
 
-    net::Port& port_;
+    net::Runtime& runtime_;
     StoreSettings settings_;
     Share share_;
     double tokens_ = 0;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -19,13 +19,13 @@
         server_.emplace(loop_, budget_, 1000, max_connections, std::move(handle));
         std::string error;
         for (int port = 20000; port < 60000; port += 97) {
-            port_ = port;
+            runtime_ = port;
             if (server_->listen("127.0.0.1:" + std::to_string(port), error)) return;
         }
         FAIL() << error;
     }
     Fd connect() {
-        Fd fd = connect_to("127.0.0.1:" + std::to_string(port_));
+        Fd fd = connect_to("127.0.0.1:" + std::to_string(runtime_));
         turn();
         return fd;
     }
@@ -56,7 +56,7 @@
     EventLoop loop_;
     SocketBudget budget_;
     std::optional<HttpServer> server_;
-    int port_ = 0;
+    int runtime_ = 0;
 };
 
 void answer(const HttpRequest&, const Respond& respond) { respond({200, "{}"}); }
@@ -73,7 +73,8 @@
         },
         [](const HttpRequest& request) { return request.target.starts_with("/v2/"); });
     std::string error;
-    for (port_ = 21000; !server_->listen("127.0.0.1:" + std::to_string(port_), error);) ++port_;
+    for (runtime_ = 21000; !server_->listen("127.0.0.1:" + std::to_string(runtime_), error);)
+        ++runtime_;
     std::vector<Fd> all;
     all.reserve(60);
     for (int i = 0; i < 60; ++i) all.push_back(connect());
@@ -174,7 +175,7 @@
     HttpClient client(loop_, budget_);
     std::vector<HttpReply> replies;
     const auto ask = [&](Millis stands_still) {
-        client.call("127.0.0.1:" + std::to_string(port_), {"POST", "/x", "{}", now_ + 100}, 5000,
+        client.call("127.0.0.1:" + std::to_string(runtime_), {"POST", "/x", "{}", now_ + 100}, 5000,
                     [&](HttpReply reply) { replies.push_back(std::move(reply)); });
         now_ += stands_still;
         turn();
@@ -188,7 +189,7 @@
     EXPECT_EQ(served, 1);
     // On a kept connection as well, and the caller hears of it after its call.
     now_ += 500;
-    client.call("127.0.0.1:" + std::to_string(port_), {"POST", "/x", "{}", now_ - 100}, 5000,
+    client.call("127.0.0.1:" + std::to_string(runtime_), {"POST", "/x", "{}", now_ - 100}, 5000,
                 [&](HttpReply reply) { replies.push_back(std::move(reply)); });
     EXPECT_EQ(replies.size(), 2U);
     turn();
@@ -203,7 +204,7 @@
     std::vector<std::unique_ptr<HttpServer>> workers;
     std::vector<std::string> addresses;
     SocketBudget theirs;
-    for (int port = port_ + 1; workers.size() < 30 && port < port_ + 900; ++port) {
+    for (int port = runtime_ + 1; workers.size() < 30 && port < runtime_ + 900; ++port) {
         std::string error;
         auto worker = std::make_unique<HttpServer>(loop_, theirs, 1000, 20, answer);
         if (!worker->listen("127.0.0.1:" + std::to_string(port), error)) continue;
@@ -233,7 +234,7 @@
     int failed = 0;
     int answered = 0;
     for (int i = 0; i < 40; ++i) {
-        client.call("127.0.0.1:" + std::to_string(port_), {"GET", "/x", ""}, 5000,
+        client.call("127.0.0.1:" + std::to_string(runtime_), {"GET", "/x", ""}, 5000,
                     [&](const HttpReply& reply) {
                         if (reply.status == 200) ++answered;
                         if (reply.status == 0 && !reply.sent) ++failed;
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -9,9 +9,9 @@
 
 namespace lichendrift::simulation {
 
-class Simulation::NodePort : public net::Port {
+class Simulation::NodeRuntime : public net::Runtime, public control::PlanExecutor {
   public:
-    NodePort(Simulation& simulation, std::size_t node) : simulation_(simulation), node_(node) {}
+    NodeRuntime(Simulation& simulation, std::size_t node) : simulation_(simulation), node_(node) {}
     Millis now() override {
         // Steady clocks drift apart.
         return simulation_.now_ + simulation_.now_ * static_cast<Millis>(node_) / 4000;
@@ -186,15 +186,16 @@
     s.state_next = options_.next;
     s.policy = options_.policy;
     if (nodes_[n].current) s.features = options_.features;
-    nodes_[n].port = std::make_unique<NodePort>(*this, n);
-    nodes_[n].controller = std::make_unique<control::Controller>(*nodes_[n].port, s);
+    nodes_[n].runtime = std::make_unique<NodeRuntime>(*this, n);
+    nodes_[n].controller =
+        std::make_unique<control::Controller>(*nodes_[n].runtime, *nodes_[n].runtime, s);
     nodes_[n].controller->start();
 }
 
 void Simulation::crash(std::size_t n, Millis back_after) {
     if (!nodes_[n].controller) return;
     nodes_[n].controller.reset();
-    nodes_[n].port.reset();
+    nodes_[n].runtime.reset();
     std::erase_if(watches_, [&](const Watch& w) { return w.from == node_name(n); });
     fault_until(now_ + back_after);
     at(now_ + back_after, [this, n] { boot(n); });
@@ -227,8 +228,8 @@
 }
 
 void Simulation::freeze(std::size_t node, Millis for_ms) {
-    if (!nodes_[node].port) return;
-    nodes_[node].port->freeze(now_ + for_ms);
+    if (!nodes_[node].runtime) return;
+    nodes_[node].runtime->freeze(now_ + for_ms);
     ++freezes_;
     fault_until(now_ + for_ms);
 }
@@ -361,7 +362,7 @@
     if (cut_between(from, host) != nullptr) return;
     at(now_ + 2, [this, host, request, finish] {
         const auto& node = nodes_[static_cast<std::size_t>(host[1] - '0')];
-        if (!node.controller || node.port->frozen_until() > now_) return;
+        if (!node.controller || node.runtime->frozen_until() > now_) return;
         node.controller->handle_peer(request, [finish](const net::HttpResponse& response) {
             finish({response.status, response.body});
         });
@@ -390,7 +391,7 @@
         auto& node = nodes_[number];
         if (options_.external) return options_.external(number, request, std::move(respond));
         if (!node.controller) return;
-        if (const auto thaw = node.port->frozen_until(); thaw > now_) {
+        if (const auto thaw = node.runtime->frozen_until(); thaw > now_) {
             at(thaw, [this, from, to, request, sent, respond] {
                 serve(from, to, request, sent, respond);
             });
@@ -488,7 +489,7 @@
     const bool cut =
         leads && (cut_between(node_name(*leads), "state") != nullptr ||
                   cut_between(node_name(*leads), "cloud") != nullptr ||
-                  refused_until_[*leads] > now_ || nodes_[*leads].port->frozen_until() > now_);
+                  refused_until_[*leads] > now_ || nodes_[*leads].runtime->frozen_until() > now_);
     if (!leads || token != settled_token_ || cut || now_ < outage_until_ ||
         now_ < cloud_outage_until_) {
         unsettled_at_ = now_;
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -270,9 +270,9 @@
                Millis sent, net::Respond respond);
 
   private:
-    class NodePort;
+    class NodeRuntime;
     struct Node {
-        std::unique_ptr<NodePort> port;
+        std::unique_ptr<NodeRuntime> runtime;
         std::unique_ptr<control::Controller> controller;
         bool current = true;  // of this version, or else of the one before services
     };
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A state service that answers each request after 5 ms.
-class Prompt : public net::Port {
+class Prompt : public net::Runtime {
   public:
     core::Millis now() override { return now_; }
     core::Millis read_clock() override { return now_; }
@@ -29,7 +29,6 @@
         return 0;
     }
     void cancel(net::TimerId) override {}
-    void plan(std::function<core::Snapshot()>, std::function<void(core::Plan)>) override {}
     void advance(core::Millis until) {
         while (!timers_.empty() && timers_.begin()->first <= until) {
             auto node = timers_.extract(timers_.begin());
@@ -76,8 +75,8 @@
 // The pages of a large fleet are more than the pace allows at once: the list came to an end at the
 // page that it refused, and so never, and nothing was rented on it.
 TEST(Cloud, ListOfFourThousandMachinesWaitsForThePace) {
-    ListingCloud port(4000);
-    cloud::CloudClient client(port, "cloud:1", 5);
+    ListingCloud runtime(4000);
+    cloud::CloudClient client(runtime, "cloud:1", 5);
     client.set_share(0.3);
     std::size_t listed = 0;
     client.list([&](cloud::Answer answer, const auto& machines, const auto& names) {
@@ -85,16 +84,16 @@
         EXPECT_EQ(machines.size(), names.size());
         listed = names.size();
     });
-    port.advance(20'000);
+    runtime.advance(20'000);
     EXPECT_EQ(listed, 4000U);
-    EXPECT_EQ(port.pages(), 8U);
+    EXPECT_EQ(runtime.pages(), 8U);
 }
 
 // Thousands of short tasks use up all changes that a leader may make. Its reads waited behind the
 // changes and expired, and each question that came to it was refused for more than a minute.
 TEST(Store, ReadsGoOnWhileChangesWaitForThePace) {
-    Prompt port;
-    StoreClient client(port, {"state:1", 100, 20, 8, 8192});
+    Prompt runtime;
+    StoreClient client(runtime, {"state:1", 100, 20, 8, 8192});
     client.set_share({0.5, 0.5});
     std::size_t written = 0;
     std::function<void()> write = [&] {
@@ -108,7 +107,7 @@
     int requested = 0;
     int answered = 0;
     for (core::Millis t = 1200; t < 21'200; t += 200) {
-        port.advance(t);
+        runtime.advance(t);
         requested += 2;
         const auto got = [&](Outcome outcome, const wire::Item&) {
             answered += outcome == Outcome::Ok ? 1 : 0;
@@ -116,7 +115,7 @@
         client.get(RequestPriority::Read, "k", got);
         client.get(RequestPriority::Place, "k", got);
     }
-    port.advance(23'000);
+    runtime.advance(23'000);
     EXPECT_EQ(answered, requested);
     // And the pace is kept: ten changes a second and a transaction to begin with.
     EXPECT_GT(written, 150U);
