--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -12,11 +12,11 @@
 constexpr int kMaxPageTries = 40;
 constexpr Millis kPagePause = 250;
 
-Answer answer_of(const net::HttpReply& reply) {
-    if (reply.status == 200) return Answer::Ok;
-    if (reply.status == 503 && wire::is_no_capacity(reply.body)) return Answer::NoCapacity;
-    if (reply.status == 409) return Answer::Stale;
-    return reply.status == 0 && reply.sent ? Answer::NoAnswer : Answer::Unavailable;
+Result result_of(const net::HttpReply& reply) {
+    if (reply.status == 200) return Result::Ok;
+    if (reply.status == 503 && wire::is_no_capacity(reply.body)) return Result::NoCapacity;
+    if (reply.status == 409) return Result::StaleEpoch;
+    return reply.status == 0 && reply.sent ? Result::NoResponse : Result::Unavailable;
 }
 
 }  // namespace
@@ -43,10 +43,10 @@
 void CloudClient::types(OnTypes done) {
     call({"GET", "/flavors", ""}, kTimeout,
          [this, done = std::move(done)](const net::HttpReply& reply) {
-             if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
+             if (result_of(reply) != Result::Ok) return done(result_of(reply), {});
              auto types = wire::parse_types(reply.body);
-             if (!types) return malformed_.note(runtime_.now()), done(Answer::Unavailable, {});
-             done(Answer::Ok, std::move(*types));
+             if (!types) return malformed_.note(runtime_.now()), done(Result::Unavailable, {});
+             done(Result::Ok, std::move(*types));
          });
 }
 
@@ -54,10 +54,10 @@
     call({"POST", "/rentals", wire::provision_body(provision.order(), provision.epoch()),
           provision.not_after()},
          kTimeout, [this, done = std::move(done)](const net::HttpReply& reply) {
-             if (answer_of(reply) != Answer::Ok) return done(answer_of(reply), {});
+             if (result_of(reply) != Result::Ok) return done(result_of(reply), {});
              auto names = wire::parse_provisioned(reply.body);
-             if (!names) return malformed_.note(runtime_.now()), done(Answer::NoAnswer, {});
-             done(Answer::Ok, std::move(*names));
+             if (!names) return malformed_.note(runtime_.now()), done(Result::NoResponse, {});
+             done(Result::Ok, std::move(*names));
          });
 }
 
@@ -65,7 +65,7 @@
     call({"POST", "/rentals/return", wire::release_body(release.machines(), release.epoch()),
           release.not_after()},
          kTimeout,
-         [done = std::move(done)](const net::HttpReply& reply) { done(answer_of(reply)); });
+         [done = std::move(done)](const net::HttpReply& reply) { done(result_of(reply)); });
 }
 
 void CloudClient::list(OnListing done) {
@@ -92,18 +92,18 @@
                  return;
              }
              auto page =
-                 answer_of(reply) == Answer::Ok ? wire::parse_listing(reply.body) : std::nullopt;
+                 result_of(reply) == Result::Ok ? wire::parse_listing(reply.body) : std::nullopt;
              if (!page && reply.status == 200) malformed_.note(runtime_.now());
-             if (!page) return listing->done(Answer::Unavailable, std::move(listing->machines), {});
+             if (!page) return listing->done(Result::Unavailable, std::move(listing->machines), {});
              const bool go_on =
                  page->more && !page->machines.empty() && page->machines.back().name > since;
              for (auto& m : page->machines) listing->machines.push_back(std::move(m));
              if (go_on && listing->machines.size() < kMaxListed) return list_page(listing);
              // Cut short, it says nothing of those that it lacks.
-             if (go_on) return listing->done(Answer::Unavailable, std::move(listing->machines), {});
+             if (go_on) return listing->done(Result::Unavailable, std::move(listing->machines), {});
              std::set<std::string> names;
              for (const auto& m : listing->machines) names.insert(m.name);
-             listing->done(Answer::Ok, std::move(listing->machines), std::move(names));
+             listing->done(Result::Ok, std::move(listing->machines), std::move(names));
          });
 }
 
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "duty/fence.h"
-#include "net/malformed.h"
+#include "net/malformed_message_counter.h"
 #include "net/runtime.h"
 #include "wire/json_messages.h"
 
@@ -13,12 +13,12 @@
 
 using core::Millis;
 
-enum class Answer : std::uint8_t {
+enum class Result : std::uint8_t {
     Ok,
     NoCapacity,
     Unavailable,  // certainly not executed
-    Stale,        // refused by a cloud that knows of a later holder of the duty
-    NoAnswer,     // may have been executed, or may still be
+    StaleEpoch,   // refused by a cloud that knows of a later holder of the duty
+    NoResponse,   // may have been executed, or may still be
 };
 
 // Client of the cloud: paced, every request with a deadline. Calls beyond the pace are refused
@@ -29,11 +29,11 @@
 
     void set_share(double share) { share_ = share; }
 
-    using OnTypes = std::function<void(Answer, std::vector<core::MachineType>)>;
-    using OnProvisioned = std::function<void(Answer, std::vector<std::string>)>;
-    using OnDone = std::function<void(Answer)>;
+    using OnTypes = std::function<void(Result, std::vector<core::MachineType>)>;
+    using OnProvisioned = std::function<void(Result, std::vector<std::string>)>;
+    using OnDone = std::function<void(Result)>;
     using OnListing =
-        std::function<void(Answer, std::vector<core::ListedMachine>, std::set<std::string>)>;
+        std::function<void(Result, std::vector<core::ListedMachine>, std::set<std::string>)>;
 
     void types(OnTypes done);
     // Only a holder of the duty can make these requests. They leave before their `not_after` or
@@ -57,7 +57,7 @@
     double rps_;
     double share_ = 0.15;
     double tokens_ = 2;
-    net::Malformed malformed_{"the cloud"};
+    net::MalformedMessageCounter malformed_{"the cloud"};
     Millis filled_at_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -52,7 +52,7 @@
         if (host_.leading() && !should_stand()) hand_over();
         return;
     }
-    if (!job_watcher_.loaded() || !store_.has_room_for(1)) return;
+    if (!job_watcher_.loaded() || !store_.can_write_at_once(1)) return;
     store_.get(store::RequestPriority::Read, std::string(duty::kCleanupLeaseKey),
                [this](store::Outcome outcome, const wire::Item&) {
                    if (outcome == store::Outcome::Ok) vacant_since_ = -1;
@@ -209,7 +209,7 @@
 }
 
 void Cleaner::next_page() {
-    const bool rests = runtime_.now() < round_begins_ || !store_.has_room_for(2) || !permit();
+    const bool rests = runtime_.now() < round_begins_ || !store_.can_write_at_once(2) || !permit();
     if (rests) return next_page_soon();
     if (hints_due_) return read_hints();
     read_placements();
@@ -284,7 +284,7 @@
 
 void Cleaner::check_placements(const Page& page) {
     duty::RemovalPlan plan;
-    const auto limit = store_.transaction_operations();
+    const auto limit = store_.max_transaction_operations();
     for (const auto& entry : page.entries) {
         const auto id = job_of(entry.key);
         const auto verdict = duty::classify(entry, page.states.at(id));
@@ -318,11 +318,11 @@
                         }
                         hints.push_back(std::move(entry));
                     }
-                    cloud_.list([this, term, hints](cloud::Answer answer,
+                    cloud_.list([this, term, hints](cloud::Result answer,
                                                     const std::vector<core::ListedMachine>&,
                                                     const std::set<std::string>& listed) {
                         if (!claim_ || term != term_) return;
-                        if (answer == cloud::Answer::Ok) check_hints(hints, listed);
+                        if (answer == cloud::Result::Ok) check_hints(hints, listed);
                         end_round();
                     });
                 });
@@ -333,7 +333,7 @@
     duty::RemovalPlan plan;
     for (const auto& entry : hints) {
         if (duty::classify(entry, listed) != duty::Verdict::Remove) continue;
-        if (plan.records.size() >= store_.transaction_operations()) break;
+        if (plan.records.size() >= store_.max_transaction_operations()) break;
         plan.records.push_back({entry.key, entry.revision});
     }
     remove(std::move(plan));
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -159,9 +159,9 @@
 void Controller::fetch_types() {
     if (asking_types_) return;
     asking_types_ = true;
-    cloud_.types([this](cloud::Answer answer, std::vector<core::MachineType> types) {
+    cloud_.types([this](cloud::Result answer, std::vector<core::MachineType> types) {
         asking_types_ = false;
-        if (answer == cloud::Answer::Ok && !types.empty()) {
+        if (answer == cloud::Result::Ok && !types.empty()) {
             users_.set_types(std::move(types));
             return;
         }
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -5,7 +5,7 @@
 #include "control/cleaner.h"
 #include "control/leader.h"
 #include "control/user_api.h"
-#include "net/malformed.h"
+#include "net/malformed_message_counter.h"
 
 namespace lichendrift::control {
 
@@ -144,8 +144,8 @@
     std::vector<bool> peer_fences_;      // told that it has fenced duties switched on
     Millis peers_know_at_ = 0;           // up to when all peers together vouch for cancellations
     bool renewals_held_ = false;
-    net::Malformed malformed_workers_{"a worker"};
-    net::Malformed malformed_peers_{"a peer"};
+    net::MalformedMessageCounter malformed_workers_{"a worker"};
+    net::MalformedMessageCounter malformed_peers_{"a peer"};
     bool asking_types_ = false;
 };
 
--- a/src/control/fenced_store.cpp
+++ b/src/control/fenced_store.cpp
@@ -29,7 +29,7 @@
         case store::Outcome::Conflict:
             outcome = WriteOutcome::Conflict;
             break;
-        case store::Outcome::Refused:
+        case store::Outcome::Unavailable:
         case store::Outcome::Missing:
             outcome = WriteOutcome::Refused;
             break;
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -12,7 +12,7 @@
 #include "control/settings.h"
 #include "core/cluster.h"
 #include "events/event.h"
-#include "net/malformed.h"
+#include "net/malformed_message_counter.h"
 #include "wire/cbor_messages.h"
 
 namespace lichendrift::control {
@@ -96,7 +96,7 @@
     void on_released(const std::vector<std::string>& machines) override;
     void on_provisioned(const duty::ProvisionRequest& order,
                         const std::vector<std::string>& machines, bool refused,
-                        cloud::Answer answer) override;
+                        cloud::Result answer) override;
     void on_lease_lost() override;
     void changed();
     // Every write carries it, so that a late one of a leader that has lost fails.
@@ -147,7 +147,7 @@
     Millis provision_pause_until_ = 0;
     Millis provisioned_at_ = -10000;  // the last rental's answer, or the first list
     std::uint64_t provisions_ = 0;
-    net::Malformed malformed_{"a worker's direct answer"};
+    net::MalformedMessageCounter malformed_{"a worker's direct answer"};
     std::size_t calls_open_ = 0;  // direct commands under way
     struct Place {
         std::string job;
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -14,10 +14,10 @@
     if (asking_types_) return;
     asking_types_ = true;
     types_at_ = runtime_.now();
-    cloud_.types([self = shared_from_this()](cloud::Answer answer,
+    cloud_.types([self = shared_from_this()](cloud::Result answer,
                                              const std::vector<core::MachineType>& types) {
         self->asking_types_ = false;
-        if (self->stopped_ || answer != cloud::Answer::Ok) return;
+        if (self->stopped_ || answer != cloud::Result::Ok) return;
         self->with([&](core::Cluster& c) { c.set_types(types); });
         if (!self->types_known_) self->ask_plan();
         self->types_known_ = true;
@@ -29,7 +29,7 @@
     if (listing_) return;
     listing_ = true;
     listed_at_ = runtime_.now();
-    cloud_.list([self = shared_from_this()](cloud::Answer answer,
+    cloud_.list([self = shared_from_this()](cloud::Result answer,
                                             const std::vector<core::ListedMachine>& machines,
                                             const std::set<std::string>& names) {
         self->listing_ = false;
@@ -37,9 +37,9 @@
         const auto now = self->runtime_.now();
         self->with([&](core::Cluster& c) {
             c.on_list(machines, now);
-            if (answer == cloud::Answer::Ok) c.on_list_complete(names, now);
+            if (answer == cloud::Result::Ok) c.on_list_complete(names, now);
         });
-        if (answer == cloud::Answer::Ok && !self->listed_) {
+        if (answer == cloud::Result::Ok && !self->listed_) {
             // Plans made before know neither these machines nor which zone is cut off.
             self->provisioned_at_ = now;
             self->listed_ = true;
@@ -93,14 +93,14 @@
 
 void Leader::on_provisioned(const duty::ProvisionRequest& order,
                             const std::vector<std::string>& machines, bool refused,
-                            cloud::Answer answer) {
+                            cloud::Result answer) {
     const auto now = runtime_.now();
     // Without an answer it is asked again; the next plan waits for what comes of it.
-    if (answer == cloud::Answer::NoAnswer && duties_->provisioning_in_flight()) return;
+    if (answer == cloud::Result::NoResponse && duties_->provisioning_in_flight()) return;
     provisioned_at_ = now;
-    if (answer == cloud::Answer::Unavailable) provision_pause_until_ = now + kProvisionFaultPause;
+    if (answer == cloud::Result::Unavailable) provision_pause_until_ = now + kProvisionFaultPause;
     with([&](core::Cluster& c) {
-        if (answer == cloud::Answer::Ok) {
+        if (answer == cloud::Result::Ok) {
             c.on_provisioned(order.type, order.zone, order.spot, machines, now);
         }
         if (refused) {
@@ -109,7 +109,7 @@
         }
     });
     host_.log(events::ProvisionCompleted{order.request, machines.size(),
-                                         answer == cloud::Answer::NoCapacity});
+                                         answer == cloud::Result::NoCapacity});
     ask_plan();
 }
 
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -37,16 +37,16 @@
 // is written within them, and at once when the state service shows that they hold.
 core::Cluster::RecordLimits Leader::record_limits() const {
     const bool may_refine =
-        settings_.guards.current_version && (host_.peers_are_current() || store_.limits_fell());
-    return {store_.transaction_operations(), kRecordBytes,
-            may_refine ? store_.lasting_value_bytes() : store_.value_bytes(), may_refine,
-            record_writes_in_flight_ >= kMaxRecordWrites};
+        settings_.guards.current_version && (host_.peers_are_current() || store_.limits_lowered());
+    return {store_.max_transaction_operations(), kRecordBytes,
+            may_refine ? store_.max_value_bytes_from_now_on() : store_.max_value_bytes(),
+            may_refine, record_writes_in_flight_ >= kMaxRecordWrites};
 }
 
 void Leader::write_placement_records() {
     if (record_writes_in_flight_ >= kMaxRecordWrites + kMaxUrgentRecordWrites) return;
     const auto now = runtime_.now();
-    const bool lazy = store_.has_room_for(store_.transaction_operations());
+    const bool lazy = store_.can_write_at_once(store_.max_transaction_operations());
     auto writes =
         with([&](core::Cluster& c) { return c.next_record_writes(record_limits(), lazy, now); });
     if (writes.empty()) return;
@@ -129,7 +129,7 @@
         const auto now = runtime_.now();
         core::JobText text;
         auto write = with([&](core::Cluster& c) {
-            auto w = c.next_final_write(store_.transaction_operations() - 2, now);
+            auto w = c.next_final_write(store_.max_transaction_operations() - 2, now);
             if (w && w->with_job) text = c.jobs().at(w->job).text;
             return w;
         });
@@ -139,8 +139,9 @@
         std::vector<wire::Change> then{
             {"open/" + write->job_id, "", 0},
             {"over/" + write->job_id,
-             write->with_job ? wire::over_value_within(false, text, store_.lasting_value_bytes())
-                             : wire::over_value(false, nullptr),
+             write->with_job
+                 ? wire::over_value_within(false, text, store_.max_value_bytes_from_now_on())
+                 : wire::over_value(false, nullptr),
              0}};
         for (auto record_number : write->record_numbers) {
             then.push_back({"place/" + write->job_id + "/" + std::to_string(record_number), "", 0});
@@ -166,7 +167,7 @@
 void Leader::write_orphans() {
     if (orphan_write_) return;
     auto keys =
-        with([&](core::Cluster& c) { return c.next_orphans(store_.transaction_operations()); });
+        with([&](core::Cluster& c) { return c.next_orphans(store_.max_transaction_operations()); });
     if (keys.empty()) return;
     std::vector<wire::Change> then;
     then.reserve(keys.size());
@@ -200,13 +201,13 @@
 void Leader::write_hints() {
     // In several records, as one would hold no more than a hundred machines; one at a time, each
     // every 8 s, and only if it changed.
-    const auto value_bytes = store_.lasting_value_bytes() * 3 / 4;
+    const auto value_bytes = store_.max_value_bytes_from_now_on() * 3 / 4;
     const auto parts = with([&](core::Cluster& c) {
         return 1 + c.machine_count() / std::max<std::size_t>(1, value_bytes / kHintBytes);
     });
     const auto now = runtime_.now();
     const auto pause = std::max(kHintPause, kHintsEvery / static_cast<Millis>(parts));
-    if (now - hints_at_ < pause || !store_.has_room_for(1)) return;
+    if (now - hints_at_ < pause || !store_.can_write_at_once(1)) return;
     hints_at_ = now;
     hint_part_ = (hint_part_ + 1) % parts;
     auto value = wire::image_hints_value(
--- a/src/control/limits.h
+++ b/src/control/limits.h
@@ -22,18 +22,18 @@
 
 // Parts of the state service's limits. Most changes are the leader's; followers only write what
 // users ask of them. Together all keep below the limits, as clocks and bursts differ.
-inline constexpr store::StoreClient::Share kLeaderShare = {0.5, 0.65};
-inline constexpr store::StoreClient::Share kSharedOut = {0.92, 0.95};
+inline constexpr store::RateShare kLeaderShare = {0.5, 0.65};
+inline constexpr store::RateShare kSharedOut = {0.92, 0.95};
 inline constexpr double kMaxFollowerShare = 0.2;
 
-[[nodiscard]] inline store::StoreClient::Share follower_share(const Settings& settings) {
+[[nodiscard]] inline store::RateShare follower_share(const Settings& settings) {
     if (settings.size <= 1) return kLeaderShare;
     const auto followers = static_cast<double>(settings.size - 1);
     const auto part = [&](double all, double leader) {
         return std::min(kMaxFollowerShare, (all - leader) / followers);
     };
     return {part(kSharedOut.requests, kLeaderShare.requests),
-            part(kSharedOut.changes, kLeaderShare.changes)};
+            part(kSharedOut.writes, kLeaderShare.writes)};
 }
 
 }  // namespace lichendrift::control
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -10,16 +10,16 @@
 constexpr Millis kReportEvery = 60'000;
 constexpr Millis kStuckAfter = 30'000;  // an open intent this old is told of
 
-duty::CloudOutcome cloud_outcome(cloud::Answer answer) {
+duty::CloudOutcome cloud_outcome(cloud::Result answer) {
     switch (answer) {
-        case cloud::Answer::Ok:
+        case cloud::Result::Ok:
             return duty::CloudOutcome::Done;
-        case cloud::Answer::NoCapacity:
+        case cloud::Result::NoCapacity:
             return duty::CloudOutcome::NoCapacity;
-        case cloud::Answer::Unavailable:
-        case cloud::Answer::Stale:
+        case cloud::Result::Unavailable:
+        case cloud::Result::StaleEpoch:
             return duty::CloudOutcome::Unavailable;
-        case cloud::Answer::NoAnswer:
+        case cloud::Result::NoResponse:
             return duty::CloudOutcome::NoAnswer;
     }
     return duty::CloudOutcome::NoAnswer;
@@ -59,8 +59,8 @@
     moment.records_known = records_known_;
     moment.not_after = host_.sure_until();
     moment.may_activate = host_.peers_fence_duties();
-    moment.idle_writes = store_.has_room_for(store_.transaction_operations());
-    moment.limits = {store_.lasting_value_bytes(), store_.transaction_operations()};
+    moment.idle_writes = store_.can_write_at_once(store_.max_transaction_operations());
+    moment.limits = {store_.max_value_bytes_from_now_on(), store_.max_transaction_operations()};
     return moment;
 }
 
@@ -182,14 +182,14 @@
 
 void MachineDuties::carry_out(const duty::MachineHolder::RequestRelease& action) {
     cloud_.release(action.request, [self = shared_from_this(), slot = action.slot,
-                                    machines = action.request.machines()](cloud::Answer answer) {
+                                    machines = action.request.machines()](cloud::Result answer) {
         if (self->stopped_) return;
-        const bool doubtful = answer == cloud::Answer::NoAnswer;
-        if (doubtful && !self->intents_kept_) answer = cloud::Answer::Ok;
-        if (answer == cloud::Answer::Stale) self->note_stale("release");
+        const bool doubtful = answer == cloud::Result::NoResponse;
+        if (doubtful && !self->intents_kept_) answer = cloud::Result::Ok;
+        if (answer == cloud::Result::StaleEpoch) self->note_stale("release");
         self->holder_.on_released(slot, machines.size(), cloud_outcome(answer),
                                   self->runtime_.now());
-        if (answer != cloud::Answer::Ok) return;
+        if (answer != cloud::Result::Ok) return;
         self->listener_.on_released(machines);
         self->pump_again();
     });
@@ -199,14 +199,14 @@
     cloud_.provision(
         action.request,
         [self = shared_from_this(), slot = action.slot, order = action.request.order()](
-            cloud::Answer answer, const std::vector<std::string>& machines) {
+            cloud::Result answer, const std::vector<std::string>& machines) {
             if (self->stopped_) return;
-            if (answer == cloud::Answer::Stale) self->note_stale(order.request);
+            if (answer == cloud::Result::StaleEpoch) self->note_stale(order.request);
             self->holder_.on_provisioned(slot, order.request, cloud_outcome(answer),
                                          self->runtime_.now());
-            const bool few = answer == cloud::Answer::Ok && machines.size() < order.number;
+            const bool few = answer == cloud::Result::Ok && machines.size() < order.number;
             self->listener_.on_provisioned(order, machines,
-                                           few || answer == cloud::Answer::NoCapacity, answer);
+                                           few || answer == cloud::Result::NoCapacity, answer);
         });
 }
 
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -21,7 +21,7 @@
     // `machines` is what came; `refused`: there was not enough of this kind.
     virtual void on_provisioned(const duty::ProvisionRequest& order,
                                 const std::vector<std::string>& machines, bool refused,
-                                cloud::Answer answer) = 0;
+                                cloud::Result answer) = 0;
     // A write failed because another controller leads.
     virtual void on_lease_lost() = 0;
 };
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -150,7 +150,7 @@
         std::vector<wire::Condition> when;
         std::vector<wire::Change> then;
         std::size_t bytes = 0;
-        while (!queue_.empty() && batch.size() < store_.transaction_operations() &&
+        while (!queue_.empty() && batch.size() < store_.max_transaction_operations() &&
                bytes < kBatchBytes) {
             auto& next = queue_.front();
             when.push_back({"open/" + next.job.id, 0});
@@ -207,7 +207,7 @@
 // Its terminal state may be stored with its description, and has to fit as well.
 bool UserApi::fits(const Submission& submission) const {
     constexpr std::size_t kTerminalState = 32;
-    return submission.value.size() + kTerminalState <= store_.value_bytes();
+    return submission.value.size() + kTerminalState <= store_.max_value_bytes();
 }
 
 void UserApi::answer_open(const std::string& id, const net::Respond& respond) const {
@@ -250,8 +250,8 @@
         store_.transact(
             store::RequestPriority::Submit, {{"open/" + id, open->revision}, {"over/" + id, 0}},
             {{"open/" + id, "", 0},
-             {"over/" + id, wire::over_value_within(true, open->text, store_.lasting_value_bytes()),
-              0}},
+             {"over/" + id,
+              wire::over_value_within(true, open->text, store_.max_value_bytes_from_now_on()), 0}},
             [this, id, tries,
              respond = std::move(respond)](const store::TransactionResult& result) mutable {
                 if (result.outcome == store::Outcome::Ok) {
--- a/src/net/malformed.h
+++ b/src/net/malformed_message_counter.h
@@ -9,9 +9,9 @@
 
 // Counts messages that can't be read and tells of them once in a while; the caller treats each as
 // no answer. Used on the loop's thread only.
-class Malformed {
+class MalformedMessageCounter {
   public:
-    explicit Malformed(const char* from) : from_(from) {}
+    explicit MalformedMessageCounter(const char* from) : from_(from) {}
     void note(core::Millis now) {
         ++count_;
         if (reported_ != 0 && now - reported_ < kReportInterval) return;
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -17,11 +17,11 @@
 constexpr Millis kReportInterval = 3000;
 
 Outcome plain_outcome(const net::HttpReply& reply) {
-    if (reply.status == 0) return reply.sent ? Outcome::Unknown : Outcome::Refused;
+    if (reply.status == 0) return reply.sent ? Outcome::Unknown : Outcome::Unavailable;
     if (reply.status == 200) return Outcome::Ok;
     if (reply.status == 404 || reply.status == 410) return Outcome::Missing;
     if (reply.status == 409) return Outcome::Conflict;
-    if (reply.status == 429 || reply.status == 503) return Outcome::Refused;
+    if (reply.status == 429 || reply.status == 503) return Outcome::Unavailable;
     if (reply.status == 400) return Outcome::Rejected;
     return Outcome::Unknown;
 }
@@ -33,7 +33,7 @@
     filled_at_ = runtime_.now();
     last_good_ = runtime_.now();
     tokens_ = share_.requests * settings_.rps * 0.5;
-    write_tokens_ = share_.changes * settings_.write_rps * 0.5;
+    write_tokens_ = share_.writes * settings_.write_rps * 0.5;
 }
 
 void StoreClient::refill() {
@@ -41,7 +41,7 @@
     const double s = static_cast<double>(now - filled_at_) / 1000.0;
     filled_at_ = now;
     const double rate = share_.requests * settings_.rps;
-    const double write_rate = share_.changes * settings_.write_rps;
+    const double write_rate = share_.writes * settings_.write_rps;
     tokens_ = std::min(tokens_ + s * rate, std::max(rate * 0.5, 2.0));
     // The bucket must hold a whole transaction, or it could never be sent.
     write_tokens_ =
@@ -155,7 +155,7 @@
     return open_.empty() || now - open_.front().second < 700;
 }
 
-bool StoreClient::has_room_for(std::size_t writes) {
+bool StoreClient::can_write_at_once(std::size_t writes) {
     refill();
     return std::all_of(queues_.begin(), queues_.end(), [](const auto& q) { return q.empty(); }) &&
            tokens_ >= 2 && write_tokens_ >= static_cast<double>(writes);
@@ -217,7 +217,7 @@
              } else if (result.outcome == Outcome::Conflict) {
                  if (auto failed = wire::parse_failed(reply.body)) result.failed = *failed;
              } else if (result.outcome == Outcome::Missing) {
-                 result.outcome = Outcome::Refused;
+                 result.outcome = Outcome::Unavailable;
              }
              done(std::move(result));
          });
@@ -226,7 +226,7 @@
 // Smaller limits came into force. Where the settings named them, values shrink to them; if even
 // what is within them is refused, by half each time, so that nothing is sent unchanged for ever.
 void StoreClient::note_rejected(std::size_t largest_value, std::size_t operations) {
-    limits_fell_ = true;
+    limits_lowered_ = true;
     if (largest_value > settings_.next_value_bytes) {
         settings_.value_bytes = std::min(settings_.value_bytes, settings_.next_value_bytes);
     } else if (largest_value > kMinValueBytes) {
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <memory>
 
-#include "net/malformed.h"
+#include "net/malformed_message_counter.h"
 #include "net/runtime.h"
 #include "wire/json_messages.h"
 
@@ -19,11 +19,11 @@
 
 enum class Outcome : std::uint8_t {
     Ok,
-    Missing,   // no such key, lease or old enough revision (404, 410)
-    Conflict,  // a condition failed
-    Refused,   // certainly not executed
-    Rejected,  // certainly not executed, and the same again never will be (400)
-    Unknown,   // may have been executed, or may still be
+    Missing,      // no such key, lease or old enough revision (404, 410)
+    Conflict,     // a condition failed
+    Unavailable,  // certainly not executed
+    Rejected,     // certainly not executed, and the same again never will be (400)
+    Unknown,      // may have been executed, or may still be
 };
 
 struct StoreSettings {
@@ -37,6 +37,12 @@
     std::size_t next_value_bytes = 8192;
 };
 
+/// The part of the service's rate limits that one controller may use.
+struct RateShare {
+    double requests = 0.2;  ///< of the limit on requests, 0 to 1
+    double writes = 0.2;    ///< of the limit on written keys, 0 to 1
+};
+
 struct TransactionResult {
     Outcome outcome = Outcome::Unknown;
     std::uint64_t revision = 0;
@@ -49,12 +55,7 @@
   public:
     StoreClient(net::Runtime& runtime, StoreSettings settings);
 
-    // The part of the service's limits that this node may use.
-    struct Share {
-        double requests = 0.2;
-        double changes = 0.2;
-    };
-    void set_share(Share share) { share_ = share; }
+    void set_share(RateShare share) { share_ = share; }
 
     using OnItem = std::function<void(Outcome, wire::Item)>;
     using OnPage = std::function<void(Outcome, wire::ItemPage)>;
@@ -77,18 +78,18 @@
     // Since when nothing but failures came back; 0: the last answer was good.
     [[nodiscard]] Millis failing_for() const;
     // Whether that many changes could be sent now without making anything else wait.
-    [[nodiscard]] bool has_room_for(std::size_t writes);
-    [[nodiscard]] std::size_t transaction_operations() const {
+    [[nodiscard]] bool can_write_at_once(std::size_t writes);
+    [[nodiscard]] std::size_t max_transaction_operations() const {
         return settings_.transaction_operations;
     }
     // What a value may have as far as is known now.
-    [[nodiscard]] std::size_t value_bytes() const { return settings_.value_bytes; }
+    [[nodiscard]] std::size_t max_value_bytes() const { return settings_.value_bytes; }
     // What a value may have at any time to come.
-    [[nodiscard]] std::size_t lasting_value_bytes() const {
+    [[nodiscard]] std::size_t max_value_bytes_from_now_on() const {
         return std::min(settings_.value_bytes, settings_.next_value_bytes);
     }
     // The service has refused something for its size: smaller limits hold now.
-    [[nodiscard]] bool limits_fell() const { return limits_fell_; }
+    [[nodiscard]] bool limits_lowered() const { return limits_lowered_; }
 
   private:
     struct Pending {
@@ -109,16 +110,16 @@
 
     net::Runtime& runtime_;
     StoreSettings settings_;
-    Share share_;
+    RateShare share_;
     double tokens_ = 0;
     double write_tokens_ = 0;
     Millis filled_at_ = 0;
     Millis pause_until_ = 0;
     std::array<std::deque<Pending>, 4> queues_;
     bool timer_ = false;
-    net::Malformed malformed_{"the state service"};
+    net::MalformedMessageCounter malformed_{"the state service"};
     bool probing_ = false;
-    bool limits_fell_ = false;
+    bool limits_lowered_ = false;
     Millis rejection_reported_at_ = -100'000;
     Millis last_good_ = 0;
     Millis first_bad_ = 0;                               // 0: no failure since the last good answer
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -79,8 +79,8 @@
     cloud::CloudClient client(runtime, "cloud:1", 5);
     client.set_share(0.3);
     std::size_t listed = 0;
-    client.list([&](cloud::Answer answer, const auto& machines, const auto& names) {
-        EXPECT_EQ(answer, cloud::Answer::Ok);
+    client.list([&](cloud::Result answer, const auto& machines, const auto& names) {
+        EXPECT_EQ(answer, cloud::Result::Ok);
         EXPECT_EQ(machines.size(), names.size());
         listed = names.size();
     });
