--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -229,7 +229,7 @@
                     if (outcome != store::Outcome::Ok) return next_page_soon();
                     // A job leaves `open/` and gets its terminal state in one transaction: one that
                     // is not open by a copy from after this page has one, or never was a job.
-                    job_watcher_.barrier([this, term, read](bool fresh) {
+                    job_watcher_.refresh([this, term, read](bool fresh) {
                         if (!claim_ || term != term_) return;
                         if (!fresh) return next_page_soon();
                         choose_placements(read);
@@ -242,7 +242,7 @@
     bool whole = true;
     for (const auto& item : read.items) {
         const auto job = job_of(item.key);
-        if (job_watcher_.open(job) == nullptr) {
+        if (job_watcher_.find_open(job) == nullptr) {
             const bool known =
                 std::find(page->jobs.begin(), page->jobs.end(), job) != page->jobs.end();
             if (!known && page->jobs.size() >= kMaxJobs) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -43,7 +43,7 @@
     outboxes_.resize(settings_.peers.size());
     peer_is_current_.resize(settings_.peers.size());
     peer_fences_.resize(settings_.peers.size());
-    job_watcher_.on_cancelled(
+    job_watcher_.set_cancellation_listener(
         [this](const wire::Cancellation& cancellation) { announce_cancelled(cancellation); });
 }
 
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -83,8 +83,8 @@
 void Controller::on_cancellation_query(const std::string& body, const net::Respond& respond) {
     const auto since = wire::decode_cancellation_query(body);
     if (!since) return refuse_malformed(respond);
-    wire::CancellationNews news{job_watcher_.cancellations_from(),
-                                job_watcher_.cancelled_after(*since, kMaxCancelled)};
+    wire::CancellationNews news{job_watcher_.cancellations().complete_after(),
+                                job_watcher_.cancellations().newest_after(*since, kMaxCancelled)};
     // Cut short, it says nothing of the rest.
     if (news.cancelled.size() >= kMaxCancelled) {
         news.from = std::numeric_limits<std::uint64_t>::max();
@@ -215,7 +215,7 @@
 
 void Controller::on_cancellation_news(const wire::CancellationNews& news) {
     for (const auto& cancellation : news.cancelled) {
-        if (wire::valid_job_id(cancellation.id)) job_watcher_.learn_cancelled(cancellation);
+        if (wire::valid_job_id(cancellation.id)) job_watcher_.on_peer_cancellation(cancellation);
     }
 }
 
@@ -226,7 +226,7 @@
         watch_over_cancellations();
         const auto age = runtime_.read_clock() - job_watcher_.read_at();
         // Without users nothing else brings the copy up in time.
-        if (age > kAskEvery) job_watcher_.barrier([](bool) {});
+        if (age > kAskEvery) job_watcher_.refresh([](bool) {});
         if (age > kCopyIsOld) ask_for_cancellations();
     });
 }
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -1,281 +1,277 @@
+// This node's copy of the open jobs, kept up to date from the state service.
 #include "control/job_watcher.h"
 
+#include <algorithm>
 #include <utility>
 
 namespace lichendrift::control {
 
 namespace {
 
-constexpr std::string_view kOpen = "open/";
-constexpr std::string_view kOver = "over/";
-constexpr std::size_t kMaxFinals = 20'000;
-constexpr std::size_t kMaxCancellations = 4000;
+constexpr std::string_view kOpenPrefix = "open/";
+constexpr std::string_view kOverPrefix = "over/";
+constexpr const char* kWatchedPrefix = "o";  // both of the above
+
 constexpr std::size_t kMaxWaiting = 500;
-constexpr Millis kAskSpacing = 120;  // polls that come closer share one read
+constexpr Millis kRefreshSpacing = 120;  // refreshes that come closer share one read
+constexpr Millis kLongAgo = -100'000;    // before any time of the runtime
+
+// Without users the copy would fall behind what the state service remembers of changes.
+constexpr Millis kIdleCheckInterval = 3000;
+constexpr Millis kMaxIdle = 2500;
+
+constexpr Millis kReloadDelay = 400;
+constexpr Millis kReloadJitter = 400;
+
+constexpr Millis kWatchBlock = 8000;  // how long the state service may hold a watch open
+constexpr Millis kWatchPause = 60;
+constexpr Millis kWatchRetryDelay = 400;
 
 }  // namespace
 
 JobWatcher::JobWatcher(net::Runtime& runtime, store::StoreClient& store)
-    : runtime_(runtime), store_(store) {}
+    : runtime_(runtime), store_(store), refresh_sent_at_(kLongAgo) {}
 
 void JobWatcher::start() {
-    load("", {}, 0);
-    keep_up();
+    load();
+    keep_within_history();
 }
 
-void JobWatcher::keep_up() {
-    // Without users the copy would fall behind what the state service keeps of changes.
-    runtime_.after(3000, [this] {
-        if (loaded_ && !asking_ && waiting_.empty() && runtime_.now() - requested_at_ > 2500) {
-            barrier([](bool) {});
-        }
-        keep_up();
-    });
+// ---- the first read of all open jobs, and another one if the history is too short ----
+
+void JobWatcher::load() {
+    load_sent_at_ = runtime_.now();
+    load_page("", {});
 }
 
-void JobWatcher::load(const std::string& since, std::map<std::string, Open> so_far,
-                      std::uint64_t revision) {
+void JobWatcher::load_page(const std::string& after_key, PartialLoad so_far) {
     loading_ = true;
-    if (revision == 0) load_sent_ = runtime_.now();
-    store_.list(store::RequestPriority::Place, std::string(kOpen), since,
-                [this, so_far = std::move(so_far), revision](store::Outcome outcome,
-                                                             const wire::ItemPage& page) mutable {
-                    if (outcome != store::Outcome::Ok) {
-                        runtime_.after(400 + static_cast<Millis>(runtime_.random() % 400),
-                                       [this] { load("", {}, 0); });
-                        return;
-                    }
-                    // Changes since the first page are read again by the watch.
-                    if (revision == 0) revision = page.revision;
-                    std::string last;
-                    for (auto& item : page.items) {
-                        last = item.key;
-                        const auto id = item.key.substr(kOpen.size());
-                        if (auto text = wire::parse_job_value(id, item.value)) {
-                            so_far[id] = {std::move(*text), item.revision};
-                        }
-                    }
-                    if (page.more && !last.empty()) {
-                        load(last, std::move(so_far), revision);
-                        return;
-                    }
-                    loaded_at(std::move(so_far), revision);
+    store_.list(store::RequestPriority::Place, std::string(kOpenPrefix), after_key,
+                [this, so_far = std::move(so_far)](store::Outcome outcome,
+                                                   const wire::ItemPage& page) mutable {
+                    if (outcome == store::Outcome::Ok) return on_load_page(page, std::move(so_far));
+                    const auto jitter = static_cast<Millis>(runtime_.random() % kReloadJitter);
+                    runtime_.after(kReloadDelay + jitter, [this] { load(); });
                 });
 }
 
-void JobWatcher::loaded_at(std::map<std::string, Open> jobs, std::uint64_t revision) {
-    const auto before = std::move(open_);
-    open_ = std::move(jobs);
-    // Read page by page, a job may have ended since its page; a final word never changes.
-    std::erase_if(open_, [&](const auto& job) { return finals_.contains(job.first); });
-    revision_ = revision;
-    read_at_ = std::max(read_at_, load_sent_);
-    // What was told before this read, by an earlier run of this node too, is in it.
-    cancellations_from_ = revision;
+void JobWatcher::on_load_page(const wire::ItemPage& page, PartialLoad so_far) {
+    // Changes since the first page are read again by the next watch.
+    if (so_far.revision == 0) so_far.revision = page.revision;
+    for (const auto& item : page.items) {
+        const auto job_id = item.key.substr(kOpenPrefix.size());
+        if (auto text = wire::parse_job_value(job_id, item.value)) {
+            so_far.jobs[job_id] = {std::move(*text), item.revision};
+        }
+    }
+    if (page.more && !page.items.empty()) {
+        return load_page(page.items.back().key, std::move(so_far));
+    }
+    on_loaded(std::move(so_far));
+}
+
+void JobWatcher::on_loaded(PartialLoad complete) {
+    const auto before = std::exchange(open_, std::move(complete.jobs));
+    // Read page by page, a job may have ended since its page; a terminal state never changes.
+    std::erase_if(open_, [&](const auto& job) { return terminal_states_.contains(job.first); });
+    revision_ = complete.revision;
+    read_at_ = std::max(read_at_, load_sent_at_);
+    cancellations_.set_complete_after(complete.revision);
     loaded_ = true;
     ever_loaded_ = true;
     loading_ = false;
     if (listener_) {
-        for (const auto& [id, job] : open_) listener_->on_open(job.text, job.revision);
-        for (const auto& [id, job] : before) {
-            // Which final word it was is read when somebody asks; its tasks end either way.
-            if (!open_.contains(id)) listener_->on_over(id, true);
+        for (const auto& [job_id, job] : open_) listener_->on_open(job.text, job.revision);
+        for (const auto& [job_id, job] : before) {
+            if (!open_.contains(job_id)) listener_->on_terminal(job_id, TerminalState::Aborted);
         }
     }
-    ask();
+    serve_waiting();
 }
 
-const JobWatcher::Open* JobWatcher::open(const std::string& id) const {
-    auto it = open_.find(id);
-    return it == open_.end() ? nullptr : &it->second;
+// The state service has forgotten changes that the copy needs.
+void JobWatcher::reload() {
+    if (loading_) return;
+    loaded_ = false;
+    load();
 }
 
-std::optional<bool> JobWatcher::terminal_state(const std::string& id) const {
-    auto it = finals_.find(id);
-    if (it == finals_.end()) return std::nullopt;
-    return it->second;
-}
+// ---- refreshes ----
 
-void JobWatcher::remember_final(const std::string& id, bool aborted, std::uint64_t revision) {
-    if (!finals_.emplace(id, aborted).second) return;
-    final_order_.push_back(id);
-    if (aborted) {
-        cancellations_.push_back({revision, id});
-        if (cancellations_.size() > kMaxCancellations) {
-            cancellations_from_ = std::max(cancellations_from_, cancellations_.front().revision);
-            cancellations_.pop_front();
-        }
+void JobWatcher::refresh(OnRefreshed done) {
+    if (!store_.responsive() || waiting_.size() >= kMaxWaiting) {
+        runtime_.after(0, [done = std::move(done)] { done(false); });
+        return;
     }
-    if (final_order_.size() > kMaxFinals) {
-        finals_.erase(final_order_.front());
-        final_order_.pop_front();
+    waiting_.push_back(std::move(done));
+    serve_waiting();
+}
+
+void JobWatcher::serve_waiting() {
+    if (waiting_.empty()) return;
+    if (!loaded_) {
+        for (const auto& done : std::exchange(waiting_, {})) done(false);
+        return;
     }
+    if (refresh_in_flight_ || refresh_scheduled_) return;
+    const auto since_last = runtime_.now() - refresh_sent_at_;
+    if (since_last >= kRefreshSpacing) return send_refresh();
+    refresh_scheduled_ = true;
+    runtime_.after(kRefreshSpacing - since_last, [this] {
+        refresh_scheduled_ = false;
+        serve_waiting();
+    });
 }
 
-void JobWatcher::wrote_open(const core::JobText& text, std::uint64_t revision) {
-    // The watch may have told of this, and of what came after, already.
-    if (revision <= revision_ || finals_.contains(text.id)) return;
-    open_[text.id] = {text, revision};
-    if (listener_) listener_->on_open(text, revision);
+void JobWatcher::send_refresh() {
+    refresh_in_flight_ = true;
+    refresh_sent_at_ = runtime_.now();
+    store_.watch(store::RequestPriority::Read, kWatchedPrefix, revision_, 0,
+                 [this, sent_at = refresh_sent_at_, waiting = std::exchange(waiting_, {})](
+                     store::Outcome outcome, const wire::ItemPage& page) {
+                     refresh_in_flight_ = false;
+                     const bool fresh = outcome == store::Outcome::Ok;
+                     if (fresh) apply(page, sent_at);
+                     if (outcome == store::Outcome::Missing) reload();
+                     for (const auto& done : waiting) done(fresh);
+                     serve_waiting();
+                 });
 }
 
-void JobWatcher::wrote_final(const std::string& id, bool aborted, std::uint64_t revision) {
-    remember_final(id, aborted, revision);
-    open_.erase(id);
-    if (listener_) listener_->on_over(id, aborted);
-    if (aborted && announce_cancelled_) announce_cancelled_({revision, id});
+void JobWatcher::keep_within_history() {
+    runtime_.after(kIdleCheckInterval, [this] {
+        const bool idle =
+            !refresh_in_flight_ && waiting_.empty() && runtime_.now() - refresh_sent_at_ > kMaxIdle;
+        if (loaded_ && idle) refresh([](bool) {});
+        keep_within_history();
+    });
 }
 
-JobWatcher::Cancellations JobWatcher::cancelled_after(std::uint64_t revision,
-                                                      std::size_t limit) const {
-    Cancellations out;
-    for (auto it = cancellations_.rbegin(); it != cancellations_.rend() && out.size() < limit;
-         ++it) {
-        if (it->revision > revision) out.push_back(*it);
-    }
-    return out;
+// ---- the leader's watch ----
+
+void JobWatcher::start_watching(Listener listener) {
+    listener_ = std::move(listener);
+    ++watch_number_;
+    watch_next();
+}
+
+void JobWatcher::stop_watching() {
+    listener_.reset();
+    ++watch_number_;
 }
 
-void JobWatcher::learn_cancelled(const wire::Cancellation& cancellation) {
-    // A final word never changes, so it can be believed whoever passes it on.
-    if (finals_.contains(cancellation.id)) return;
-    remember_final(cancellation.id, true, cancellation.revision);
-    open_.erase(cancellation.id);
-    if (listener_) listener_->on_over(cancellation.id, true);
+void JobWatcher::watch_next() {
+    store_.watch(store::RequestPriority::Place, kWatchedPrefix, revision_, kWatchBlock,
+                 [this, number = watch_number_, sent_at = runtime_.now()](
+                     store::Outcome outcome, const wire::ItemPage& page) {
+                     if (number != watch_number_) return;
+                     const bool ok = outcome == store::Outcome::Ok;
+                     if (ok) apply(page, sent_at);
+                     if (outcome == store::Outcome::Missing) reload();
+                     runtime_.after(ok ? kWatchPause : kWatchRetryDelay, [this, number] {
+                         if (number == watch_number_) watch_next();
+                     });
+                 });
 }
 
-void JobWatcher::apply(const wire::ItemPage& page) {
+// ---- changes to the copy ----
+
+void JobWatcher::apply(const wire::ItemPage& page, Millis sent_at) {
     for (const auto& item : page.items) {
         if (item.revision <= revision_) continue;
-        if (item.key.starts_with(kOpen)) {
-            const auto id = item.key.substr(kOpen.size());
-            if (item.value.empty()) {
-                open_.erase(id);
-                continue;
-            }
-            // An answer of the state service can come after news of what followed it.
-            if (finals_.contains(id)) continue;
-            if (auto text = wire::parse_job_value(id, item.value)) {
-                if (listener_) listener_->on_open(*text, item.revision);
-                open_[id] = {std::move(*text), item.revision};
-            }
-        } else if (item.key.starts_with(kOver) && !item.value.empty()) {
-            const auto id = item.key.substr(kOver.size());
-            if (auto over = wire::parse_over_value(id, item.value)) {
-                remember_final(id, over->aborted, item.revision);
-                open_.erase(id);
-                if (listener_) listener_->on_over(id, over->aborted);
-            }
+        if (item.key.starts_with(kOpenPrefix)) {
+            apply_open(item);
+        } else if (item.key.starts_with(kOverPrefix)) {
+            apply_over(item);
         }
     }
     revision_ = std::max(revision_, page.revision);
+    read_at_ = std::max(read_at_, sent_at);
 }
 
-void JobWatcher::barrier(std::function<void(bool)> done) {
-    if (!store_.responsive() || waiting_.size() >= kMaxWaiting) {
-        runtime_.after(0, [done = std::move(done)] { done(false); });
+void JobWatcher::apply_open(const wire::Item& item) {
+    const auto job_id = item.key.substr(kOpenPrefix.size());
+    if (item.value.empty()) {
+        open_.erase(job_id);
         return;
     }
-    waiting_.push_back(std::move(done));
-    ask();
+    // An answer of the state service can arrive after a peer's announcement of what followed it.
+    if (terminal_states_.contains(job_id)) return;
+    if (auto text = wire::parse_job_value(job_id, item.value)) {
+        if (listener_) listener_->on_open(*text, item.revision);
+        open_[job_id] = {std::move(*text), item.revision};
+    }
 }
 
-void JobWatcher::ask() {
-    if (!loaded_ || asking_ || ask_timer_ || waiting_.empty()) {
-        if (!loaded_ && !waiting_.empty()) answer(std::exchange(waiting_, {}), false);
-        return;
+void JobWatcher::apply_over(const wire::Item& item) {
+    if (item.value.empty()) return;
+    const auto job_id = item.key.substr(kOverPrefix.size());
+    if (const auto over = wire::parse_over_value(job_id, item.value)) {
+        const auto state = over->aborted ? TerminalState::Aborted : TerminalState::Done;
+        record_terminal_state(job_id, state, item.revision);
+        end_job(job_id, state);
     }
-    const auto now = runtime_.now();
-    if (now - requested_at_ < kAskSpacing) {
-        ask_timer_ = true;
-        runtime_.after(kAskSpacing - (now - requested_at_), [this] {
-            ask_timer_ = false;
-            ask();
-        });
-        return;
-    }
-    issue();
 }
 
-void JobWatcher::issue() {
-    asking_ = true;
-    requested_at_ = runtime_.now();
-    auto waiting = std::move(waiting_);
-    waiting_.clear();
-    const auto sent = requested_at_;
-    store_.watch(store::RequestPriority::Read, "o", revision_, 0,
-                 [this, sent, waiting = std::move(waiting)](store::Outcome outcome,
-                                                            const wire::ItemPage& page) mutable {
-                     asking_ = false;
-                     if (outcome == store::Outcome::Ok) {
-                         apply(page);
-                         read_at_ = std::max(read_at_, sent);
-                     } else if (outcome == store::Outcome::Missing && !loading_) {
-                         loaded_ = false;
-                         load("", {}, 0);
-                     }
-                     answer(waiting, outcome == store::Outcome::Ok);
-                     ask();
-                 });
+void JobWatcher::on_open_written(const core::JobText& text, std::uint64_t revision) {
+    // A read may have brought this, and what came after it, already.
+    if (revision <= revision_ || terminal_states_.contains(text.id)) return;
+    open_[text.id] = {text, revision};
+    if (listener_) listener_->on_open(text, revision);
 }
 
-void JobWatcher::answer(const std::vector<std::function<void(bool)>>& waiting, bool ok) {
-    for (auto& done : waiting) done(ok);
+void JobWatcher::on_terminal_state_written(const std::string& job_id, TerminalState state,
+                                           std::uint64_t revision) {
+    record_terminal_state(job_id, state, revision);
+    end_job(job_id, state);
+    if (state == TerminalState::Aborted && on_cancellation_) on_cancellation_({revision, job_id});
 }
 
-void JobWatcher::lookup_final(const std::string& id,
-                              std::function<void(store::Outcome, std::optional<bool>)> done) {
-    auto [it, fresh] = lookups_.try_emplace(id);
-    it->second.push_back(std::move(done));
-    if (!fresh) return;
-    store_.get(store::RequestPriority::Read, std::string(kOver) + id,
-               [this, id](store::Outcome outcome, const wire::Item& item) {
-                   std::optional<bool> cancellation;
-                   if (outcome == store::Outcome::Ok) {
-                       if (auto over = wire::parse_over_value(id, item.value)) {
-                           cancellation = over->aborted;
-                           remember_final(id, over->aborted, item.revision);
-                       } else {
-                           outcome = store::Outcome::Unknown;
-                       }
-                   }
-                   auto node = lookups_.extract(id);
-                   for (auto& waiting : node.mapped()) waiting(outcome, cancellation);
-               });
+void JobWatcher::on_peer_cancellation(const wire::Cancellation& cancellation) {
+    // A terminal state never changes, so it is true whichever peer sends it.
+    if (record_terminal_state(cancellation.id, TerminalState::Aborted, cancellation.revision)) {
+        end_job(cancellation.id, TerminalState::Aborted);
+    }
 }
 
-void JobWatcher::follow(Listener listener) {
-    listener_ = std::move(listener);
-    ++follow_number_;
-    long_watch();
+const JobWatcher::OpenJob* JobWatcher::find_open(const std::string& job_id) const {
+    const auto it = open_.find(job_id);
+    return it == open_.end() ? nullptr : &it->second;
 }
 
-void JobWatcher::unfollow() {
-    listener_.reset();
-    ++follow_number_;
+void JobWatcher::end_job(const std::string& job_id, TerminalState state) {
+    open_.erase(job_id);
+    if (listener_) listener_->on_terminal(job_id, state);
 }
 
-void JobWatcher::long_watch() {
-    const auto number = follow_number_;
-    const auto sent = runtime_.now();
-    store_.watch(store::RequestPriority::Place, "o", revision_, 8000,
-                 [this, number, sent](store::Outcome outcome, const wire::ItemPage& page) {
-                     if (number != follow_number_) return;
-                     Millis pause = 60;
-                     if (outcome == store::Outcome::Ok) {
-                         apply(page);
-                         read_at_ = std::max(read_at_, sent);
-                     } else {
-                         pause = 400;
-                         if (outcome == store::Outcome::Missing && !loading_) {
-                             loaded_ = false;
-                             load("", {}, 0);
-                         }
-                     }
-                     runtime_.after(pause, [this, number] {
-                         if (number == follow_number_) long_watch();
-                     });
-                 });
+bool JobWatcher::record_terminal_state(const std::string& job_id, TerminalState state,
+                                       std::uint64_t revision) {
+    if (!terminal_states_.insert(job_id, state)) return false;
+    if (state == TerminalState::Aborted) cancellations_.append({revision, job_id});
+    return true;
+}
+
+// ---- terminal states of jobs that are not open ----
+
+void JobWatcher::read_terminal_state(const std::string& job_id, OnTerminalState done) {
+    auto [lookup, first] = lookups_.try_emplace(job_id);
+    lookup->second.push_back(std::move(done));
+    if (!first) return;
+    store_.get(store::RequestPriority::Read, std::string(kOverPrefix) + job_id,
+               [this, job_id](store::Outcome outcome, const wire::Item& item) {
+                   tl::expected<TerminalState, LookupError> result = tl::unexpected(
+                       outcome == store::Outcome::Missing ? LookupError::NotFound
+                                                          : LookupError::Unavailable);
+                   const auto over = outcome == store::Outcome::Ok
+                                         ? wire::parse_over_value(job_id, item.value)
+                                         : std::nullopt;
+                   if (over) {
+                       result = over->aborted ? TerminalState::Aborted : TerminalState::Done;
+                       record_terminal_state(job_id, *result, item.revision);
+                   }
+                   const auto waiting = lookups_.extract(job_id);
+                   for (const auto& callback : waiting.mapped()) callback(result);
+               });
 }
 
 }  // namespace lichendrift::control
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -75,7 +75,7 @@
 void Leader::stop() {
     stopped_ = true;
     duties_->stop();
-    job_watcher_.unfollow();
+    job_watcher_.stop_watching();
 }
 
 bool Leader::knows_machine(const std::string& name) {
@@ -155,7 +155,7 @@
     wire::HeartbeatAnswer answer{token_, {}};
     if (!settings_.guards.cancellations_bound_leases) return answer;
     for (const auto& task : report.tasks) {
-        if (task.phase == core::TaskPhase::Exited || job_watcher_.open(task.job) != nullptr)
+        if (task.phase == core::TaskPhase::Exited || job_watcher_.find_open(task.job) != nullptr)
             continue;
         // Read since this lead began, the copy allocations every job that an earlier one started.
         if (!jobs_read_ && !job_watcher_.terminal_state(task.job)) return std::nullopt;
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -92,7 +92,7 @@
                                                     result.revision, at);
                             });
                             // Which final word it is comes with the next read.
-                            if (over) self->job_watcher_.barrier([](bool) {});
+                            if (over) self->job_watcher_.refresh([](bool) {});
                         }
                         self->write();
                         self->dispatch();
@@ -157,7 +157,8 @@
                     [&](core::Cluster& c) { c.final_written(write, ok, self->runtime_.now()); });
                 if (ok) {
                     self->host_.log(events::JobCompleted{write.job_id});
-                    self->job_watcher_.wrote_final(write.job_id, false, result.revision);
+                    self->job_watcher_.on_terminal_state_written(write.job_id, TerminalState::Done,
+                                                                 result.revision);
                 }
                 self->write();
             });
--- a/src/control/leader_takeover.cpp
+++ b/src/control/leader_takeover.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 void Leader::load_jobs() {
-    job_watcher_.barrier([self = shared_from_this()](bool ok) {
+    job_watcher_.refresh([self = shared_from_this()](bool ok) {
         if (self->stopped_) return;
         if (!ok) {
             self->runtime_.after(200, [self] {
@@ -24,11 +24,11 @@
         const auto now = self->runtime_.now();
         self->with([&](core::Cluster& c) {
             c.records_to_come();
-            for (const auto& [id, job] : self->job_watcher_.all_open()) {
+            for (const auto& [id, job] : self->job_watcher_.open_jobs()) {
                 c.add_job(job.text, job.revision, now, false, self->age_of(job.text));
             }
         });
-        self->job_watcher_.follow(
+        self->job_watcher_.start_watching(
             {[self](const core::JobText& text, std::uint64_t revision) {
                  if (self->stopped_) return;
                  self->with([&](core::Cluster& c) {
@@ -37,10 +37,11 @@
                  self->host_.log(events::JobOpened{text.id, text.cls, text.count});
                  self->changed();
              },
-             [self](const std::string& id, bool aborted) {
+             [self](const std::string& id, TerminalState state) {
                  if (self->stopped_) return;
-                 self->with(
-                     [&](core::Cluster& c) { c.job_over(id, aborted, self->runtime_.now()); });
+                 self->with([&](core::Cluster& c) {
+                     c.job_over(id, state == TerminalState::Aborted, self->runtime_.now());
+                 });
                  self->changed();
              }});
         self->load_places("");
@@ -134,7 +135,7 @@
         }
         c.records_loaded();
     });
-    host_.log(events::FailoverComplete{job_watcher_.all_open().size(), places_.size()});
+    host_.log(events::FailoverComplete{job_watcher_.open_jobs().size(), places_.size()});
     places_.clear();
     places_.shrink_to_fit();
     load_hints();
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -16,7 +16,9 @@
 constexpr std::size_t kMaxLoggedBody = 400;
 constexpr Millis kReportInterval = 3000;
 
-const char* state_name(bool aborted) { return aborted ? "aborted" : "done"; }
+const char* state_name(TerminalState state) {
+    return state == TerminalState::Aborted ? "aborted" : "done";
+}
 
 }  // namespace
 
@@ -105,19 +107,18 @@
     if (auto terminal_state = job_watcher_.terminal_state(job.id)) {
         return respond({200, wire::job_answer(job.id, state_name(*terminal_state))});
     }
-    if (job_watcher_.open(job.id) != nullptr) return poll(job.id, std::move(respond), true);
+    if (job_watcher_.find_open(job.id) != nullptr) return poll(job.id, std::move(respond), true);
     if (!store_.responsive()) return refuse(respond, "the state service does not answer");
     if (types_.empty()) return refuse(respond, "machine types are not known yet");
     if (auto reason = check(job); !reason.empty()) {
         // A job that was accepted once is never refused: prices, types and teams may change.
         const auto id = job.id;
-        job_watcher_.barrier([this, id, reason, respond = std::move(respond)](bool ok) mutable {
+        job_watcher_.refresh([this, id, reason, respond = std::move(respond)](bool ok) mutable {
             if (!ok) return refuse(respond, "the state service does not answer");
-            if (job_watcher_.open(id) != nullptr) return answer_open(id, respond);
-            job_watcher_.lookup_final(id, [this, id, reason, respond](store::Outcome outcome,
-                                                                      std::optional<bool> aborted) {
-                if (aborted) return respond({200, wire::job_answer(id, state_name(*aborted))});
-                if (outcome != store::Outcome::Missing) {
+            if (job_watcher_.find_open(id) != nullptr) return answer_open(id, respond);
+            job_watcher_.read_terminal_state(id, [this, id, reason, respond](const auto& state) {
+                if (state) return respond({200, wire::job_answer(id, state_name(*state))});
+                if (state.error() != LookupError::NotFound) {
                     return refuse(respond, "the state service does not answer");
                 }
                 respond({422, wire::error_body(reason)});
@@ -188,7 +189,7 @@
             for (auto& respond : node.mapped()) responds.push_back(std::move(respond));
         }
         if (result.outcome == store::Outcome::Ok) {
-            job_watcher_.wrote_open(submission.job, result.revision);
+            job_watcher_.on_open_written(submission.job, result.revision);
             for (std::size_t i = 0; i < responds.size(); ++i) {
                 responds[i]({i == 0 ? 201 : 200, wire::job_answer(id, "pending")});
             }
@@ -221,16 +222,15 @@
     if (auto aborted = job_watcher_.terminal_state(id)) {
         return respond({200, wire::job_answer(id, state_name(*aborted))});
     }
-    if (!settings_.guards.fresh_reads && job_watcher_.open(id) != nullptr) {
+    if (!settings_.guards.fresh_reads && job_watcher_.find_open(id) != nullptr) {
         return answer_open(id, respond);
     }
-    job_watcher_.barrier([this, id, submission, respond = std::move(respond)](bool ok) {
+    job_watcher_.refresh([this, id, submission, respond = std::move(respond)](bool ok) {
         if (!ok) return refuse(respond, "the state service does not answer");
-        if (job_watcher_.open(id) != nullptr) return answer_open(id, respond);
-        job_watcher_.lookup_final(id, [this, id, submission, respond](store::Outcome outcome,
-                                                                      std::optional<bool> aborted) {
-            if (aborted) return respond({200, wire::job_answer(id, state_name(*aborted))});
-            if (outcome != store::Outcome::Missing || submission) {
+        if (job_watcher_.find_open(id) != nullptr) return answer_open(id, respond);
+        job_watcher_.read_terminal_state(id, [this, id, submission, respond](const auto& state) {
+            if (state) return respond({200, wire::job_answer(id, state_name(*state))});
+            if (state.error() != LookupError::NotFound || submission) {
                 return refuse(respond, "the state service does not answer");
             }
             respond({404, wire::error_body("no such job")});
@@ -242,9 +242,9 @@
     if (auto aborted = job_watcher_.terminal_state(id)) {
         return respond({200, wire::job_answer(id, state_name(*aborted))});
     }
-    job_watcher_.barrier([this, id, tries, respond = std::move(respond)](bool ok) mutable {
+    job_watcher_.refresh([this, id, tries, respond = std::move(respond)](bool ok) mutable {
         if (!ok) return refuse(respond, "the state service does not answer");
-        const auto* open = job_watcher_.open(id);
+        const auto* open = job_watcher_.find_open(id);
         if (open == nullptr) return poll(id, std::move(respond), false);
         // The job's description stays with the final word: its tasks count until they are gone.
         store_.transact(
@@ -255,7 +255,8 @@
             [this, id, tries,
              respond = std::move(respond)](const store::TransactionResult& result) mutable {
                 if (result.outcome == store::Outcome::Ok) {
-                    job_watcher_.wrote_final(id, true, result.revision);
+                    job_watcher_.on_terminal_state_written(id, TerminalState::Aborted,
+                                                           result.revision);
                     return respond({200, wire::job_answer(id, "aborted")});
                 }
                 if (result.outcome == store::Outcome::Conflict && tries > 0) {
