--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -123,7 +123,7 @@
         if (job.done_reported) continue;
         ADD_FAILURE() << job.id << " submitted " << job.submitted << " at " << job.submit_at
                       << ", accepted " << job.accepted << ", tasks done " << job.done_tasks.size()
-                      << ", answered " << job.answered << ", now " << simulation.now();
+                      << ", answered " << job.responded_at << ", now " << simulation.now();
     }
     EXPECT_EQ(simulation.broken(), "");
     EXPECT_GT(provisioning_epoch(simulation), rounds_wanted());
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -89,7 +89,7 @@
     for (std::uint64_t i = 0; i < days_wanted(); ++i) {
         const auto seed = 40'000 + static_cast<std::uint64_t>(GetParam()) * 1000 + i;
         auto options = fenced_day(seed);
-        options.lossy = i % 2 == 1;
+        options.lossy_messages = i % 2 == 1;
         options.cloud_checks_epochs = i % 4 == 3;
         Simulation simulation(options);
         std::mt19937_64 rng(seed);
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,5 +1,5 @@
-// Two or more troubles that meet, each day aimed at one combination. What guards against each is
-// listed in docs/design.md, "When troubles meet".
+// Two or more faults at once, each day aimed at one combination. What guards against each is listed
+// in docs/design.md, "Fault combinations".
 #include <gtest/gtest.h>
 
 #include <random>
@@ -17,14 +17,14 @@
     std::size_t nodes = 3;
     bool apart = false;  // the leader is cut from its peers as well
     bool ends = false;   // the confirming controller ends right after its answer
-    bool lost = false;   // and what it told the others is lost
+    bool lost = false;   // and its announcements to the others are lost
     bool back = false;   // it is back at once, and has forgotten
     bool old = false;    // the peers are of a build that knows none of the messages
 };
 
 // The state service refuses the leader alone, another controller confirms a cancellation, and then
-// the service is out for all, longer than cancel_s. The first lead never ends, nobody else can win,
-// and it went on renewing the leases of machines with cancelled tasks.
+// the service is out for all, longer than cancel_s. The first term never ends, nobody else can win,
+// and the leader went on renewing the leases of machines with cancelled tasks.
 class CancelledBehindTheLeader : public ::testing::TestWithParam<Gap> {
   public:
     static std::string day(const Gap& gap, core::Guards guards, std::uint64_t seed) {
@@ -70,7 +70,7 @@
     for (std::uint64_t seed = 200; seed < 204; ++seed) {
         EXPECT_EQ(day(GetParam(), {}, seed), "");
         if (GetParam().apart || GetParam().back || GetParam().old) {
-            // Telling alone is not enough where nobody can tell.
+            // Announcements alone are not enough where nobody can send them.
             auto unbound = core::Guards{};
             unbound.cancellations_bound_leases = false;
             EXPECT_TRUE(day(GetParam(), unbound, seed).starts_with("ran_cancelled"));
@@ -78,7 +78,7 @@
         auto neither = core::Guards{};
         neither.cancellations_announced = neither.cancellations_bound_leases = false;
         EXPECT_TRUE(day(GetParam(), neither, seed).starts_with("ran_cancelled"));
-        // The bound allocations by itself.
+        // The bound on lease renewals is enough by itself.
         auto untold = core::Guards{};
         untold.cancellations_announced = false;
         EXPECT_EQ(day(GetParam(), untold, seed), "");
@@ -92,11 +92,11 @@
                       Gap{"ConfirmerOfFiveEndsUnheard", 5, false, true, true},
                       Gap{"ConfirmerForgets", 3, false, true, true, true},
                       Gap{"ConfirmerOfFiveForgets", 5, false, true, true, true},
-                      Gap{"OlderSiblings", 3, false, false, false, false, true}),
+                      Gap{"OlderPeers", 3, false, false, false, false, true}),
     [](const auto& param) { return std::string(param.param.name); });
 
-// Another one wins, and the service goes out before it has read a record: it raises the tokens and
-// renewed the leases of everything it heard, cancelled or not.
+// Another one wins, and the service goes out before it has read a record: it raised the tokens
+// and renewed the leases of all workers that reported, with cancelled tasks or not.
 // It may have confirmed them itself, in an earlier run that it has forgotten.
 class LeaderWithoutItsRecords : public ::testing::TestWithParam<bool> {};
 
@@ -142,8 +142,8 @@
     return std::string(param.param ? "ThatConfirmedInAnEarlierRun" : "ThatAnotherConfirmed");
 });
 
-// A leader that has just lost the state service and its peers is sure to lead for seconds more,
-// and a run in doubt is sent again as soon as its machine is reached: the job was cancelled
+// A leader that has just lost the state service and its peers has a valid lease for seconds more,
+// and an unconfirmed run is sent again as soon as its machine is reached: the job was cancelled
 // meanwhile.
 TEST(FaultCombinations, LeaderThatHearsNothingStartsNothingOnAnOldCopy) {
     for (const bool guarded : {true, false}) {
@@ -184,9 +184,9 @@
     }
 }
 
-// Cancelled work on a machine that hangs, and the leader ends: the next one has not heard it and
-// does not know since when it is silent, but the cancellation runs out all the same.
-TEST(FaultCombinations, HangingMachineWithCancelledWorkIsReturnedInTimeByTheNextLeader) {
+// Cancelled work on a machine that hangs, and the leader ends: the next one has no heartbeat of it
+// and does not know since when it is silent, yet the bound on the cancellation holds.
+TEST(FaultCombinations, HangingMachineWithCancelledWorkIsReleasedInTimeByTheNextLeader) {
     for (const std::size_t nodes : {3, 5}) {
         for (Millis later = 200; later < 7000; later += 1100) {
             auto options = calm(240);
@@ -204,7 +204,8 @@
     }
 }
 
-// The last machine of a fleet hangs for ever: it counted as a trouble of ours, and its job waited.
+// The last machine of a fleet hangs for ever: it counted as a fault on the controllers' side, and
+// its job waited.
 TEST(FaultCombinations, LastMachineOfTheFleetThatHangsIsGivenUp) {
     auto options = calm(250);
     options.machines = 1;
@@ -220,9 +221,9 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// It has to be apart, one zone has room for all of it and the other none: each plan asked for one
-// more machine where there was room already, and the last that the cloud had went there.
-TEST(FaultCombinations, JobThatMustBeApartRentsInTheZoneThatLacksRoom) {
+// It has to be apart, one zone has resources for all of it and the other none: each plan
+// provisioned one more machine in the first, and the last that the cloud had went there.
+TEST(FaultCombinations, JobThatMustBeApartProvisionsInTheZoneThatLacksResources) {
     auto options = calm(251);
     options.machines = 0;
     Simulation simulation(options);
@@ -239,8 +240,8 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// Cancelled between the two reads of a take-over, what is open and what is placed: it had no tasks
-// known yet, was forgotten, and its team's limit was given to others while its tasks ran on.
+// Cancelled between the two reads of a failover, open jobs and placement records: it had no known
+// tasks yet, was forgotten, and its team's quota was given to others while its tasks ran on.
 TEST(FaultCombinations, CancelledAmidATakeOverItStillCountsUntilItsTasksAreGone) {
     for (const bool guarded : {true, false}) {
         core::Names types;
@@ -292,7 +293,7 @@
     if (const auto l = simulation.leader()) simulation.crash(*l, back);
 }
 
-// Some of the machines that are up: every so many.
+// Every n-th of the machines that are up.
 std::vector<Worker*> some(Simulation& simulation, std::size_t every) {
     std::vector<Worker*> out;
     std::size_t k = 0;
@@ -354,11 +355,11 @@
          [](Simulation& w, std::size_t) {
              // The largest gang that is bound to a zone needs three machines of it. A capacity of
              // four for both zones together, as no cloud has it, let two such gangs of different
-             // zones hold two each for ever.
+             // zones keep two each for ever.
              w.set_zone_capacity(3);
              w.at(5000, [&w] { w.slow_links(500, 50'000); });
          }},
-        {"MuteMachines",
+        {"MachinesThatReachNoController",
          {},
          [](Simulation& w, std::size_t) {
              for (Millis t = 10'000; t < 60'000; t += 16'000) {
@@ -372,11 +373,11 @@
          [](Simulation& w, std::size_t) {
              for (Millis t = 11'000; t < 60'000; t += 17'000) {
                  w.at(t, [&w, t] {
-                     bool deaf = t % 2 == 0;
+                     bool unreachable = t % 2 == 0;
                      for (auto* m : some(w, 2)) {
-                         if (deaf) w.block_inbound(*m, 12'000, t % 3 == 0);
-                         if (!deaf) w.cut(m->name, "n", 12'000, t % 3 == 0);
-                         deaf = !deaf;
+                         if (unreachable) w.block_inbound(*m, 12'000, t % 3 == 0);
+                         if (!unreachable) w.cut(m->name, "n", 12'000, t % 3 == 0);
+                         unreachable = !unreachable;
                      }
                      crash_leader(w, 4000);
                  });
@@ -412,7 +413,7 @@
                      for (auto* m : some(w, 2)) w.cut(m->name, "n", 9000, false);
                      crash_leader(w, 3000);
                  });
-                 // Also between the reads of the take-over.
+                 // Also between the reads of the failover.
                  for (Millis c = 100; c < 5000; c += 350) {
                      w.at(t + c, [&w, c] {
                          if (c % 700 == 100) w.cancel_now(1, 0);
@@ -473,7 +474,7 @@
          }},
         {"OldReportsAfterNewerOnes",
          [](Options& o) {
-             o.lossy = true;
+             o.lossy_messages = true;
              o.late_copy = 0.3;
          },
          [](Simulation& w, std::size_t) {
@@ -525,8 +526,8 @@
                          ::testing::Range(std::size_t{0}, combinations().size()),
                          [](const auto& param) { return combinations()[param.param].name; });
 
-// The bound must not cost work where peers can vouch that nothing was cancelled.
-TEST(FaultCombinations, OutageLongerThanCancelsCostsNoTaskWhileSiblingsAnswer) {
+// The bound must not cost work where the peers' answers show that nothing was cancelled.
+TEST(FaultCombinations, OutageLongerThanCancelsCostsNoTaskWhilePeersAnswer) {
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(210);
         options.nodes = nodes;
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,4 +1,4 @@
-// The troubles that the grown deployments expect, one at a time, each aimed at one guard.
+// Single faults of large deployments, each aimed at one guard.
 #include <gtest/gtest.h>
 
 #include "core/cluster.h"
@@ -7,14 +7,15 @@
 namespace lichendrift::simulation {
 namespace {
 
-// Its reports go on, its tasks die with its lease: without judging it by the effect of what it was
-// sent, tasks were placed there again and again, each lost for a lease.
-TEST(Faults, MachineThatNothingReachesGetsNoMoreWorkAndIsReturned) {
+// A one-way partition: heartbeats arrive, answers and commands do not, and the tasks end with the
+// worker's lease. Without a check of the effect of commands, tasks were placed there again and
+// again.
+TEST(Faults, UnreachableMachineGetsNoMoreWorkAndIsReleased) {
     for (const auto& [held, guarded] : {std::pair(false, true), {true, true}, {false, false}}) {
         auto options = calm(21);
         options.guards.command_effect_check = guarded;
         Simulation simulation(options);
-        // Both machines of the zone are needed, so that the deaf one would be used.
+        // Both machines of the zone are needed, so that the unreachable one would be used.
         for (std::size_t n = 1; n <= 28; ++n) {
             auto j = plain(numbered(n), 1, 3, static_cast<Millis>(n) * 2500 - 2500);
             j.cpus = 8;
@@ -23,27 +24,27 @@
             simulation.jobs().push_back(j);
         }
         simulation.advance(22'500);
-        std::string deaf;
+        std::string unreachable;
         for (auto& [name, w] : simulation.workers()) {
             if (w.tasks.empty() || w.tasks[0].state == "exited") continue;
             simulation.block_inbound(w, 150'000, held);
-            deaf = name;
+            unreachable = name;
             break;
         }
-        ASSERT_NE(deaf, "");
+        ASSERT_NE(unreachable, "");
         // What was there already waits for its lease to end; from then on nothing goes there.
         std::set<std::string> placed;
         for (Millis t = 50'000; t <= 95'000; t += 250) {
             simulation.advance(t);
             for (const auto& [key, entry] : simulation.store()) {
-                const bool there = entry.first.find('"' + deaf + '"') != std::string::npos;
+                const bool there = entry.first.find('"' + unreachable + '"') != std::string::npos;
                 if (key.starts_with("place/") && there) placed.insert(key);
             }
         }
         EXPECT_EQ(simulation.broken(), "");
         EXPECT_EQ(placed.empty(), guarded) << placed.size();
         if (guarded) {
-            EXPECT_TRUE(simulation.workers().at(deaf).gone);
+            EXPECT_TRUE(simulation.workers().at(unreachable).gone);
         }
     }
 }
@@ -76,7 +77,7 @@
     }
 }
 
-TEST(Faults, MachineThatIsDeafForMomentsIsUsedAgain) {
+TEST(Faults, BrieflyUnreachableMachineIsUsedAgain) {
     Simulation simulation(calm(22));
     auto j = plain("job-000001", 3, 40);
     j.cpus = 8;
@@ -94,7 +95,8 @@
 // Answering with its old token, it would keep its workers until their leases end.
 TEST(Faults, LeaderThatKeepsOnlyItsWorkersLosesNoTasksForThem) {
     for (const std::size_t nodes : {3, 5}) {
-        for (const auto& [hold, refuse] : {std::pair(false, false), {true, false}, {false, true}}) {
+        for (const auto& [delay, refuse] :
+             {std::pair(false, false), {true, false}, {false, true}}) {
             auto options = calm(23);
             options.nodes = nodes;
             Simulation simulation(options);
@@ -106,7 +108,7 @@
             const auto old = simulation.leader();
             ASSERT_TRUE(old);
             for (auto& [name, w] : simulation.workers()) w.node = *old;
-            simulation.isolate(*old, 45'000, hold, refuse);
+            simulation.isolate(*old, 45'000, delay, refuse);
             simulation.advance(110'000);
             EXPECT_EQ(simulation.broken(), "");
             EXPECT_TRUE(simulation.jobs()[0].done_reported);
@@ -120,9 +122,9 @@
     }
 }
 
-// Cut off from everything it sees machines fall silent one by one, and the requests to return them
-// are held and carried out when the cut ends, long after another leads.
-TEST(Faults, LeaderThatIsNotSureToLeadGivesUpNoMachine) {
+// Cut off from everything it sees machines fall silent one by one; its requests to release them
+// would be delayed and carried out when the cut ends, long after another controller was elected.
+TEST(Faults, LeaderWithoutValidLeaseReleasesNoMachine) {
     auto options = calm(27);
     options.report_s = 5;
     options.lease_s = 29;
@@ -145,7 +147,7 @@
     for (const auto& [name, w] : simulation.workers()) EXPECT_FALSE(w.gone) << name;
 }
 
-// Records still name the machines that tasks were on before they were given back.
+// Records still name the machines that tasks were on before these were released.
 TEST(Faults, NewLeaderWaitsNotForMachinesThatAreGone) {
     auto options = calm(28);
     options.machines = 4;
@@ -172,7 +174,7 @@
 
 TEST(Faults, ZonesCutOffOrApartLoseNoJob) {
     for (const bool apart : {false, true}) {
-        for (const bool hold : {false, true}) {
+        for (const bool delay : {false, true}) {
             auto options = calm(30);
             options.nodes = 5;
             Simulation simulation(options);
@@ -182,10 +184,10 @@
                 j.one_zone = n % 2 == 0;
                 simulation.jobs().push_back(j);
             }
-            simulation.at(12'000, [&, apart, hold] {
-                simulation.cut_zone("a", apart ? "b" : "", 30'000, hold);
+            simulation.at(12'000, [&, apart, delay] {
+                simulation.cut_zone("a", apart ? "b" : "", 30'000, delay);
             });
-            EXPECT_EQ(simulation.run(), "") << apart << hold;
+            EXPECT_EQ(simulation.run(), "") << apart << delay;
         }
     }
 }
@@ -232,7 +234,7 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-// Several times as many jobs of a class as there is room for, beside another team's guarantee.
+// Several times as many jobs of a class as fit, beside another team's guarantee.
 TEST(Faults, BurstOfAClassStarvesNoOther) {
     Simulation simulation(calm(34));
     simulation.set_capacity(5);
@@ -258,8 +260,8 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-// A flood of what can't be taken: each is answered at once, and the fleet does not notice.
-TEST(Faults, FloodOfRefusedRequestsStarvesNeitherBeatsNorRenewals) {
+// A flood of requests that are refused: each is answered at once, and the workers are not affected.
+TEST(Faults, FloodOfRefusedRequestsStarvesNeitherHeartbeatsNorRenewals) {
     Simulation simulation(calm(35));
     simulation.jobs().push_back(plain("job-000001", 4, 60));
     simulation.advance(10'000);
@@ -269,21 +271,21 @@
         for (int i = 0; i < 60; ++i) {
             const auto node = static_cast<std::size_t>(i % 3);
             simulation.at(simulation.now() + Millis{3} * i, [&simulation, node, i] {
-                simulation.throw_at(
+                simulation.send_counted(
                     node, i % 2 == 0 ? net::HttpRequest{"POST", "/v2/runs", "{\"nameId\":1}"}
                                      : net::HttpRequest{"GET", "/v2/runs/job-999999", ""});
             });
         }
         simulation.advance(simulation.now() + 500);
     }
-    EXPECT_EQ(simulation.thrown_answered(), 40U * 60U);
+    EXPECT_EQ(simulation.counted_replies(), 40U * 60U);
     EXPECT_EQ(simulation.leader(), leader);
     for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
     EXPECT_EQ(simulation.run(), "");
     EXPECT_EQ(simulation.total_starts(), 4U);
 }
 
-// Resources for a guarantee is kept while its team has work, and not for ever after.
+// Capacity for a guarantee is kept while its team has work, and not for ever after.
 TEST(Faults, RoomForAGuaranteeIsGivenUpWhenItsTeamWentHome) {
     core::Names types;
     core::Names zones;
@@ -351,10 +353,11 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// Two zones can't reach each other, a third reaches both: reports go round by a node there. Before,
-// the workers of one zone tried the leader's node, hung there, and their leases ended.
+// Two zones can't reach each other, a third reaches both: heartbeats are relayed by a
+// controller there. Before, the workers of one zone tried the leader, waited, and their leases
+// expired.
 TEST(Faults, ReportsGoRoundByANodeThatReachesTheLeader) {
-    for (const bool hold : {false, true}) {
+    for (const bool delay : {false, true}) {
         auto options = calm(36);
         options.machines = 6;
         options.teams = {{"core", {}, {}}};
@@ -368,10 +371,10 @@
         const auto leader = simulation.leader();
         ASSERT_TRUE(leader);
         const auto near = (*leader + 1) % 3;
-        simulation.cut("n" + std::to_string(near), "n" + std::to_string(*leader), 40'000, hold);
+        simulation.cut("n" + std::to_string(near), "n" + std::to_string(*leader), 40'000, delay);
         for (auto& [name, w] : simulation.workers()) {
             w.node = near;
-            simulation.cut(name, "n" + std::to_string(*leader), 40'000, hold);
+            simulation.cut(name, "n" + std::to_string(*leader), 40'000, delay);
         }
         simulation.advance(100'000);
         EXPECT_EQ(simulation.broken(), "");
@@ -381,8 +384,8 @@
     }
 }
 
-// With the ports between controllers refused, a follower can't pass reports on: it has to name the
-// leader, or the worker tries one node after the other until its lease ends.
+// With the ports between controllers refused, a follower can't forward heartbeats: it has to name
+// the leader, or the worker tries one controller after the other until its lease expires.
 TEST(Faults, RefusedConnectionsBetweenControllersCostNoTasks) {
     auto options = calm(24);
     options.nodes = 5;
@@ -452,7 +455,7 @@
         return me.begun < 0 ? Millis{1'000'000} : me.begun - me.submit_at;
     };
     EXPECT_LT(begun_after(true), 240'000);
-    // Without claims it does not: the check can fail.
+    // Without reservations it does not: the check can fail.
     EXPECT_GT(begun_after(false), 240'000);
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, LargestJob, ::testing::Bool(), [](const auto& param) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// The troubles of fleets that many machines restart in together, each aimed at one guard.
+// Faults of fleets in which many machines restart at once, each aimed at one guard.
 #include <gtest/gtest.h>
 
 #include "simulation/simulation.h"
@@ -32,7 +32,8 @@
     return out;
 }
 
-// Waking it knows nothing of what happened: another may lead, answers and timers wait in a heap.
+// A paused process resumes without knowing what happened: another controller may have been elected,
+// answers and timers are due all at once.
 class StandsStill : public ::testing::TestWithParam<Millis> {};
 
 TEST_P(StandsStill, AsLeaderAsFollowerAmidElectionAndTakeOver) {
@@ -49,7 +50,7 @@
             if (when == 0) simulation.freeze(*first, span);
             if (when == 1) simulation.freeze(other, span);
             if (when == 2) {
-                // All that could stand but one stop at different moments of the election.
+                // All candidates but one pause at different moments of the election.
                 simulation.crash(*first, 3000);
                 for (std::size_t n = 0; n < nodes; ++n) {
                     const auto at = simulation.now() + static_cast<Millis>(n) * 40;
@@ -72,9 +73,9 @@
 INSTANTIATE_TEST_SUITE_P(Millis, StandsStill, ::testing::Values(700, 2900, 4500, 9000, 25'000),
                          [](const auto& param) { return std::to_string(param.param); });
 
-// An idle machine is about to be returned when the leader stops; the next one places work there. A
-// return is guarded by no token: waking, the old leader must not send it.
-TEST(Fleet, LeaderThatStoodStillReturnsNoMachineThatAnotherUses) {
+// An idle machine is about to be released when the leader pauses; the next one places work there. A
+// release carries no token: when the old leader resumes, it must not send it.
+TEST(Fleet, PausedLeaderReleasesNoMachineThatAnotherUses) {
     const auto day = [](Simulation& simulation) {
         simulation.set_capacity(6);
         simulation.jobs().push_back(whole_machines(1, 6, 5));
@@ -93,7 +94,7 @@
         const auto old = *simulation.leader();
         simulation.freeze(old, 12'000);
         auto next = whole_machines(2, 6, 25, simulation.now() + 7000);
-        // A load balancer has passed over the node that stands still by then.
+        // The load balancer has passed over the paused controller by then.
         next.via = (old + 1) % 3;
         simulation.jobs().push_back(next);
         simulation.advance(simulation.now() + 9500);
@@ -114,7 +115,8 @@
 }
 
 // All controllers end in an outage, some twice, and are back together with workers and users on top
-// of a burst: the new leader finds everything where it was, no lease ends, everybody is answered.
+// of a burst: the new leader finds everything where it was, no lease expires, everybody gets an
+// answer.
 TEST(Fleet, EverybodyIsBackAtOnce) {
     for (const std::size_t nodes : {3, 5}) {
         Simulation simulation(fleet(52, kMany, nodes));
@@ -137,12 +139,12 @@
         for (std::size_t i = 0; i < 1000; ++i) {
             simulation.at(
                 simulation.now() + 8000 + static_cast<Millis>(i), [&simulation, i, nodes] {
-                    simulation.throw_at(i % nodes, {"GET", "/v2/runs/" + numbered(i % 20), ""});
+                    simulation.send_counted(i % nodes, {"GET", "/v2/runs/" + numbered(i % 20), ""});
                 });
         }
         const auto back = simulation.now() + 9000;
         settle(simulation, back + 4000);
-        EXPECT_EQ(simulation.thrown_answered(), 1000U);
+        EXPECT_EQ(simulation.counted_replies(), 1000U);
         settle(simulation, back + 20'000);
         std::size_t lost_leases = 0;
         for (const auto& [name, w] : simulation.workers()) lost_leases += w.session > 1 ? 1 : 0;
@@ -154,7 +156,7 @@
     }
 }
 
-// A tenth of the machines ends or hangs in the same second, while half of the cheap ones are taken.
+// A tenth of the machines ends or hangs in the same second, while half of the spot ones are taken.
 TEST(Fleet, TenthOfTheMachinesLostInTheSameSecond) {
     for (const bool hang : {false, true}) {
         auto options = fleet(53, 100, 5);
@@ -187,23 +189,23 @@
     }
 }
 
-// Its machines were given back one and all, rented anew there and not heard either.
+// All its machines were released, provisioned anew there and not reachable either.
 TEST(Fleet, MachinesOfAZoneThatIsCutOffAreKept) {
-    for (const auto& [crash, hold] : {std::pair(false, true), {true, true}, {true, false}}) {
+    for (const auto& [crash, delay] : {std::pair(false, true), {true, true}, {true, false}}) {
         Simulation simulation(fleet(55, 10, 5));
         for (int i = 0; i < 9; ++i) simulation.add_worker("a", false);
         simulation.set_capacity(40);
-        // Not before all machines were heard, or others would be rented beside them.
+        // Not before all machines have sent heartbeats, or others would be provisioned beside them.
         simulation.jobs().push_back(whole_machines(1, 19, 90, 6000));
         settle(simulation, 15'000);
         EXPECT_EQ(simulation.total_starts(), 19U);
         EXPECT_EQ(simulation.workers().size(), 19U);
-        simulation.cut_zone("a", "", 40'000, hold);
+        simulation.cut_zone("a", "", 40'000, delay);
         if (crash) {
-            // The next leader has never heard them; it knows them by the list.
+            // The next leader has no heartbeat of them; it knows them by the list.
             simulation.at(18'000, [&] { simulation.crash(*simulation.leader(), 3000); });
         }
-        // Work that finds no room rents nothing there meanwhile.
+        // Work that does not fit has nothing provisioned there meanwhile.
         simulation.jobs().push_back(whole_machines(2, 6, 10, 20'000));
         const auto before = simulation.workers().size();
         // The first reports after the cut must not cost those whose report is still to come.
@@ -224,9 +226,9 @@
 
 // One after the other on the same day: the state service, the peers, the workers, both zones.
 TEST(Fleet, OneControllerCutFromEachInTurnAndZonesFromEverything) {
-    for (const bool hold : {false, true}) {
+    for (const bool delay : {false, true}) {
         for (const bool refuse : {false, true}) {
-            if (hold && refuse) continue;
+            if (delay && refuse) continue;
             Simulation simulation(fleet(54, 12, 5));
             simulation.set_capacity(16);
             for (std::size_t n = 0; n < 24; ++n) {
@@ -238,16 +240,16 @@
             const char* const others[] = {"state", "n", "host", ""};
             for (std::size_t i = 0; i < 4; ++i) {
                 simulation.at(10'000 + static_cast<Millis>(i) * 22'000, [&simulation, &others, i,
-                                                                         hold, refuse] {
+                                                                         delay, refuse] {
                     const auto leader = simulation.leader().value_or(0);
-                    simulation.cut("n" + std::to_string(leader), others[i], 20'000, hold, refuse);
+                    simulation.cut("n" + std::to_string(leader), others[i], 20'000, delay, refuse);
                 });
             }
-            simulation.at(100'000, [&] { simulation.cut_zone("a", "", 15'000, hold); });
-            simulation.at(118'000, [&] { simulation.cut_zone("b", "", 15'000, hold); });
-            simulation.at(136'000, [&] { simulation.cut_zone("a", "b", 15'000, hold); });
+            simulation.at(100'000, [&] { simulation.cut_zone("a", "", 15'000, delay); });
+            simulation.at(118'000, [&] { simulation.cut_zone("b", "", 15'000, delay); });
+            simulation.at(136'000, [&] { simulation.cut_zone("a", "b", 15'000, delay); });
             simulation.at(152'000, [&] { simulation.cut("n", "n", 15'000, false, true); });
-            EXPECT_EQ(simulation.run(), "") << hold << refuse;
+            EXPECT_EQ(simulation.run(), "") << delay << refuse;
         }
     }
 }
--- a/tests/provisioning_faults_test.cpp
+++ b/tests/provisioning_faults_test.cpp
@@ -1,4 +1,4 @@
-// What the operators met on bad nights, apart from combinations of troubles.
+// Faults of provisioning and of load that operators met, apart from fault combinations.
 #include <gtest/gtest.h>
 
 #include "simulation/simulation.h"
@@ -6,9 +6,9 @@
 namespace lichendrift::simulation {
 namespace {
 
-// The machines that were rented stay `starting`: their work is rented for again long before they
-// are given up, and they are not paid for without end.
-TEST(Nights, MachinesThatNeverComeUpAreRentedForAgainAndGivenUp) {
+// Provisioned machines stay `starting`: others are provisioned for their work long before they are
+// released, and they are not paid for without end.
+TEST(ProvisioningFaults, MachinesThatNeverRegisterAreReplacedAndReleased) {
     auto options = calm(300);
     options.machines = 0;
     Simulation simulation(options);
@@ -30,8 +30,8 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// A straggler that comes up long after its work went elsewhere is used or returned.
-TEST(Nights, StragglersAreUsedOrReturned) {
+// A machine that comes up long after its work went elsewhere is used or released.
+TEST(ProvisioningFaults, LateMachinesAreUsedOrReleased) {
     auto options = calm(301);
     options.machines = 0;
     Simulation simulation(options);
@@ -51,7 +51,7 @@
 
 // Everybody refreshes: one read of the state service serves all that wait, and the rest of the work
 // does not notice.
-TEST(Nights, StormOfQuestionsCostsFewReadsAndNoLease) {
+TEST(ProvisioningFaults, StormOfQuestionsCostsFewReadsAndNoLease) {
     Simulation simulation(calm(302));
     for (std::size_t n = 0; n < 6; ++n) simulation.jobs().push_back(plain(numbered(n), 1, 60));
     simulation.advance(12'000);
@@ -60,11 +60,11 @@
     const std::size_t storm = 6000;
     for (std::size_t i = 0; i < storm; ++i) {
         simulation.at(12'000 + static_cast<Millis>(i * 20'000 / storm), [&simulation, i] {
-            simulation.throw_at(i % 3, {"GET", "/v2/runs/" + numbered(i % 6), ""});
+            simulation.send_counted(i % 3, {"GET", "/v2/runs/" + numbered(i % 6), ""});
         });
     }
     simulation.advance(35'000);
-    EXPECT_EQ(simulation.thrown_answered(), storm);
+    EXPECT_EQ(simulation.counted_replies(), storm);
     // Three nodes with a read each 120 ms at most, renewals, watches and records.
     EXPECT_LT(simulation.state_requests() - reads, 23U * 3 * 12);
     EXPECT_EQ(simulation.leader(), leader);
@@ -72,9 +72,9 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-// Guests without a guarantee, with one huge array, long sweeps and a swarm of single tasks: they
-// use what is free and give it up to the team's guarantee, and all of them are served.
-TEST(Nights, GuestsUseSpareRoomAndStarveNobody) {
+// Guests without a guarantee, with one huge array, long sweeps and many small jobs: they use
+// what is free and give it up to the team's guarantee, and all of them are served.
+TEST(ProvisioningFaults, GuestsUseSpareRoomAndStarveNobody) {
     auto options = calm(303);
     options.machines = 4;
     options.teams = {{"core", {16'000, 0, 0}, {}}, {"guests", {}, {}}};
@@ -106,7 +106,7 @@
 
 // A job with a mistake fails on every machine until its user cancels it: it stays known, tries ever
 // less often, and neither machines nor other jobs pay for it.
-TEST(Nights, JobWithAMistakeStaysKnownAndCanBeCancelled) {
+TEST(ProvisioningFaults, JobWithAMistakeStaysKnownAndCanBeCancelled) {
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(304);
         options.nodes = nodes;
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -1,6 +1,6 @@
-// Seeded random days in virtual time: crashes, cuts that hold or reset, late copies, outages,
-// hanging and faulty machines. Every rule of the protocol is checked after each step, and at the
-// end everything that was accepted has to be done or cancelled.
+// Seeded random days in virtual time: crashes, partitions that delay or reset, late copies,
+// outages, hanging and faulty machines. Every rule of the protocol is checked after each step, and
+// at the end everything that was accepted has to be done or cancelled.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -63,7 +63,7 @@
         nullptr;  // what the guard is there for, where chance brings it too seldom
 };
 
-// Machines hang, with their tasks, and the cloud is out, so that none can be returned.
+// Machines hang, with their tasks, and the cloud is out, so that none can be released.
 void hang_machines_while_the_cloud_is_out(Simulation& simulation) {
     constexpr Millis kFor = 16'000;
     for (Millis t = 12'000; t < 60'000; t += 20'000) {
@@ -87,7 +87,7 @@
         options.jobs = 30;
         options.restart_ms = 300;
         if (GetParam().bring != nullptr) options.machines = 6;
-        // With fewer of them what doubt guards against came about once in 500 days.
+        // With fewer of them, what unconfirmed commands guard against came about once in 500 days.
         options.lost_answer = 0.1;
         options.late_request = 0.15;
         options.repeats = 0.05;
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -29,11 +29,11 @@
 }
 
 TEST(Safety, NewLeaderGivesUpNoMachineThatHasBeenUpForLong) {
-    // Its list shows machines far older than a boot takes, none of which it has heard yet.
+    // Its list shows machines far older than a boot takes, and no heartbeat of any has come yet.
     Simulation simulation(calm(14));
     auto j = plain("job-000001", 3, 200);
     j.cpus = 8;      // a machine each, so that none is idle
-    j.spot = false;  // nor emptied onto a cheaper one
+    j.spot = false;  // nor drained onto a cheaper one
     simulation.jobs().push_back(j);
     simulation.advance(90'000);
     std::set<std::string> before;
@@ -95,18 +95,18 @@
 }
 
 TEST(Safety, LeaderCutFromEverythingComesBackAsAFollower) {
-    for (const bool hold : {true, false}) {
+    for (const bool delay : {true, false}) {
         Simulation simulation(calm(7));
         simulation.jobs().push_back(plain("job-000001", 6, 20));
         simulation.advance(5000);
         const auto old = simulation.leader();
         ASSERT_TRUE(old);
-        simulation.cut("n" + std::to_string(*old), "", 20'000, hold);
+        simulation.cut("n" + std::to_string(*old), "", 20'000, delay);
         EXPECT_EQ(simulation.run(), "");
     }
 }
 
-TEST(Safety, HungMachineIsReturnedBeforeItsTasksGoElsewhere) {
+TEST(Safety, HungMachineIsReleasedBeforeItsTasksGoElsewhere) {
     Simulation simulation(calm(8));
     simulation.jobs().push_back(plain("job-000001", 3, 20));
     simulation.at(9000, [&] {
@@ -151,7 +151,7 @@
     EXPECT_EQ(simulation.total_starts(), 8U);
 }
 
-TEST(Safety, CancelledWhileNobodyLeads) {
+TEST(Safety, CancelledWithoutALeader) {
     Simulation simulation(calm(9));
     auto j = plain("job-000001", 4, 60);
     j.cancel_at = 12'100;
@@ -199,7 +199,7 @@
     simulation.jobs().push_back(bad);
     simulation.jobs().push_back(plain("job-000002", 6, 10, 20'000));
     EXPECT_EQ(simulation.run(), "");
-    // Three machines at the start, a few rented: not a new one for each failure.
+    // Three machines at the start, a few provisioned: not a new one for each failure.
     EXPECT_LT(simulation.workers().size(), 8U);
     EXPECT_LT(simulation.jobs()[0].starts, 60U);
 }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,4 +1,4 @@
-// Services: replicas that run until their user calls the job off.
+// Services: replicas that run until their user cancels the job.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -52,7 +52,7 @@
 
 TEST(Services, ReplicasAreSpreadOverMachinesAndZones) {
     Simulation simulation(services_day(2));
-    // Before that the leader has not heard of all machines.
+    // Before that the leader does not know all machines.
     simulation.jobs().push_back(service("job-000001", 6, 6000));
     simulation.advance(20'000);
     for (const auto& [name, count] : replicas_by_machine(simulation, "job-000001")) {
@@ -161,7 +161,7 @@
 }
 
 // A zone that is cut off keeps its machines for three leases; its replicas are down after one, so
-// machines that hold some are given up then.
+// machines with replicas are released then.
 TEST(Services, ReplicasOfAZoneThatIsCutOffRunElsewhereOnceItsLeasesAreOver) {
     auto options = services_day(30);
     options.machines = 20;
@@ -169,7 +169,7 @@
     simulation.set_capacity(30);
     simulation.jobs().push_back(service("job-000001", 6, 6000));
     simulation.jobs()[0].apart = false;
-    // The controller of the zone must not lead, or it would keep its workers.
+    // The controller of the zone must not be the leader, or it would keep its workers.
     simulation.at(8000, [&simulation] {
         if (simulation.leader() == std::optional<std::size_t>(0)) simulation.crash(0, 2000);
     });
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -19,12 +19,13 @@
     w.zone = zone;
     w.spot = spot;
     w.provisioned_at = now_;
-    w.up_at = now_ == 0 ? 0
-                        : now_ + boot_ms_ / 2 +
-                              static_cast<Millis>(dice(static_cast<std::uint64_t>(boot_ms_)));
-    w.never = now_ > 0 && chance(never_);
-    w.sick = options_.faults && chance(0.06);
-    w.node = dice(nodes_.size());
+    w.up_at = now_ == 0
+                  ? 0
+                  : now_ + boot_ms_ / 2 +
+                        static_cast<Millis>(random_below(static_cast<std::uint64_t>(boot_ms_)));
+    w.never = now_ > 0 && random_chance(never_);
+    w.sick = options_.faults && random_chance(0.06);
+    w.node = random_below(nodes_.size());
     workers_[w.name] = w;
 }
 
@@ -68,7 +69,7 @@
         return respond({200, "{}"});
     }
     // The list lags and at times goes back.
-    const auto lag = static_cast<Millis>(2000 + dice(2000));
+    const auto lag = static_cast<Millis>(2000 + random_below(2000));
     std::string items;
     for (const auto& [name, w] : workers_) {
         if (w.gone || w.provisioned_at > now_ - lag) continue;
--- a/tests/simulation/duties.cpp
+++ b/tests/simulation/duties.cpp
@@ -20,8 +20,8 @@
 bool Simulation::refuses_epoch(const rapidjson::Value& request) {
     const auto epoch = epoch_in(request);
     if (epoch == 0) return false;
-    const bool stale = epoch < highest_epoch_asked_;
-    highest_epoch_asked_ = std::max(highest_epoch_asked_, epoch);
+    const bool stale = epoch < highest_epoch_requested_;
+    highest_epoch_requested_ = std::max(highest_epoch_requested_, epoch);
     if (!options_.cloud_checks_epochs || !stale) return false;
     ++releases_.refused;
     return true;
@@ -86,10 +86,10 @@
             }
         }
     }
-    const auto leads = leader();
+    const auto leading = leader();
     for (const auto& [name, w] : workers_) {
-        if (w.gone || !leads || now_ - w.provisioned_at < 30'000) continue;
-        if (!nodes_[*leads].controller->knows_machine(name)) fail("unknown_rental", name);
+        if (w.gone || !leading || now_ - w.provisioned_at < 30'000) continue;
+        if (!nodes_[*leading].controller->knows_machine(name)) fail("unknown_rental", name);
     }
 }
 
--- a/tests/simulation/loopback_environment.cpp
+++ b/tests/simulation/loopback_environment.cpp
@@ -71,8 +71,8 @@
     loop_.after(kStep, [this] { tick(); });
 }
 
-bool LoopbackEnvironment::run_until(const std::function<bool()>& condition, Millis at_most) {
-    const auto until = net::EventLoop::steady_clock() + at_most;
+bool LoopbackEnvironment::run_until(const std::function<bool()>& condition, Millis timeout_ms) {
+    const auto until = net::EventLoop::steady_clock() + timeout_ms;
     while (net::EventLoop::steady_clock() < until) {
         if (condition()) return true;
         loop_.turn(kStep);
@@ -111,7 +111,7 @@
     }
 }
 
-// State service and cloud have an address for each controller, so that it is known who asks.
+// State service and cloud have an address for each controller, so that the sender is known.
 void LoopbackEnvironment::listen_for_controller(std::size_t node) {
     const auto handler = [this, node](const char* to) {
         return [this, node, to](const net::HttpRequest& request, net::Respond respond) {
@@ -160,12 +160,12 @@
     ::kill(controller.pid, SIGCONT);
 }
 
-bool LoopbackEnvironment::terminate(std::size_t node, Millis at_most) {
+bool LoopbackEnvironment::terminate(std::size_t node, Millis timeout_ms) {
     auto& controller = controllers_[node];
     ::kill(controller.pid, SIGTERM);
     int status = 0;
     const bool ended = run_until(
-        [&] { return ::waitpid(controller.pid, &status, WNOHANG) == controller.pid; }, at_most);
+        [&] { return ::waitpid(controller.pid, &status, WNOHANG) == controller.pid; }, timeout_ms);
     if (ended) controller.pid = -1;
     return ended && WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
--- a/tests/simulation/loopback_environment.h
+++ b/tests/simulation/loopback_environment.h
@@ -23,17 +23,17 @@
 
     Simulation& simulation() { return *simulation_; }
     // Goes on until the condition holds; false if it does not within that time.
-    bool run_until(const std::function<bool()>& condition, Millis at_most);
+    bool run_until(const std::function<bool()>& condition, Millis timeout_ms);
     void run_for(Millis time) {
         run_until([] { return false; }, time);
     }
 
-    // Stops the process as it is, and lets it go on.
+    // Pauses the process (SIGSTOP) and resumes it.
     void stop(std::size_t node);
     void resume(std::size_t node);
     [[nodiscard]] bool stopped(std::size_t node) const { return controllers_[node].stopped; }
-    // Asks it to end in good order; true once it has.
-    bool terminate(std::size_t node, Millis at_most);
+    // Sends SIGTERM; true once the process has ended.
+    bool terminate(std::size_t node, Millis timeout_ms);
     [[nodiscard]] std::size_t size() const { return controllers_.size(); }
 
     // Sees each request of a controller before it is carried out, and may hold it back: it is
--- a/tests/simulation/messages.h
+++ b/tests/simulation/messages.h
@@ -8,7 +8,7 @@
 
 #include "core/types.h"
 
-// What the parts of the simulation share: reading of messages, names of hosts, size of a machine.
+// Shared by the parts of the simulation: parsing of messages, names of hosts, size of a machine.
 namespace lichendrift::simulation {
 
 inline constexpr double kCpus = 8;       // of a machine
--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -10,39 +10,39 @@
         for (auto& [name, w] : workers_) w.sick = false;
         return;
     }
-    const auto node = dice(nodes_.size());
+    const auto node = random_below(nodes_.size());
     const auto name = node_name(node);
-    const auto span = static_cast<Millis>(2000 + dice(15000));
-    const bool hold = chance(0.5);
+    const auto span = static_cast<Millis>(2000 + random_below(15000));
+    const bool delay = random_chance(0.5);
     const auto random_worker = [&]() -> Worker* {
         std::vector<Worker*> up;
         for (auto& [n, w] : workers_) {
             if (w.up && !w.gone) up.push_back(&w);
         }
-        return up.empty() ? nullptr : up[dice(up.size())];
+        return up.empty() ? nullptr : up[random_below(up.size())];
     };
-    const auto both = chance(0.25);  // a second trouble at once
-    switch (dice(30)) {
+    const auto both = random_chance(0.25);  // a second fault at once
+    switch (random_below(30)) {
         case 0:
             crash(node, options_.restart_ms);
             break;
         case 1:
-            crash(node, 100 + static_cast<Millis>(dice(500)));
+            crash(node, 100 + static_cast<Millis>(random_below(500)));
             break;
         case 2:
             for (std::size_t n = 0; n < nodes_.size(); ++n) crash(n, options_.restart_ms);
             break;
         case 3:
-            cut(name, "state", span, hold);
+            cut(name, "state", span, delay);
             break;
         case 4:
-            cut(name, "host", span, hold);
+            cut(name, "host", span, delay);
             break;
         case 5:
-            cut(name, "n", span, hold);
+            cut(name, "n", span, delay);
             break;
         case 6:
-            cut(name, "", span, hold);
+            cut(name, "", span, delay);
             break;
         case 7:
             refuse_node(node, span);
@@ -60,81 +60,83 @@
             }
             break;
         case 11:
-            if (auto* w = random_worker()) w->taken_at = now_ + static_cast<Millis>(dice(8000));
+            if (auto* w = random_worker())
+                w->taken_at = now_ + static_cast<Millis>(random_below(8000));
             break;
         case 12:
-            if (auto* w = random_worker()) cut(w->name, "n", span, hold);
+            if (auto* w = random_worker()) cut(w->name, "n", span, delay);
             break;
         case 13:
             if (auto l = leader()) {
-                cut(node_name(*l), chance(0.5) ? "state" : "host", span, hold);
+                cut(node_name(*l), random_chance(0.5) ? "state" : "host", span, delay);
             }
             break;
         case 14:
-            if (auto* w = random_worker()) block_inbound(*w, span, hold);
+            if (auto* w = random_worker()) block_inbound(*w, span, delay);
             break;
         case 15:
             for (auto& [n, w] : workers_) {
-                if (w.up && !w.gone && chance(0.4)) block_inbound(w, span, hold);
+                if (w.up && !w.gone && random_chance(0.4)) block_inbound(w, span, delay);
             }
             break;
         case 16:
-            if (auto l = leader()) isolate(*l, span, hold, chance(0.33));
+            if (auto l = leader()) isolate(*l, span, delay, random_chance(0.33));
             break;
         case 17:
-            // Gone and back within moments, again while the others elect.
+            // Gone and back within moments, again during the election.
             if (auto l = leader()) {
-                crash(*l, 50 + static_cast<Millis>(dice(300)));
-                const auto again = chance(0.5) ? *l : node;
-                at(now_ + 400 + static_cast<Millis>(dice(3500)),
-                   [this, again] { crash(again, 50 + static_cast<Millis>(dice(300))); });
+                crash(*l, 50 + static_cast<Millis>(random_below(300)));
+                const auto again = random_chance(0.5) ? *l : node;
+                at(now_ + 400 + static_cast<Millis>(random_below(3500)),
+                   [this, again] { crash(again, 50 + static_cast<Millis>(random_below(300))); });
             }
             break;
         case 18:
             freeze(node, span);
             break;
         case 19:
-            // Stands still as the leader, as one that stands, or while it takes over.
+            // Paused as the leader, as a candidate, or during its failover.
             if (auto l = leader()) {
                 crash(*l, options_.restart_ms);
                 for (std::size_t n = 0; n < nodes_.size(); ++n) {
-                    if (chance(0.5)) continue;
-                    at(now_ + static_cast<Millis>(dice(4000)),
+                    if (random_chance(0.5)) continue;
+                    at(now_ + static_cast<Millis>(random_below(4000)),
                        [this, n, span] { freeze(n, span); });
                 }
             }
             break;
         case 20:
-            if (auto l = leader()) freeze(*l, chance(0.5) ? span : 500 + span / 5);
+            if (auto l = leader()) freeze(*l, random_chance(0.5) ? span : 500 + span / 5);
             break;
         case 21:
         case 22:
             // The leader alone is refused, others confirm cancellations, then it is out for all.
             if (auto l = leader()) {
                 refuse_node(*l, span);
-                if (chance(0.4)) cut(node_name(*l), "n", span + 15'000, hold);
-                const auto other = (*l + 1 + dice(nodes_.size() - 1)) % nodes_.size();
-                at(now_ + 200 + static_cast<Millis>(dice(1500)), [this, other, span] {
-                    cancel_now(1 + dice(3), 0);
-                    if (chance(0.3)) crash(other, 100 + static_cast<Millis>(dice(30'000)));
-                    at(now_ + 300 + static_cast<Millis>(dice(1500)),
-                       [this, span] { state_outage(chance(0.4) ? 15'000 + span : span); });
+                if (random_chance(0.4)) cut(node_name(*l), "n", span + 15'000, delay);
+                const auto other = (*l + 1 + random_below(nodes_.size() - 1)) % nodes_.size();
+                at(now_ + 200 + static_cast<Millis>(random_below(1500)), [this, other, span] {
+                    cancel_now(1 + random_below(3), 0);
+                    if (random_chance(0.3))
+                        crash(other, 100 + static_cast<Millis>(random_below(30'000)));
+                    at(now_ + 300 + static_cast<Millis>(random_below(1500)),
+                       [this, span] { state_outage(random_chance(0.4) ? 15'000 + span : span); });
                 });
             }
             break;
         case 23:
-            late_writes(0.2 + static_cast<double>(dice(40)) / 100, span);
+            late_writes(0.2 + static_cast<double>(random_below(40)) / 100, span);
             break;
         case 24:
             if (auto* w = random_worker()) block_outbound(*w, span + 5000);
             break;
         case 25:
             for (auto& [n, w] : workers_) {
-                if (w.up && !w.gone && chance(0.4)) block_outbound(w, span);
+                if (w.up && !w.gone && random_chance(0.4)) block_outbound(w, span);
             }
             break;
         case 26:
-            cancel_now(1 + dice(3), chance(0.6) ? span : 0);
+            cancel_now(1 + random_below(3), random_chance(0.6) ? span : 0);
             break;
         case 27:
             // All are away for longer than a lease.
@@ -143,15 +145,16 @@
             }
             break;
         case 28:
-            cut_zone(chance(0.5) ? "a" : "b", "",
-                     chance(0.5) ? span : span + static_cast<Millis>(options_.lease_s * 1000),
-                     hold);
+            cut_zone(
+                random_chance(0.5) ? "a" : "b", "",
+                random_chance(0.5) ? span : span + static_cast<Millis>(options_.lease_s * 1000),
+                delay);
             break;
         default:
             for (Millis t = 0; t < span; t += 100) at(now_ + t, [this] { odd_request(); });
             break;
     }
-    at(now_ + (both ? 1 : 1500 + static_cast<Millis>(dice(7000))), [this] { fault(); });
+    at(now_ + (both ? 1 : 1500 + static_cast<Millis>(random_below(7000))), [this] { fault(); });
 }
 
 Options calm(std::uint64_t seed) {
@@ -194,26 +197,26 @@
 }
 
 Job random_job(std::mt19937_64& rng, std::size_t number, Millis busy_ms) {
-    const auto dice = [&](std::uint64_t n) { return rng() % n; };
+    const auto random_below = [&](std::uint64_t n) { return rng() % n; };
     Job j;
     j.id = numbered((number * 7919 + 13) % 1'000'000);
-    j.cls = dice(2) == 0 ? "one" : "other";
-    j.team = dice(3) == 0 ? "side" : "core";
-    j.kind = dice(2) == 0 ? "ensemble" : "sweep";
+    j.cls = random_below(2) == 0 ? "one" : "other";
+    j.team = random_below(3) == 0 ? "side" : "core";
+    j.kind = random_below(2) == 0 ? "ensemble" : "sweep";
     static const char* const kPriorities[] = {"low", "normal", "high", "critical"};
-    j.priority = kPriorities[dice(4)];
-    j.count = static_cast<std::uint32_t>(1 + dice(6));
-    j.cpus = 1 + static_cast<double>(dice(3));
-    j.one_zone = dice(4) == 0;
-    j.apart = !j.one_zone && dice(5) == 0;
-    j.spot = dice(4) != 0;
-    j.run_s = 3 + static_cast<double>(dice(14));
-    j.checkpoint_s = dice(3) == 0 ? 0 : 2;
-    if (dice(6) == 0) j.zone = dice(2) == 0 ? "a" : "b";
+    j.priority = kPriorities[random_below(4)];
+    j.count = static_cast<std::uint32_t>(1 + random_below(6));
+    j.cpus = 1 + static_cast<double>(random_below(3));
+    j.one_zone = random_below(4) == 0;
+    j.apart = !j.one_zone && random_below(5) == 0;
+    j.spot = random_below(4) != 0;
+    j.run_s = 3 + static_cast<double>(random_below(14));
+    j.checkpoint_s = random_below(3) == 0 ? 0 : 2;
+    if (random_below(6) == 0) j.zone = random_below(2) == 0 ? "a" : "b";
     if (j.zone && j.apart) j.apart = false;
-    j.submit_at = static_cast<Millis>(dice(static_cast<std::uint64_t>(busy_ms)));
-    if (dice(5) == 0) j.cancel_at = j.submit_at + static_cast<Millis>(dice(25000));
-    j.cancel_at_end = dice(12) == 0;
+    j.submit_at = static_cast<Millis>(random_below(static_cast<std::uint64_t>(busy_ms)));
+    if (random_below(5) == 0) j.cancel_at = j.submit_at + static_cast<Millis>(random_below(25000));
+    j.cancel_at_end = random_below(12) == 0;
     return j;
 }
 
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -1,5 +1,4 @@
-// The checker of the simulation: the rules of the protocol after each step, and what is asked of a
-// day.
+// The rule checker: the rules of the protocol after each step, and what a day has to achieve.
 #include <algorithm>
 
 #include "simulation/messages.h"
@@ -9,9 +8,9 @@
 
 namespace {
 
-constexpr Millis kUnanswered = 75'000;      // without an answered question a job is forgotten
-constexpr Millis kSettled = 12'000;         // for which a leader has surely led
-constexpr Millis kLeftWaiting = 90'000;     // beside a machine that fits and has room
+constexpr Millis kUnanswered = 75'000;      // without an answer about it a job counts as forgotten
+constexpr Millis kSettled = 12'000;         // for which a leader has had a valid lease
+constexpr Millis kLeftWaiting = 90'000;     // beside a machine that it fits on
 constexpr Millis kLargestBegins = 240'000;  // after its submission
 constexpr Millis kServedFrom = 5000;        // after the acceptance of a service
 constexpr Millis kTick = 100;
@@ -57,10 +56,10 @@
             const Job& j = *job(t.job);
             used[j.team] += j.cpus;
             // A machine that hangs past its lease kills its tasks when it goes on, and only its
-            // return takes them off before; nobody can return it while nobody surely leads.
+            // release takes them off before; nobody can release it without a valid leader lease.
             const bool dead =
                 w.hung_until > now_ &&
-                now_ - w.last_answered_sent_at > static_cast<Millis>(options_.lease_s * 1000);
+                now_ - w.last_acknowledged_sent_at > static_cast<Millis>(options_.lease_s * 1000);
             if (dead && now_ - unsettled_at_ < kSettled) continue;
             if (j.cancel_confirmed_at >= 0 &&
                 now_ - j.cancel_confirmed_at > static_cast<Millis>(options_.cancel_s * 1000)) {
@@ -78,7 +77,7 @@
     if (now_ % 1000 != 0) return;
     for (const auto& j : jobs_) {
         if (j.accepted < 0) continue;
-        const auto since = std::max({j.answered, j.accepted, faults_over_at_});
+        const auto since = std::max({j.responded_at, j.accepted, faults_over_at_});
         if (now_ - since > kUnanswered) fail("forgotten", j.id + " gets no answer");
     }
 }
@@ -135,7 +134,7 @@
     return false;
 }
 
-// Once all troubles are over nothing waits for long beside room that fits it.
+// Once all faults are over nothing waits for long beside a machine that it fits on.
 void Simulation::check_waiting() {
     if (now_ % 1000 != 0 || now_ < std::max(faults_over_at_, options_.busy_ms)) return;
     std::map<std::string, double> used;
@@ -166,7 +165,7 @@
 }
 
 // The share of replica time served counts from a few seconds after the acceptance until the user
-// calls the service off.
+// cancels the service.
 void Simulation::measure_services() {
     for (auto& j : jobs_) {
         const bool due = j.is_service() && j.accepted >= 0 && j.cancel_requested_at < 0 &&
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -35,7 +35,7 @@
         });
         return id;
     }
-    // Stands still until then, while its clock runs on and messages pile up.
+    // Pauses until then, while its clock runs on and messages pile up.
     void freeze(Millis until) { frozen_until_ = std::max(frozen_until_, until); }
     [[nodiscard]] Millis frozen_until() const { return frozen_until_; }
     void cancel(net::TimerId id) override { timers_.erase(id); }
@@ -44,8 +44,8 @@
     }
     void plan(std::function<core::Snapshot()> take, std::function<void(core::Plan)> done) override {
         auto plan = core::make_plan(take());
-        // The planner takes its time, and the picture moves on meanwhile.
-        after(static_cast<Millis>(simulation_.dice(40)),
+        // Planning takes its time, and the cluster state moves on meanwhile.
+        after(static_cast<Millis>(simulation_.random_below(40)),
               [plan = std::move(plan), done = std::move(done)] { done(plan); });
     }
 
@@ -221,9 +221,9 @@
 
 // ---- network ----
 
-void Simulation::cut(const std::string& a, const std::string& b, Millis for_ms, bool hold,
+void Simulation::cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
                      bool refuse) {
-    cuts_.push_back({a, b, now_ + for_ms, hold, refuse});
+    cuts_.push_back({a, b, now_ + for_ms, delay, refuse});
     fault_until(now_ + for_ms);
 }
 
@@ -246,7 +246,7 @@
 }
 
 void Simulation::cut_zone(const std::string& zone, const std::string& other, Millis for_ms,
-                          bool hold) {
+                          bool delay) {
     std::vector<std::string> here;
     std::vector<std::string> there;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -255,13 +255,13 @@
     for (const auto& [name, w] : workers_) (w.zone == zone ? here : there).push_back(name);
     if (other.empty()) there.insert(there.end(), {"state", "cloud", "user"});
     for (const auto& a : here) {
-        for (const auto& b : there) cut(a, b, for_ms, hold);
+        for (const auto& b : there) cut(a, b, for_ms, delay);
     }
 }
 
-void Simulation::isolate(std::size_t node, Millis for_ms, bool hold, bool refuse) {
-    cut(node_name(node), "state", for_ms, hold, refuse);
-    cut(node_name(node), "n", for_ms, hold, refuse);
+void Simulation::isolate(std::size_t node, Millis for_ms, bool delay, bool refuse) {
+    cut(node_name(node), "state", for_ms, delay, refuse);
+    cut(node_name(node), "n", for_ms, delay, refuse);
 }
 
 const Simulation::Cut* Simulation::cut_between(const std::string& a, const std::string& b) const {
@@ -275,20 +275,21 @@
     return nullptr;
 }
 
-void Simulation::carry(const std::string& from, const std::string& to, Millis extra,
-                       std::function<void()> deliver, std::function<void()> reset) {
+void Simulation::transmit(const std::string& from, const std::string& to, Millis extra,
+                          std::function<void()> deliver, std::function<void()> reset) {
     if (const auto* c = cut_between(from, to)) {
-        if (c->hold) {
-            at(c->until + 1 + static_cast<Millis>(dice(5)), std::move(deliver));
+        if (c->delay) {
+            at(c->until + 1 + static_cast<Millis>(random_below(5)), std::move(deliver));
         } else {
             at(now_ + 2, std::move(reset));
         }
         return;
     }
     if (now_ < links_until_) {
-        extra += links_by_ / 2 + static_cast<Millis>(dice(static_cast<std::uint64_t>(links_by_)));
+        extra += links_by_ / 2 +
+                 static_cast<Millis>(random_below(static_cast<std::uint64_t>(links_by_)));
     }
-    at(now_ + 1 + static_cast<Millis>(dice(4)) + extra, std::move(deliver));
+    at(now_ + 1 + static_cast<Millis>(random_below(4)) + extra, std::move(deliver));
 }
 
 void Simulation::call(const std::string& from, const std::string& to, net::HttpRequest request,
@@ -308,13 +309,13 @@
     }
     if (from.size() == 2 && from[0] == 'n') {
         const auto node = static_cast<std::size_t>(from[1] - '0');
-        // It may hand over to another one.
+        // The observer may replace itself.
         if (const auto observer = observer_) observer(node, request);
     }
     const bool down = to_node && !options_.external &&
                       !nodes_[static_cast<std::size_t>(host[1] - '0')].controller;
     if (down) {
-        if (chance(0.5)) at(now_ + 2, [finish] { finish({0, "", false}); });
+        if (random_chance(0.5)) at(now_ + 2, [finish] { finish({0, "", false}); });
         return;
     }
     if (const auto* c = cut_between(from, host); c != nullptr && c->refuse) {
@@ -322,30 +323,30 @@
         return;
     }
     Millis extra = 0;
-    if (lossy() && chance(options_.late_request)) {
-        extra = 1000 + static_cast<Millis>(dice(20000));
+    if (messages_are_lossy() && random_chance(options_.late_request)) {
+        extra = 1000 + static_cast<Millis>(random_below(20000));
     }
-    if (lossy() && chance(options_.repeats)) {
-        repeat(from, to, request, 1000 + static_cast<Millis>(dice(90'000)));
+    if (messages_are_lossy() && random_chance(options_.repeats)) {
+        repeat(from, to, request, 1000 + static_cast<Millis>(random_below(90'000)));
     }
     if (keep_direct_ && request.target == "/do") direct_kept_.emplace_back(to, request);
     const auto reset = [finish] { finish({0, "", true}); };
-    carry(
+    transmit(
         from, host, extra,
         [this, from, to, host, finish, reset, sent = now_, request = std::move(request)] {
             serve(host_of(from), to, request, sent,
                   [this, from, host, finish, reset](const net::HttpResponse& response) {
-                      if (lossy() && chance(options_.lost_answer)) {
+                      if (messages_are_lossy() && random_chance(options_.lost_answer)) {
                           return;
                       }
                       if (host == "cloud" && now_ < lost_cloud_answers_until_ &&
-                          chance(lost_cloud_answers_)) {
+                          random_chance(lost_cloud_answers_)) {
                           return;
                       }
-                      carry(
+                      transmit(
                           host, from, 0,
-                          [this, finish, response, answered = now_] {
-                              reply_sent_ = answered;
+                          [this, finish, response, responded_at = now_] {
+                              reply_sent_ = responded_at;
                               finish({response.status, response.body});
                           },
                           reset);
@@ -354,8 +355,8 @@
         reset);
 }
 
-// The question for a peer's version is asked again until it is answered, so nothing is lost by
-// lateness or loss. It draws no chance: the days of seeds from before it play as they did.
+// The request for a peer's version is repeated until it is answered, so neither delay nor loss
+// matters. It draws no random number, so that the days of older seeds stay as they were.
 void Simulation::ask_version(const std::string& from, const std::string& host,
                              const net::HttpRequest& request,
                              const std::function<void(net::HttpReply)>& finish) {
@@ -373,14 +374,15 @@
                        const net::HttpRequest& request, Millis sent, net::Respond respond) {
     const auto host = host_of(to);
     if (host == "state" && now_ < slow_until_) {
-        at(now_ + slow_by_ / 2 + static_cast<Millis>(dice(static_cast<std::uint64_t>(slow_by_))),
+        at(now_ + slow_by_ / 2 +
+               static_cast<Millis>(random_below(static_cast<std::uint64_t>(slow_by_))),
            [this, from, request, respond] { serve_state(from, request, respond); });
         return;
     }
     if (host == "state" && request.target == "/txn" && now_ < late_writes_until_ &&
-        chance(late_writes_)) {
+        random_chance(late_writes_)) {
         // No answer, and carried out after newer ones of the same controller.
-        at(now_ + 2000 + static_cast<Millis>(dice(10'000)),
+        at(now_ + 2000 + static_cast<Millis>(random_below(10'000)),
            [this, from, request] { serve_state(from, request, [](const net::HttpResponse&) {}); });
         return;
     }
@@ -439,9 +441,9 @@
     for (const auto& [to, request] : direct_kept_) repeat("n0", to, request, 1);
 }
 
-void Simulation::throw_at(std::size_t node, net::HttpRequest request) {
+void Simulation::send_counted(std::size_t node, net::HttpRequest request) {
     call("user", node_name(node) + ":1", std::move(request), 2000,
-         [this](const net::HttpReply& reply) { thrown_answered_ += reply.status != 0 ? 1 : 0; });
+         [this](const net::HttpReply& reply) { counted_replies_ += reply.status != 0 ? 1 : 0; });
 }
 
 net::HttpReply Simulation::ask(std::size_t node, net::HttpRequest request, Millis wait_ms) {
@@ -455,7 +457,7 @@
 
 void Simulation::tick() {
     for (auto& [id, lease] : leases_) {
-        // Leases do not run out during an outage and have their full time again after it.
+        // Leases do not expire during an outage and have their full time again after it.
         if (now_ < outage_until_)
             lease.second = std::max(lease.second, outage_until_ + lease.first);
     }
@@ -484,13 +486,13 @@
 }
 
 void Simulation::note_settled() {
-    const auto leads = leader();
-    const auto token = leads ? nodes_[*leads].controller->token() : 0;
-    const bool cut =
-        leads && (cut_between(node_name(*leads), "state") != nullptr ||
-                  cut_between(node_name(*leads), "cloud") != nullptr ||
-                  refused_until_[*leads] > now_ || nodes_[*leads].runtime->frozen_until() > now_);
-    if (!leads || token != settled_token_ || cut || now_ < outage_until_ ||
+    const auto leading = leader();
+    const auto token = leading ? nodes_[*leading].controller->token() : 0;
+    const bool cut = leading && (cut_between(node_name(*leading), "state") != nullptr ||
+                                 cut_between(node_name(*leading), "cloud") != nullptr ||
+                                 refused_until_[*leading] > now_ ||
+                                 nodes_[*leading].runtime->frozen_until() > now_);
+    if (!leading || token != settled_token_ || cut || now_ < outage_until_ ||
         now_ < cloud_outage_until_) {
         unsettled_at_ = now_;
     }
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -15,8 +15,9 @@
 #include "control/controller.h"
 #include "simulation/trace.h"
 
-// The region in virtual time: state service, cloud, workers, users and the network between them,
-// as the protocol page describes them, with a checker of the protocol's rules.
+// The environment of the controllers in virtual time: state service, cloud, workers, users and the
+// network between them, as the protocol page describes them, with a checker of the protocol's
+// rules.
 namespace lichendrift::simulation {
 
 using core::Millis;
@@ -39,7 +40,7 @@
     std::optional<std::string> zone;
     Millis submit_at = 0;
     Millis cancel_at = -1;
-    std::optional<std::size_t> via;  // the node that is asked first; none: any
+    std::optional<std::size_t> via;  // the controller of the first request; none: any
     bool cancel_at_end = false;      // at the very moment at which its last task ends
     bool always_fails = false;
     double replica_s = 0;  // of a service: how long a replica runs before it ends by itself; 0: on
@@ -51,9 +52,9 @@
     Millis cancel_confirmed_at = -1;
     bool done_reported = false;
     Millis give_up_submit = 0;
-    Millis answered = -1;    // the last question about it that got an answer
-    Millis room_since = -1;  // something of it waits, though there is room for it
-    Millis begun = -1;       // gang: all tasks ran; array: one did
+    Millis responded_at = -1;  // the last poll of it that got an answer
+    Millis room_since = -1;    // something of it waits, though it would fit
+    Millis begun = -1;         // gang: all tasks ran; array: one did
     // What is true.
     std::set<std::uint32_t> done_tasks;
     std::map<std::uint64_t, double> progress;  // by task (gang: task 0), seconds saved
@@ -100,7 +101,7 @@
     std::uint64_t session = 1;
     std::uint64_t seq = 0;
     std::uint64_t token = 0;
-    Millis last_answered_sent_at = 0;
+    Millis last_acknowledged_sent_at = 0;
     bool in_flight = false;
     std::size_t node = 0;
     Millis next_heartbeat = 0;
@@ -121,26 +122,27 @@
     Millis busy_ms = 70'000;     // jobs and faults arrive
     Millis settle_ms = 260'000;  // everything heals and has to end
     bool faults = true;
-    bool lossy = false;  // messages are lost, late and repeated on a day without other faults too
+    bool lossy_messages =
+        false;  // messages are lost, late and repeated on a day without other faults too
     double lost_answer = 0.004;
     double late_request = 0.002;
     double late_copy = 0.01;  // of a report, by seconds up to several leases
     double repeats = 0.01;    // of any request that was carried out, up to minutes later
     Millis restart_ms = 3000;
     // A run that left before its job's cancellation was known to the leader may still arrive. A
-    // leader that is cut off from everything may send one as long as its grant lasts.
+    // leader that is cut off from everything may send one while its lease is valid.
     Millis late_start_ms = 3500;
     bool even_zones = false;   // of the first machines, or else one of them is in zone a
     bool old_peers = false;    // none knows the messages about cancellations
     bool old_version = false;  // controllers begin as the version before services, see upgrade()
     control::NextStateLimits next;  // in the settings; in force from limit_state() on
-    core::Guards guards;            // broken variants switch one off
+    core::Guards guards;            // tests of a guard switch it off
     std::string policy;             // the operators'
     control::Features features;     // the operators'
-    // Controllers that are real processes: hands them a request. The simulation then has none of
-    // its own, and its time is the test's.
+    // Set if the controllers are real processes: passes them a request. The simulation then has
+    // none of its own, and its time is the test's.
     std::function<void(std::size_t node, const net::HttpRequest&, net::Respond)> external;
-    // Where a machine is reached, if not under its name.
+    // The address of a machine, if it is not its name.
     std::function<std::string(const std::string& machine)> endpoint;
     bool cloud_checks_epochs = false;  // it refuses requests under an epoch that was replaced
     std::vector<core::Team> teams;
@@ -165,17 +167,17 @@
     void upgrade(std::size_t node, Millis back_after) { change_version(node, true, back_after); }
     void downgrade(std::size_t node, Millis back_after) { change_version(node, false, back_after); }
     // The limits of Options::next are in force from now on.
-    void limit_state() { limits_hold_ = true; }
+    void limit_state() { limits_in_force_ = true; }
     // Requests that the state service rejected for their size since then.
     [[nodiscard]] std::size_t rejections() const { return rejections_; }
-    void cut(const std::string& a, const std::string& b, Millis for_ms, bool hold,
+    void cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
              bool refuse = false);
     void state_outage(Millis for_ms) {
         outage_until_ = now_ + for_ms;
         fault_until(outage_until_);
     }
     void refuse_node(std::size_t node, Millis for_ms);
-    // The process stands still, its clocks run on, what is sent to it waits.
+    // The process is paused, its clocks run on, what is sent to it waits.
     void freeze(std::size_t node, Millis for_ms);
     void cloud_outage(Millis for_ms) {
         cloud_outage_until_ = now_ + for_ms;
@@ -194,7 +196,7 @@
         lost_cloud_answers_until_ = now_ + for_ms;
         fault_until(lost_cloud_answers_until_);
     }
-    // What came of requests to release machines, for the tests of duties.
+    // Outcomes of requests to release machines, for the tests of duties.
     struct Releases {
         std::size_t late = 0;      // that came from a leader that was replaced, whatever they did
         std::size_t requests = 0;  // that named a machine which was there
@@ -206,8 +208,8 @@
     [[nodiscard]] std::size_t freezes() const { return freezes_; }
     control::Controller* controller(std::size_t node) { return nodes_[node].controller.get(); }
     // Sends a request and only counts its answer.
-    void throw_at(std::size_t node, net::HttpRequest request);
-    [[nodiscard]] std::size_t thrown_answered() const { return thrown_answered_; }
+    void send_counted(std::size_t node, net::HttpRequest request);
+    [[nodiscard]] std::size_t counted_replies() const { return counted_replies_; }
     net::HttpReply ask(std::size_t node, net::HttpRequest request, Millis wait_ms = 5000);
     void block_inbound(Worker& worker, Millis for_ms, bool held);
     void block_outbound(Worker& worker, Millis for_ms) {
@@ -221,7 +223,7 @@
         fault_until(late_writes_until_ + 12'000);
     }
     // A controller that keeps its workers and loses everything else.
-    void isolate(std::size_t node, Millis for_ms, bool hold, bool refuse = false);
+    void isolate(std::size_t node, Millis for_ms, bool delay, bool refuse = false);
     // Every direct command from now on is kept, and delivered once more when asked for.
     void keep_direct() { keep_direct_ = true; }
     void repeat_direct();
@@ -235,7 +237,7 @@
     [[nodiscard]] std::size_t writes() const { return writes_; }
     [[nodiscard]] std::size_t direct_calls() const { return direct_calls_; }
     // Keeps a zone from another, or from everything with an empty name.
-    void cut_zone(const std::string& zone, const std::string& other, Millis for_ms, bool hold);
+    void cut_zone(const std::string& zone, const std::string& other, Millis for_ms, bool delay);
     // Answers of the state service take so much longer.
     void slow_state(Millis by, Millis for_ms) {
         slow_by_ = by;
@@ -251,16 +253,16 @@
         fault_until(links_until_);
     }
     void set_boot(Millis ms) { boot_ms_ = ms; }
-    // That share of the machines rented from now on never comes up.
+    // That share of the machines provisioned from now on never comes up.
     void set_never(double share) { never_ = share; }
     // Requests to the state service so far.
     [[nodiscard]] std::size_t state_requests() const { return state_requests_; }
     void set_capacity(int maximum) { capacity_ = maximum; }
     // As in the protocol, what the cloud has is counted zone by zone.
     void set_zone_capacity(int maximum) { zone_capacity_ = maximum; }
-    // By a node of the load balancer's choice, or by the one named first.
+    // Through a controller that the load balancer picks, or through this one first.
     void cancel(Job& job, std::optional<std::size_t> node = std::nullopt);
-    // Users call off that many jobs that run, within a fifth of a second; some machines hang.
+    // Users cancel that many running jobs within a fifth of a second; some machines hang.
     void cancel_now(std::size_t count, Millis hang_ms);
     // Repeated submissions, cancels of what is over or unknown, jobs that can't run.
     void odd_request();
@@ -280,7 +282,7 @@
         std::string a;
         std::string b;
         Millis until = 0;
-        bool hold = false;
+        bool delay = false;
         bool refuse = false;  // no connection comes about at all
     };
     struct Watch {
@@ -304,8 +306,8 @@
     bool within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond);
     void call(const std::string& from, const std::string& to, net::HttpRequest request,
               Millis deadline, net::OnReply on_reply);
-    void carry(const std::string& from, const std::string& to, Millis extra,
-               std::function<void()> deliver, std::function<void()> reset);
+    void transmit(const std::string& from, const std::string& to, Millis extra,
+                  std::function<void()> deliver, std::function<void()> reset);
     void ask_version(const std::string& from, const std::string& host,
                      const net::HttpRequest& request,
                      const std::function<void(net::HttpReply)>& finish);
@@ -352,11 +354,11 @@
     void expect(std::size_t node, net::HttpRequest request, int status, const std::string& state);
     void fail(const std::string& rule, const std::string& what);
     Job* job(const std::string& id);
-    [[nodiscard]] bool lossy() const {
-        return (options_.faults || options_.lossy) && now_ < options_.busy_ms;
+    [[nodiscard]] bool messages_are_lossy() const {
+        return (options_.faults || options_.lossy_messages) && now_ < options_.busy_ms;
     }
-    std::uint64_t dice(std::uint64_t n) { return rng_() % n; }
-    bool chance(double p) { return static_cast<double>(rng_() % 1'000'000) < p * 1e6; }
+    std::uint64_t random_below(std::uint64_t n) { return rng_() % n; }
+    bool random_chance(double p) { return static_cast<double>(rng_() % 1'000'000) < p * 1e6; }
 
     // One event of the trace, if one is kept.
     void trace(std::string_view kind, std::string_view peer, std::string_view target,
@@ -380,7 +382,7 @@
     std::vector<Cut> cuts_;
     std::vector<Millis> refused_until_;
     Millis outage_until_ = 0;
-    Millis unsettled_at_ = 0;  // when no leader could surely act for the last time
+    Millis unsettled_at_ = 0;  // when there was no leader with a valid lease for the last time
     std::uint64_t settled_token_ = 0;
     Millis reply_sent_ = 0;  // when the answer that is being delivered left its sender
     Millis cloud_outage_until_ = 0;
@@ -398,7 +400,7 @@
     std::size_t direct_calls_ = 0;
     bool keep_direct_ = false;
     std::vector<std::pair<std::string, net::HttpRequest>> direct_kept_;
-    std::size_t thrown_answered_ = 0;
+    std::size_t counted_replies_ = 0;
     std::uint64_t forgotten_ = 0;
     double late_writes_ = 0;
     Millis late_writes_until_ = 0;
@@ -410,7 +412,7 @@
     Observer observer_;
     std::map<std::uint64_t, std::uint64_t> terms_;  // of the holders, by epoch
     std::map<std::string, std::uint64_t> epochs_;   // highest written, by duty
-    std::uint64_t highest_epoch_asked_ = 0;
+    std::uint64_t highest_epoch_requested_ = 0;
     Releases releases_;
     std::size_t freezes_ = 0;
     double lost_cloud_answers_ = 0;
@@ -423,7 +425,7 @@
     Millis boot_ms_ = 6000;
     double never_ = 0.04;
     std::size_t state_requests_ = 0;
-    bool limits_hold_ = false;
+    bool limits_in_force_ = false;
     std::size_t rejections_ = 0;
     std::map<std::string, int> rejected_keys_;
     double write_budget_ = 0;
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr int kMaxRejected = 6;  // tries with one key until its writer has learned of the limits
+constexpr int kMaxRejected = 6;  // writes of one key until its writer has adapted to the limits
 
 }  // namespace
 
 void Simulation::apply(const std::string& key, const std::string& value, std::uint64_t lease) {
     if (key.starts_with("place/") && !value.empty()) {
-        const auto lead = [](const std::string& text) {
+        const auto term_of = [](const std::string& text) {
             return parsed(text)["t"].GetUint64() / core::kTokensOfALead;
         };
-        if (lead(value) < lead(store_["token"].first)) {
+        if (term_of(value) < term_of(store_["token"].first)) {
             fail("late_write", key + " is written by a leader that has lost");
         }
         if (store_.contains("over/" + key.substr(6, key.rfind('/') - 6))) {
@@ -189,7 +189,7 @@
             fail("state_limits", "a transaction is too large");
             return respond({400, "{}"});
         }
-        if (limits_hold_ && !within_limits_to_come(then, respond)) return;
+        if (limits_in_force_ && !within_limits_to_come(then, respond)) return;
         writes_ += then.Size();
         max_writes_ = std::max(max_writes_, writes_in_second_[now_ / 1000] += then.Size());
         std::string failed;
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,4 +1,4 @@
-// The users of the simulation: submissions, questions and cancellations.
+// The users of the simulation: submissions, polls and cancellations.
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -46,7 +46,7 @@
 void Simulation::submit(Job& j) {
     j.submitted = true;
     const auto id = j.id;
-    const auto node = j.via ? *j.via : static_cast<std::size_t>(dice(nodes_.size()));
+    const auto node = j.via ? *j.via : static_cast<std::size_t>(random_below(nodes_.size()));
     j.via.reset();
     call("user", node_name(node) + ":1", {"POST", "/v2/runs", description(j)}, 5000,
          [this, id](const net::HttpReply& reply) {
@@ -70,7 +70,7 @@
 void Simulation::cancel(Job& j, std::optional<std::size_t> node) {
     const auto id = j.id;
     if (j.cancel_requested_at < 0) j.cancel_requested_at = now_;
-    const auto at_node = node ? *node : static_cast<std::size_t>(dice(nodes_.size()));
+    const auto at_node = node ? *node : static_cast<std::size_t>(random_below(nodes_.size()));
     call("user", node_name(at_node) + ":1", {"POST", "/v2/runs/" + id + "/cancel", ""}, 5000,
          [this, id](const net::HttpReply& reply) {
              Job& me = *job(id);
@@ -112,7 +112,7 @@
         }
         if (!runs) continue;
         --count;
-        at(now_ + static_cast<Millis>(dice(200)), [this, id = j.id] { cancel(*job(id)); });
+        at(now_ + static_cast<Millis>(random_below(200)), [this, id = j.id] { cancel(*job(id)); });
     }
 }
 
@@ -133,12 +133,12 @@
 }
 
 void Simulation::odd_request() {
-    const auto node = static_cast<std::size_t>(dice(nodes_.size()));
-    const auto unknown = numbered(900'000 + dice(90'000));
-    Job bad = jobs_.empty() ? plain(unknown, 1, 5) : jobs_[dice(jobs_.size())];
-    Job* known = jobs_.empty() ? nullptr : &jobs_[dice(jobs_.size())];
+    const auto node = static_cast<std::size_t>(random_below(nodes_.size()));
+    const auto unknown = numbered(900'000 + random_below(90'000));
+    Job bad = jobs_.empty() ? plain(unknown, 1, 5) : jobs_[random_below(jobs_.size())];
+    Job* known = jobs_.empty() ? nullptr : &jobs_[random_below(jobs_.size())];
     bad.id = unknown;
-    switch (dice(6)) {
+    switch (random_below(6)) {
         case 0:
             bad.cpus = kCpus + 1;
             return expect(node, {"POST", "/v2/runs", description(bad)}, 422, "");
@@ -149,7 +149,7 @@
             auto body = description(bad);
             static const char* const kFields[] = {"\"classe\"", "\"prove\"", "\"cpus\"",
                                                   "\"genere\""};
-            body.replace(body.find(kFields[dice(4)]) + 1, 1, "x");
+            body.replace(body.find(kFields[random_below(4)]) + 1, 1, "x");
             return expect(node, {"POST", "/v2/runs", body}, 400, "");
         }
         case 3:
@@ -171,7 +171,7 @@
     const bool accepted = j.accepted >= 0;
     const bool cancelled = j.cancel_confirmed_at >= 0;
     const bool done = j.done_reported;
-    call("user", node_name(dice(nodes_.size())) + ":1", {"GET", "/v2/runs/" + id, ""}, 2000,
+    call("user", node_name(random_below(nodes_.size())) + ":1", {"GET", "/v2/runs/" + id, ""}, 2000,
          [this, id, accepted, cancelled, done](const net::HttpReply& reply) {
              Job& me = *job(id);
              if (reply.status == 404) {
@@ -179,7 +179,7 @@
                  return;
              }
              if (reply.status != 200) return;
-             me.answered = now_;
+             me.responded_at = now_;
              if (!me.submitted) fail("invented", id);
              const std::string state = parsed(reply.body)["stato"].GetString();
              if (state == "done") {
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -101,7 +101,7 @@
         check_start(worker, *j, t.task, sent);
         ++job(t.job)->starts;
         t.state = "pulling";
-        t.image_at = now_ + 300 + static_cast<Millis>(dice(1500));
+        t.image_at = now_ + 300 + static_cast<Millis>(random_below(1500));
         worker.tasks.push_back(t);
         return;
     }
@@ -173,19 +173,19 @@
     worker.last_heartbeat = now_;
     worker.next_heartbeat =
         now_ + static_cast<Millis>(options_.report_s * 1000 *
-                                   (0.75 + 0.5 * static_cast<double>(dice(1000)) / 1000));
+                                   (0.75 + 0.5 * static_cast<double>(random_below(1000)) / 1000));
     const auto name = worker.name;
     const auto sent = now_;
     const auto session = worker.session;
     const auto body = report(worker);
-    if (lossy() && chance(options_.late_copy)) {
+    if (messages_are_lossy() && random_chance(options_.late_copy)) {
         const auto late =
-            1000 + static_cast<Millis>(dice(static_cast<std::uint64_t>(
-                       chance(0.5) ? options_.lease_s * 1000 : options_.lease_s * 6000)));
+            1000 + static_cast<Millis>(random_below(static_cast<std::uint64_t>(
+                       random_chance(0.5) ? options_.lease_s * 1000 : options_.lease_s * 6000)));
         fault_until(now_ + late);
         at(now_ + late, [this, name, body] {
-            call(name, node_name(dice(nodes_.size())) + ":1", {"POST", "/agent/beat", body}, 4000,
-                 [](const net::HttpReply&) {});
+            call(name, node_name(random_below(nodes_.size())) + ":1", {"POST", "/agent/beat", body},
+                 4000, [](const net::HttpReply&) {});
         });
     }
     if (worker.outbound_blocked_until > now_) {
@@ -203,7 +203,7 @@
              if (w.gone) return;
              auto reply = got;
              if (w.inbound_blocked_until > now_) reply = {0, "", true};
-             const auto act = [this, name, sent, session, reply, answered = reply_sent_] {
+             const auto act = [this, name, sent, session, reply, responded_at = reply_sent_] {
                  Worker& me = workers_.at(name);
                  me.in_flight = false;
                  if (me.gone || me.session != session) return;
@@ -214,7 +214,7 @@
                      if (reply.status == 421 && doc.HasMember("riferireA")) {
                          const std::string to = doc["riferireA"].GetString();
                          me.node = static_cast<std::size_t>(to.at(1) - '0');
-                         me.next_heartbeat = now_ + static_cast<Millis>(dice(500));
+                         me.next_heartbeat = now_ + static_cast<Millis>(random_below(500));
                      }
                      return;
                  }
@@ -223,8 +223,8 @@
                  if (!doc.HasMember("delega") || doc["delega"].GetUint64() < me.token) return;
                  if (doc["delega"].GetUint64() > me.token) me.changed = true;
                  me.token = doc["delega"].GetUint64();
-                 me.last_answered_sent_at = std::max(me.last_answered_sent_at, sent);
-                 commands(me, reply.body, answered);
+                 me.last_acknowledged_sent_at = std::max(me.last_acknowledged_sent_at, sent);
+                 commands(me, reply.body, responded_at);
              };
              if (w.hung_until > now_) {
                  w.held.push_back(act);
@@ -240,16 +240,16 @@
     if (!worker.up) {
         if (worker.never || now_ < worker.up_at) return;
         worker.up = true;
-        worker.last_answered_sent_at = now_;
+        worker.last_acknowledged_sent_at = now_;
     }
     if (worker.hung_until > now_) return;
-    if (now_ - worker.last_answered_sent_at > static_cast<Millis>(options_.lease_s * 1000)) {
+    if (now_ - worker.last_acknowledged_sent_at > static_cast<Millis>(options_.lease_s * 1000)) {
         for (auto& t : worker.tasks) {
             if (t.state == "running" || t.state == "saving") save_progress(t, false);
         }
         worker.tasks.clear();
         ++worker.session;
-        worker.last_answered_sent_at = now_;
+        worker.last_acknowledged_sent_at = now_;
         worker.changed = true;
         worker.in_flight = false;
     }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -54,7 +54,7 @@
     return options;
 }
 
-// Every controller has its turn, in any order, with pauses of any length.
+// Every controller is upgraded, in any order, with pauses of any length.
 void roll(Simulation& simulation, std::mt19937_64& rng, std::size_t nodes, bool back = false) {
     std::vector<std::size_t> order(nodes);
     std::iota(order.begin(), order.end(), 0);
@@ -87,7 +87,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Days, UpgradeDay, ::testing::Range(1, 9));
 
-// The upgrade may be taken part of the way, and the older version may lead again at any time.
+// The upgrade may stop part of the way, and the older version may be elected again at any time.
 class PartWay : public ::testing::TestWithParam<int> {};
 
 TEST_P(PartWay, BothVersionsWorkOnEachOthersData) {
@@ -101,7 +101,7 @@
             simulation.at(9000 + 4000 * static_cast<Millis>(n),
                           [&simulation, n] { simulation.upgrade(n, 1500); });
         }
-        // The lead changes hands again and again.
+        // The leader changes again and again.
         for (Millis t = 15'000; t < 105'000; t += 9000) {
             simulation.at(t, [&simulation] {
                 if (const auto leader = simulation.leader()) simulation.crash(*leader, 1200);
@@ -112,7 +112,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Days, PartWay, ::testing::Range(1, 5));
 
-// Finer records were written, then the older version leads, then this one again.
+// Finer records were written, then the older version is the leader, then this one again.
 TEST(Upgrade, GoesBackAndForthWithFinerRecords) {
     for (std::uint64_t seed = 7000; seed < 7016; ++seed) {
         auto options = upgrade_day(seed);
