--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -147,12 +147,12 @@
     return nullptr;
 }
 
-void Controller::counts_found(std::vector<wire::JobCounts> counts, bool all) {
+void Controller::on_job_counts(std::vector<wire::JobCounts> counts, bool all) {
     users_.set_counts(counts, all);
     announce(counts, all);
 }
 
-void Controller::types_found(const std::vector<core::MachineType>& types) {
+void Controller::on_machine_types(const std::vector<core::MachineType>& types) {
     users_.set_types(types);
 }
 
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -57,14 +57,14 @@
     void extend(Millis sent);
 
     // LeaderHost.
-    bool may_start() override;
-    Millis sure_until() override { return valid_until_; }
-    bool may_run() override;
+    bool has_leader_lease() override;
+    Millis leader_lease_valid_until() override { return valid_until_; }
+    bool may_start_tasks() override;
     bool may_renew_leases() override;
     void step_down(events::StepDownReason reason, std::uint64_t seen_token = 0) override;
     void log(const events::Event& event) override;
-    void types_found(const std::vector<core::MachineType>& types) override;
-    void counts_found(std::vector<wire::JobCounts> counts, bool all) override;
+    void on_machine_types(const std::vector<core::MachineType>& types) override;
+    void on_job_counts(std::vector<wire::JobCounts> counts, bool all) override;
 
     void on_heartbeat(const std::string& body, net::Respond respond);
     [[nodiscard]] bool leader_is_good() const;
--- a/src/control/controller_election.cpp
+++ b/src/control/controller_election.cpp
@@ -170,12 +170,12 @@
 }
 
 void Controller::extend(Millis sent) {
-    const bool was = may_start();
+    const bool was = has_leader_lease();
     valid_until_ = std::max(valid_until_, sent + kLeaderLease - kLeaderLeaseMargin);
     if (!was) log(events::LeaderLeaseRecovered{});
 }
 
-bool Controller::may_start() { return leader_ && runtime_.read_clock() < valid_until_; }
+bool Controller::has_leader_lease() { return leader_ && runtime_.read_clock() < valid_until_; }
 
 void Controller::step_down(events::StepDownReason reason, std::uint64_t seen_token) {
     if (!leader_) return;
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -117,8 +117,9 @@
 void Controller::announce(const std::vector<wire::JobCounts>& counts, bool all) {
     if (!leader_) return;
     announced_at_ = runtime_.now();
-    const auto body = wire::encode_announcement(
-        {settings_.member, leader_->token(), store_.responsive() && may_start(), all, counts});
+    const auto body =
+        wire::encode_announcement({settings_.member, leader_->token(),
+                                   store_.responsive() && has_leader_lease(), all, counts});
     for (const auto& s : settings_.peers) {
         runtime_.call(s.address, {"POST", "/peer/leader", body}, 1500,
                       [](const net::HttpReply&) {});
@@ -255,8 +256,8 @@
 
 // A leader that stood still in an outage wakes with its grant alive and a copy from before: it
 // would start what was cancelled meanwhile.
-bool Controller::may_run() {
-    if (!may_start()) return false;
+bool Controller::may_start_tasks() {
+    if (!has_leader_lease()) return false;
     return !settings_.guards.runs_on_fresh_copy ||
            runtime_.read_clock() - cancellations_known_at() <= kRunOnCopy;
 }
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -89,7 +89,7 @@
     const auto list_every =
         std::max<Millis>(3000, static_cast<Millis>(settings_.cloud_list_lag_s * 1000));
     if (now - listed_at_ > list_every) poll_list();
-    const bool sure = host_.may_start();
+    const bool sure = host_.has_leader_lease();
     const auto events = with([&](core::Cluster& c) { return c.tick(now, sure); });
     for (const auto& event : events) host_.log(event);
     for (auto& rejected : with([](core::Cluster& c) { return c.take_rejected_policy_values(); })) {
@@ -105,9 +105,9 @@
         for (const auto& [id, n] : with([&](core::Cluster& c) { return c.job_counts(all); })) {
             if (counts.size() < 1000) counts.push_back({id, n.done, n.running});
         }
-        host_.counts_found(std::move(counts), all);
+        host_.on_job_counts(std::move(counts), all);
     }
-    if (host_.may_start()) write_hints();
+    if (host_.has_leader_lease()) write_hints();
     write();
     release_machines();
     dispatch();
@@ -130,7 +130,7 @@
     const auto now = runtime_.now();
     // A lease that nobody can vouch for ends: work on that machine may have been called off.
     const bool may_renew = host_.may_renew_leases();
-    const bool may_start = host_.may_run();
+    const bool may_start = host_.may_start_tasks();
     core::ReportOutcome outcome;
     wire::HeartbeatAnswer answer{token_, {}};
     with([&](core::Cluster& c) {
@@ -178,7 +178,7 @@
 
 void Leader::dispatch() {
     if (!ready_ || calls_open_ >= kMaxDirectCommands) return;
-    const bool may_start = host_.may_run();
+    const bool may_start = host_.may_start_tasks();
     const auto now = runtime_.now();
     const auto limit = kMaxDirectCommands - calls_open_;
     for (const auto& name :
@@ -189,7 +189,7 @@
 
 void Leader::direct(const std::string& machine) {
     const auto now = runtime_.now();
-    const bool may_start = host_.may_run();
+    const bool may_start = host_.may_start_tasks();
     auto commands =
         with([&](core::Cluster& c) { return c.direct_commands(machine, may_start, now); });
     if (commands.endpoint.empty()) return;
@@ -270,7 +270,7 @@
 }
 
 void Leader::planned(const core::Plan& plan) {
-    if (!host_.may_start()) return;
+    if (!host_.has_leader_lease()) return;
     const auto now = runtime_.now();
     const auto applied = with([&](core::Cluster& c) { return c.apply(plan, now); });
     for (const auto& event : applied.events) host_.log(event);
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -7,6 +7,7 @@
 
 #include "cloud/cloud_client.h"
 #include "control/job_watcher.h"
+#include "control/leader_host.h"
 #include "control/machine_duties.h"
 #include "control/plan_executor.h"
 #include "control/settings.h"
@@ -17,27 +18,6 @@
 
 namespace lichendrift::control {
 
-// What the leader needs of its controller.
-class LeaderHost {
-  public:
-    virtual ~LeaderHost() = default;
-    virtual bool may_start() = 0;     // surely still the leader by its own clock, read anew
-    virtual Millis sure_until() = 0;  // and for how long
-    // May start, and knows of every cancellation that was confirmed before the last moments.
-    virtual bool may_run() = 0;
-    // Whether every cancellation that was confirmed long enough ago is surely known here.
-    virtual bool may_renew_leases() = 0;
-    // Whether every controller is known to be of this version or a later one.
-    [[nodiscard]] virtual bool peers_are_current() const = 0;
-    // Whether every controller is known to have fenced duties switched on.
-    [[nodiscard]] virtual bool peers_fence_duties() const = 0;
-    // `seen_token`: the higher token, if one was seen.
-    virtual void step_down(events::StepDownReason reason, std::uint64_t seen_token = 0) = 0;
-    virtual void log(const events::Event& event) = 0;
-    virtual void types_found(const std::vector<core::MachineType>& types) = 0;
-    virtual void counts_found(std::vector<wire::JobCounts> counts, bool all) = 0;
-};
-
 // One term of leadership: the cluster's picture, planning, records, commands, rentals. Made when
 // the election is won and dropped when it is lost.
 class Leader : public std::enable_shared_from_this<Leader>, private MachineDutiesListener {
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -21,7 +21,7 @@
         self->with([&](core::Cluster& c) { c.set_types(types); });
         if (!self->types_known_) self->ask_plan();
         self->types_known_ = true;
-        self->host_.types_found(types);
+        self->host_.on_machine_types(types);
     });
 }
 
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -27,7 +27,7 @@
 }
 
 void Leader::write() {
-    if (!ready_ || !host_.may_start()) return;
+    if (!ready_ || !host_.has_leader_lease()) return;
     write_finals();
     write_placement_records();
     write_orphans();
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -1,7 +1,7 @@
 #include "control/machine_duties.h"
 
 #include "control/fenced_store.h"
-#include "control/leader.h"
+#include "control/leader_host.h"
 
 namespace lichendrift::control {
 
@@ -55,9 +55,9 @@
 duty::MachineHolder::Moment MachineDuties::moment() {
     duty::MachineHolder::Moment moment;
     moment.now = runtime_.now();
-    moment.sure = host_.may_start();
+    moment.sure = host_.has_leader_lease();
     moment.records_known = records_known_;
-    moment.not_after = host_.sure_until();
+    moment.not_after = host_.leader_lease_valid_until();
     moment.may_activate = host_.peers_fence_duties();
     moment.idle_writes = store_.can_write_at_once(store_.max_transaction_operations());
     moment.limits = {store_.max_value_bytes_from_now_on(), store_.max_transaction_operations()};
