--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -1,131 +1,108 @@
 #pragma once
 
-#include <algorithm>
-#include <array>
-#include <deque>
+// The client of the state service (a consensus-backed key-value store).
+
 #include <functional>
-#include <memory>
+#include <string>
+#include <vector>
 
+#include "net/callback_scope.h"
 #include "net/malformed_message_counter.h"
 #include "net/runtime.h"
+#include "store/rate_limiter.h"
+#include "store/request_queue.h"
+#include "store/service_health.h"
+#include "store/size_limits.h"
+#include "store/types.h"
 #include "wire/json_messages.h"
 
 namespace lichendrift::store {
 
-using core::Millis;
-
-// Requests of a smaller lane go first when the pace is short.
-enum class RequestPriority : std::uint8_t { Leadership, Submit, Place, Read };
-
-enum class Outcome : std::uint8_t {
-    Ok,
-    Missing,      // no such key, lease or old enough revision (404, 410)
-    Conflict,     // a condition failed
-    Unavailable,  // certainly not executed
-    Rejected,     // certainly not executed, and the same again never will be (400)
-    Unknown,      // may have been executed, or may still be
-};
-
-struct StoreSettings {
-    std::string address;
-    double rps = 50;
-    double write_rps = 20;
-    std::size_t transaction_operations = 8;
-    std::size_t value_bytes = 8192;
-    // The limit on values that will hold from some moment on, without notice. Rates and operations
-    // need no such pair: those above are the smaller ones of both times from the start.
-    std::size_t next_value_bytes = 8192;
-};
-
-/// The part of the service's rate limits that one controller may use.
-struct RateShare {
-    double requests = 0.2;  ///< of the limit on requests, 0 to 1
-    double writes = 0.2;    ///< of the limit on written keys, 0 to 1
-};
-
-struct TransactionResult {
-    Outcome outcome = Outcome::Unknown;
-    std::uint64_t revision = 0;
-    std::vector<std::string> failed;
-};
-
-// Client of the state service: paced so that the nodes together stay under its limits, every
-// request with a deadline, every queue bounded.
+/// Sends requests to the state service. Rates are limited so that all controllers together stay
+/// below the service's limits, every request has a deadline and every queue a bound. Each callback
+/// is called once and never from inside the call that it was passed to; once the client is
+/// destroyed, no answer calls it any more. Loop thread only; all times are steady.
 class StoreClient {
   public:
-    StoreClient(net::Runtime& runtime, StoreSettings settings);
+    /// `runtime` must outlive the client.
+    StoreClient(net::Runtime& runtime, const StoreSettings& settings);
 
-    void set_share(RateShare share) { share_ = share; }
+    /// Sets the part of the service's rate limits that this controller may use.
+    void set_share(RateShare share) { limiter_.set_share(share); }
 
+    /// Receives a value; the item is empty unless the outcome is `Ok`.
     using OnItem = std::function<void(Outcome, wire::Item)>;
+    /// Receives a page of values or changes; empty unless the outcome is `Ok`.
     using OnPage = std::function<void(Outcome, wire::ItemPage)>;
+    /// Receives the result of a transaction.
     using OnTransaction = std::function<void(TransactionResult)>;
-    using OnLease = std::function<void(Outcome, std::uint64_t, Millis sent)>;
+    /// Receives a lease. `sent_at`: when it was asked for; the lease lasts at least its duration
+    /// from then on.
+    using OnLease = std::function<void(Outcome, std::uint64_t lease, Millis sent_at)>;
 
+    /// Reads the value of a key.
     void get(RequestPriority priority, const std::string& key, OnItem done);
+
+    /// Reads a page of the keys with a prefix, beginning after the key `since` ("": at the first).
     void list(RequestPriority priority, const std::string& prefix, const std::string& since,
               OnPage done);
-    void transact(RequestPriority priority, const std::vector<wire::Condition>& when,
-                  const std::vector<wire::Change>& then, OnTransaction done);
-    void create_lease(Millis ttl, OnLease done);
+
+    /// Compare-and-swap: writes `changes` in one step if all of `conditions` hold.
+    void transact(RequestPriority priority, const std::vector<wire::Condition>& conditions,
+                  const std::vector<wire::Change>& changes, OnTransaction done);
+
+    /// Creates a lease that lasts for `duration` unless it is renewed.
+    void create_lease(Millis duration, OnLease done);
+    /// Renews a lease for its duration; `Missing`: it has expired.
     void renew_lease(std::uint64_t lease, OnLease done);
+    /// Ends a lease and removes its keys; nothing says whether that succeeded.
     void release_lease(std::uint64_t lease);
+
+    /// Reads the changes of keys with a prefix after a revision, waiting up to `block` for the
+    /// first. `Missing`: the service has forgotten that revision.
     void watch(RequestPriority priority, const std::string& prefix, std::uint64_t since,
                Millis block, OnPage done);
 
-    // False while requests go unanswered or are refused: new work is better refused at once.
-    [[nodiscard]] bool responsive() const;
-    // Since when nothing but failures came back; 0: the last answer was good.
-    [[nodiscard]] Millis failing_for() const;
-    // Whether that many changes could be sent now without making anything else wait.
+    /// False while requests go unanswered or fail: new work is better refused at once.
+    [[nodiscard]] bool responsive() const { return health_.is_responsive(runtime_.now()); }
+    /// For how long all requests have failed; 0: the last one did not.
+    [[nodiscard]] Millis failing_for() const { return health_.failing_for(runtime_.now()); }
+    /// Whether so many keys could be written now without delaying anything else.
     [[nodiscard]] bool can_write_at_once(std::size_t writes);
+
+    /// How many keys a transaction may write.
     [[nodiscard]] std::size_t max_transaction_operations() const {
-        return settings_.transaction_operations;
+        return limits_.max_transaction_operations();
     }
-    // What a value may have as far as is known now.
-    [[nodiscard]] std::size_t max_value_bytes() const { return settings_.value_bytes; }
-    // What a value may have at any time to come.
+    /// Size of a value, as far as known.
+    [[nodiscard]] std::size_t max_value_bytes() const { return limits_.max_value_bytes(); }
+    /// Size of a value that stays allowed when an announced reduction comes into force.
     [[nodiscard]] std::size_t max_value_bytes_from_now_on() const {
-        return std::min(settings_.value_bytes, settings_.next_value_bytes);
+        return limits_.max_value_bytes_from_now_on();
     }
-    // The service has refused something for its size: smaller limits hold now.
-    [[nodiscard]] bool limits_lowered() const { return limits_lowered_; }
+    /// Whether the service has rejected a transaction for its size: smaller limits are in force.
+    [[nodiscard]] bool limits_lowered() const { return limits_.lowered(); }
 
   private:
-    struct Pending {
-        net::HttpRequest request;
-        double writes = 0;
-        Millis expires = 0;
-        Millis timeout = 0;
-        net::OnReply done;
-    };
-    void send(RequestPriority priority, net::HttpRequest request, std::size_t writes,
-              Millis timeout, net::OnReply done);
-    void pump();
-    void launch(Pending pending);
-    void refill();
-    void note(int status);
-    void probe();
-    void note_rejected(std::size_t largest_value, std::size_t operations);
+    void enqueue(RequestPriority priority, net::HttpRequest request, Millis timeout,
+                 net::OnReply done);
+    void send(QueuedRequest request);
+    void on_reply_status(int status);
+    void probe_later();
+    template <typename Parse, typename Done>
+    net::OnReply parse_reply(Parse parse, Done done);
+    TransactionResult transaction_result(const net::HttpReply& reply);
+    void on_rejected(const SizeLimits::RejectedTransaction& rejected);
 
     net::Runtime& runtime_;
-    StoreSettings settings_;
-    RateShare share_;
-    double tokens_ = 0;
-    double write_tokens_ = 0;
-    Millis filled_at_ = 0;
-    Millis pause_until_ = 0;
-    std::array<std::deque<Pending>, 4> queues_;
-    bool timer_ = false;
+    std::string address_;
+    RateLimiter limiter_;
+    RequestQueue queue_;
+    ServiceHealth health_;
+    SizeLimits limits_;
     net::MalformedMessageCounter malformed_{"the state service"};
-    bool probing_ = false;
-    bool limits_lowered_ = false;
-    Millis rejection_reported_at_ = -100'000;
-    Millis last_good_ = 0;
-    Millis first_bad_ = 0;                               // 0: no failure since the last good answer
-    std::deque<std::pair<std::uint64_t, Millis>> open_;  // requests under way, oldest first
-    std::uint64_t next_open_ = 0;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    bool probe_scheduled_ = false;
+    net::CallbackScope callbacks_;
 };
 
 }  // namespace lichendrift::store
