--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -273,7 +273,7 @@
                    state = duty::JobState::Open;  // what is not known now is left alone
                    if (outcome == store::Outcome::Missing) state = duty::JobState::Unknown;
                    if (outcome == store::Outcome::Ok) {
-                       const auto over = wire::parse_over_value(id, item.value);
+                       const auto over = wire::parse_terminal_state_value(id, item.value);
                        state = over && !over->job ? duty::JobState::OverNothingPlaced
                                                   : duty::JobState::OverMayBePlaced;
                        page->proofs[id] = {item.key, item.revision};
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -123,11 +123,11 @@
     runtime_.call(
         leader->address,
         {"POST", "/peer/user",
-         wire::encode_passed_request({request.method, request.target, request.body})},
+         wire::encode_forwarded_request({request.method, request.target, request.body})},
         kPassDeadline, [this, respond = std::move(respond)](const net::HttpReply& reply) {
             --passing_;
             auto answer =
-                reply.status == 200 ? wire::decode_passed_answer(reply.body) : std::nullopt;
+                reply.status == 200 ? wire::decode_forwarded_answer(reply.body) : std::nullopt;
             if (!answer) {
                 return respond({503, wire::error_body("the state service does not answer"), 1});
             }
--- a/src/control/controller_peers.cpp
+++ b/src/control/controller_peers.cpp
@@ -63,12 +63,12 @@
 // A user's request that its controller can't answer, as the state service refuses it alone. It is
 // handled here and never passed on again, so that it can't go round.
 void Controller::on_passed_request(const std::string& body, net::Respond respond) {
-    const auto passed = wire::decode_passed_request(body);
+    const auto passed = wire::decode_forwarded_request(body);
     if (!passed) return refuse_malformed(respond);
     users_.handle(
         {passed->method, passed->target, passed->body},
         [respond = std::move(respond)](const net::HttpResponse& answer) {
-            respond(peer_answer(200, wire::encode_passed_answer(
+            respond(peer_answer(200, wire::encode_forwarded_answer(
                                          {answer.status, answer.retry_after_s, answer.body})));
         });
 }
@@ -87,7 +87,7 @@
                                 job_watcher_.cancellations().newest_after(*since, kMaxCancelled)};
     // Cut short, it says nothing of the rest.
     if (news.cancelled.size() >= kMaxCancelled) {
-        news.from = std::numeric_limits<std::uint64_t>::max();
+        news.complete_after = std::numeric_limits<std::uint64_t>::max();
     }
     respond(peer_answer(200, wire::encode_cancellation_news(news)));
 }
@@ -102,9 +102,9 @@
     if (!leader_ && announcement->token >= known_.token) {
         known_.member = announcement->member;
         known_.token = announcement->token;
-        known_.store_good = announcement->store_good;
+        known_.store_good = announcement->store_responsive;
         known_.last_announcement_at = runtime_.now();
-        users_.set_counts(announcement->counts, announcement->all);
+        users_.set_counts(announcement->counts, announcement->complete);
     }
     respond(peer_answer(200));
 }
@@ -248,7 +248,7 @@
                           const auto news = wire::decode_cancellation_news(reply.body);
                           if (!news) return malformed_peers_.note(runtime_.now());
                           on_cancellation_news(*news);
-                          if (news->from > since || --*left > 0) return;
+                          if (news->complete_after > since || --*left > 0) return;
                           peers_know_at_ = std::max(peers_know_at_, sent);
                       });
     }
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -206,7 +206,7 @@
 void JobWatcher::apply_over(const wire::Item& item) {
     if (item.value.empty()) return;
     const auto job_id = item.key.substr(kOverPrefix.size());
-    if (const auto over = wire::parse_over_value(job_id, item.value)) {
+    if (const auto over = wire::parse_terminal_state_value(job_id, item.value)) {
         const auto state = over->aborted ? TerminalState::Aborted : TerminalState::Done;
         record_terminal_state(job_id, state, item.revision);
         end_job(job_id, state);
@@ -263,7 +263,7 @@
                        outcome == store::Outcome::Missing ? LookupError::NotFound
                                                           : LookupError::Unavailable);
                    const auto over = outcome == store::Outcome::Ok
-                                         ? wire::parse_over_value(job_id, item.value)
+                                         ? wire::parse_terminal_state_value(job_id, item.value)
                                          : std::nullopt;
                    if (over) {
                        result = over->aborted ? TerminalState::Aborted : TerminalState::Done;
--- a/src/control/leader_records.cpp
+++ b/src/control/leader_records.cpp
@@ -139,9 +139,9 @@
         std::vector<wire::Change> then{
             {"open/" + write->job_id, "", 0},
             {"over/" + write->job_id,
-             write->with_job
-                 ? wire::over_value_within(false, text, store_.max_value_bytes_from_now_on())
-                 : wire::over_value(false, nullptr),
+             write->with_job ? wire::terminal_state_value_within(
+                                   false, text, store_.max_value_bytes_from_now_on())
+                             : wire::terminal_state_value(false, nullptr),
              0}};
         for (auto record_number : write->record_numbers) {
             then.push_back({"place/" + write->job_id + "/" + std::to_string(record_number), "", 0});
--- a/src/control/leader_takeover.cpp
+++ b/src/control/leader_takeover.cpp
@@ -99,7 +99,7 @@
                [self = shared_from_this(), id, at](store::Outcome outcome, const wire::Item& item) {
                    if (self->stopped_) return;
                    if (outcome == store::Outcome::Ok) {
-                       auto over = wire::parse_over_value(id, item.value);
+                       auto over = wire::parse_terminal_state_value(id, item.value);
                        if (over && over->job) {
                            self->with([&](core::Cluster& c) {
                                c.add_job(*over->job, 0, self->runtime_.now(), true);
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -251,7 +251,9 @@
             store::RequestPriority::Submit, {{"open/" + id, open->revision}, {"over/" + id, 0}},
             {{"open/" + id, "", 0},
              {"over/" + id,
-              wire::over_value_within(true, open->text, store_.max_value_bytes_from_now_on()), 0}},
+              wire::terminal_state_value_within(true, open->text,
+                                                store_.max_value_bytes_from_now_on()),
+              0}},
             [this, id, tries,
              respond = std::move(respond)](const store::TransactionResult& result) mutable {
                 if (result.outcome == store::Outcome::Ok) {
--- a/src/wire/cbor_messages.cpp
+++ b/src/wire/cbor_messages.cpp
@@ -153,7 +153,7 @@
 
 }  // namespace
 
-std::string encode_passed_request(const PassedRequest& request) {
+std::string encode_forwarded_request(const ForwardedRequest& request) {
     Encoder e;
     e.array(3);
     e.text(request.method);
@@ -162,10 +162,10 @@
     return e.take();
 }
 
-std::optional<PassedRequest> decode_passed_request(std::string_view bytes) {
+std::optional<ForwardedRequest> decode_forwarded_request(std::string_view bytes) {
     const auto item = load(bytes);
     Entries in(item.get());
-    PassedRequest request;
+    ForwardedRequest request;
     request.method = in.text();
     request.target = in.text();
     request.body = in.text();
@@ -173,7 +173,7 @@
     return request;
 }
 
-std::string encode_passed_answer(const PassedAnswer& answer) {
+std::string encode_forwarded_answer(const ForwardedAnswer& answer) {
     Encoder e;
     e.array(3);
     e.uint(static_cast<std::uint64_t>(answer.status));
@@ -182,10 +182,10 @@
     return e.take();
 }
 
-std::optional<PassedAnswer> decode_passed_answer(std::string_view bytes) {
+std::optional<ForwardedAnswer> decode_forwarded_answer(std::string_view bytes) {
     const auto item = load(bytes);
     Entries in(item.get());
-    PassedAnswer answer;
+    ForwardedAnswer answer;
     const auto status = in.uint();
     const auto retry = in.uint();
     answer.body = in.text();
@@ -231,7 +231,7 @@
 std::string encode_cancellation_news(const CancellationNews& news) {
     Encoder e;
     e.array(2);
-    e.uint(news.from);
+    e.uint(news.complete_after);
     e.array(news.cancelled.size());
     for (const auto& cancellation : news.cancelled) {
         e.array(2);
@@ -245,7 +245,7 @@
     const auto item = load(bytes);
     Entries in(item.get());
     CancellationNews news;
-    news.from = in.uint();
+    news.complete_after = in.uint();
     Entries cancellations(in.next());
     while (cancellations.left() > 0) {
         Entries w(cancellations.next());
@@ -368,8 +368,8 @@
     e.array(5);
     e.text(a.member);
     e.uint(a.token);
-    e.boolean(a.store_good);
-    e.boolean(a.all);
+    e.boolean(a.store_responsive);
+    e.boolean(a.complete);
     e.array(a.counts.size());
     for (const auto& job : a.counts) {
         e.array(3);
@@ -386,8 +386,8 @@
     Announcement a;
     a.member = in.text();
     a.token = in.uint();
-    a.store_good = in.boolean();
-    a.all = in.boolean();
+    a.store_responsive = in.boolean();
+    a.complete = in.boolean();
     Entries counts(in.next());
     while (counts.left() > 0) {
         Entries c(counts.next());
--- a/src/wire/cbor_messages.h
+++ b/src/wire/cbor_messages.h
@@ -25,8 +25,8 @@
 struct Announcement {
     std::string member;
     std::uint64_t token = 0;
-    bool store_good = false;  // the state service answers the leader
-    bool all = false;         // these are the counts of all jobs, not of those that changed
+    bool store_responsive = false;  // the state service answers the leader
+    bool complete = false;          // these are the counts of all jobs, not of those that changed
     std::vector<JobCounts> counts;
 };
 
@@ -40,17 +40,17 @@
 // one that was just confirmed.
 struct CancellationNews {
     // No cancellation of a later revision, that this node may ever have told, is missing.
-    std::uint64_t from = 0;
+    std::uint64_t complete_after = 0;
     std::vector<Cancellation> cancelled;
 };
 
 // A user's request that a node passes on because the state service refuses it alone.
-struct PassedRequest {
+struct ForwardedRequest {
     std::string method;
     std::string target;
     std::string body;
 };
-struct PassedAnswer {
+struct ForwardedAnswer {
     int status = 0;
     int retry_after_s = 0;
     std::string body;
@@ -69,10 +69,10 @@
 std::string encode_features(std::uint64_t features);
 std::optional<std::uint64_t> decode_features(std::string_view bytes);
 
-std::string encode_passed_request(const PassedRequest& request);
-std::optional<PassedRequest> decode_passed_request(std::string_view bytes);
-std::string encode_passed_answer(const PassedAnswer& answer);
-std::optional<PassedAnswer> decode_passed_answer(std::string_view bytes);
+std::string encode_forwarded_request(const ForwardedRequest& request);
+std::optional<ForwardedRequest> decode_forwarded_request(std::string_view bytes);
+std::string encode_forwarded_answer(const ForwardedAnswer& answer);
+std::optional<ForwardedAnswer> decode_forwarded_answer(std::string_view bytes);
 std::string encode_cancellation_query(std::uint64_t since);
 std::optional<std::uint64_t> decode_cancellation_query(std::string_view bytes);
 std::string encode_cancellation_news(const CancellationNews& news);
--- a/src/wire/json_messages.h
+++ b/src/wire/json_messages.h
@@ -78,15 +78,17 @@
 std::optional<core::JobText> parse_job_value(std::string_view id, std::string_view value);
 std::string placement_value(const core::PlacementRecord& record);
 std::optional<core::PlacementRecord> parse_placement_value(std::string_view value);
-struct Over {
+struct TerminalState {
     bool aborted = false;
     std::optional<core::JobText> job;
 };
-std::string over_value(bool aborted, const core::JobText* job);
+std::string terminal_state_value(bool aborted, const core::JobText* job);
 // The same within a limit: of a description that is too long, what its tasks need while they are
 // still on machines, without the lists of where it might have run.
-std::string over_value_within(bool aborted, const core::JobText& job, std::size_t max_bytes);
-std::optional<Over> parse_over_value(std::string_view id, std::string_view value);
+std::string terminal_state_value_within(bool aborted, const core::JobText& job,
+                                        std::size_t max_bytes);
+std::optional<TerminalState> parse_terminal_state_value(std::string_view id,
+                                                        std::string_view value);
 struct LeaderRecord {
     std::string member;
     std::uint64_t token = 0;
--- a/src/wire/json_values.cpp
+++ b/src/wire/json_values.cpp
@@ -178,7 +178,7 @@
     return record;
 }
 
-std::string over_value(bool aborted, const core::JobText* job) {
+std::string terminal_state_value(bool aborted, const core::JobText* job) {
     Buffer b;
     Writer w(b);
     w.StartObject();
@@ -191,27 +191,29 @@
     return text_of(b);
 }
 
-std::string over_value_within(bool aborted, const core::JobText& job, std::size_t max_bytes) {
-    auto value = over_value(aborted, &job);
+std::string terminal_state_value_within(bool aborted, const core::JobText& job,
+                                        std::size_t max_bytes) {
+    auto value = terminal_state_value(aborted, &job);
     if (value.size() <= max_bytes) return value;
     auto short_job = job;
     short_job.types.reset();
     short_job.zone.reset();
     short_job.image.clear();
-    value = over_value(aborted, &short_job);
+    value = terminal_state_value(aborted, &short_job);
     if (value.size() <= max_bytes) return value;
     short_job.cls.clear();
-    return over_value(aborted, &short_job);
+    return terminal_state_value(aborted, &short_job);
 }
 
-std::optional<Over> parse_over_value(std::string_view id, std::string_view value) {
+std::optional<TerminalState> parse_terminal_state_value(std::string_view id,
+                                                        std::string_view value) {
     rapidjson::Document doc;
     std::string state;
     if (!parse(doc, value) || !get(doc, "s", state)) return std::nullopt;
-    Over over;
-    over.aborted = state == "aborted";
-    if (const auto* job = member(doc, "j")) over.job = read_job(id, *job);
-    return over;
+    TerminalState terminal_state;
+    terminal_state.aborted = state == "aborted";
+    if (const auto* job = member(doc, "j")) terminal_state.job = read_job(id, *job);
+    return terminal_state;
 }
 
 std::string image_hints_value(const ImageHints& hints, std::size_t max_bytes) {
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -49,12 +49,13 @@
         ASSERT_TRUE(record) << name;
         EXPECT_EQ(wire::placement_value(*record), production_bytes(name));
     }
-    const auto done = wire::parse_over_value("job-000412", production_bytes("over-done.json"));
+    const auto done =
+        wire::parse_terminal_state_value("job-000412", production_bytes("over-done.json"));
     ASSERT_TRUE(done);
     EXPECT_FALSE(done->aborted);
     EXPECT_FALSE(done->job);
     const auto aborted =
-        wire::parse_over_value("job-000412", production_bytes("over-aborted.json"));
+        wire::parse_terminal_state_value("job-000412", production_bytes("over-aborted.json"));
     ASSERT_TRUE(aborted && aborted->job);
     EXPECT_TRUE(aborted->aborted);
     EXPECT_EQ(aborted->job->count, 16U);
@@ -78,10 +79,10 @@
     const auto announcement = wire::decode_announcement(production_bytes("peer-leader.cbor"));
     ASSERT_TRUE(announcement);
     EXPECT_EQ(announcement->counts.size(), 2U);
-    const auto request = wire::decode_passed_request(production_bytes("peer-user.cbor"));
+    const auto request = wire::decode_forwarded_request(production_bytes("peer-user.cbor"));
     ASSERT_TRUE(request);
     EXPECT_EQ(request->target, "/v2/runs/job-000412/cancel");
-    const auto passed = wire::decode_passed_answer(production_bytes("peer-user-answer.cbor"));
+    const auto passed = wire::decode_forwarded_answer(production_bytes("peer-user-answer.cbor"));
     ASSERT_TRUE(passed);
     EXPECT_EQ(passed->status, 503);
     const auto news = wire::decode_cancellation_news(production_bytes("peer-cancelled.cbor"));
@@ -117,10 +118,10 @@
     auto job = fixtures::sample_gang();
     job.types.emplace();
     for (int i = 0; i < 64; ++i) job.types->push_back(std::string(100, 'x') + std::to_string(i));
-    ASSERT_GT(wire::over_value(true, &job).size(), 2048U);
-    const auto value = wire::over_value_within(true, job, 2048);
+    ASSERT_GT(wire::terminal_state_value(true, &job).size(), 2048U);
+    const auto value = wire::terminal_state_value_within(true, job, 2048);
     EXPECT_LE(value.size(), 2048U);
-    const auto over = wire::parse_over_value(job.id, value);
+    const auto over = wire::parse_terminal_state_value(job.id, value);
     ASSERT_TRUE(over && over->job);
     EXPECT_EQ(over->job->count, job.count);
     EXPECT_EQ(over->job->team, job.team);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -75,7 +75,7 @@
     const auto bytes = encode_cancellation_news({17, {{18, "job-000001"}, {19, "job-000002"}}});
     const auto news = decode_cancellation_news(bytes);
     ASSERT_TRUE(news);
-    EXPECT_EQ(news->from, 17U);
+    EXPECT_EQ(news->complete_after, 17U);
     ASSERT_EQ(news->cancelled.size(), 2U);
     EXPECT_EQ(news->cancelled[1].revision, 19U);
     EXPECT_EQ(news->cancelled[1].id, "job-000002");
@@ -108,10 +108,10 @@
     EXPECT_EQ(back->zone, job.zone);
     EXPECT_EQ(back->count, 16U);
     EXPECT_EQ(back->submitted_ms, job.submitted_ms);
-    const auto over = parse_over_value(job.id, over_value(true, &job));
+    const auto over = parse_terminal_state_value(job.id, terminal_state_value(true, &job));
     ASSERT_TRUE(over && over->job);
     EXPECT_TRUE(over->aborted);
-    EXPECT_FALSE(parse_over_value(job.id, over_value(false, nullptr))->aborted);
+    EXPECT_FALSE(parse_terminal_state_value(job.id, terminal_state_value(false, nullptr))->aborted);
 }
 
 TEST(Json, ReportsOfWorkers) {
