--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -283,12 +283,12 @@
     // Demand comes in bits; renting at every plan would use up the cloud's pace.
     // A plan made before the last rental was answered does not know its machines.
     if (!duties_->provisioning_in_flight() && now >= provision_pause_until_ &&
-        plan.taken_at >= provisioned_at_ && !applied.provisions.empty()) {
+        plan.snapshot_at >= provisioned_at_ && !applied.provisions.empty()) {
         provision_pause_until_ = now + kProvisionSpacing;
         for (auto r : applied.provisions) {
-            for (; r.number > kMaxProvisionCount; r.number -= kMaxProvisionCount) {
+            for (; r.count > kMaxProvisionCount; r.count -= kMaxProvisionCount) {
                 auto part = r;
-                part.number = kMaxProvisionCount;
+                part.count = kMaxProvisionCount;
                 request_provision(part);
             }
             request_provision(r);
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -81,7 +81,7 @@
     duty::ProvisionRequest order;
     order.request = "r-" + std::to_string(token_) + "-" + std::to_string(++provisions_);
     order.spot = provision.spot;
-    order.number = provision.number;
+    order.number = provision.count;
     with([&](core::Cluster&) {
         order.type = shared_->types.name(provision.type);
         order.zone = shared_->zones.name(provision.zone);
--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -226,8 +226,8 @@
 
 const std::vector<Value>& OperatorPolicy::of(const core::JobFacts& job) {
     values_.assign({text(job.cls), text(job.team), text(priority_name(job.priority)),
-                    flag(job.gang), flag(job.service), flag(job.soon), flag(job.spot),
-                    flag(job.guaranteed), number(job.tasks), number(job.waiting),
+                    flag(job.gang), flag(job.service), flag(job.has_start_objective),
+                    flag(job.spot), flag(job.guaranteed), number(job.tasks), number(job.waiting),
                     number(job.failures), seconds(job.estimate_s), seconds(job.checkpoint_s),
                     seconds(job.slack_s), seconds(job.waited_s), seconds(job.age_s)});
     return values_;
@@ -245,7 +245,7 @@
             evaluate(kWarm, v),  evaluate(kFit, v),      evaluate(kPrice, v)};
 }
 
-double OperatorPolicy::starving_s(const core::JobFacts& job) {
+double OperatorPolicy::starvation_threshold_s(const core::JobFacts& job) {
     return evaluate(kStarving, of(job));
 }
 double OperatorPolicy::order_s(const core::JobFacts& job) { return evaluate(kOrder, of(job)); }
@@ -273,7 +273,7 @@
 double OperatorPolicy::spare_machines(const core::FleetFacts& fleet) {
     return evaluate(kSpare, of(fleet));
 }
-double OperatorPolicy::warm_s(const core::FleetFacts& fleet) {
+double OperatorPolicy::warm_capacity_s(const core::FleetFacts& fleet) {
     return evaluate(kWarmFor, of(fleet));
 }
 
--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -23,7 +23,7 @@
     static std::vector<policy::Problem> check(std::string_view file);
 
     core::Weights weights(const core::JobFacts& job) override;
-    double starving_s(const core::JobFacts& job) override;
+    double starvation_threshold_s(const core::JobFacts& job) override;
     double order_s(const core::JobFacts& job) override;
     double provision_patience_s(const core::JobFacts& job) override;
     double on_demand_patience_s(const core::JobFacts& job) override;
@@ -31,7 +31,7 @@
     double idle_keep_s(const core::MachineFacts& machine, const core::FleetFacts& fleet) override;
     double silent_s(const core::FleetFacts& fleet) override;
     double spare_machines(const core::FleetFacts& fleet) override;
-    double warm_s(const core::FleetFacts& fleet) override;
+    double warm_capacity_s(const core::FleetFacts& fleet) override;
     std::vector<events::PolicyValueRejected> take_rejected_values() override;
 
   private:
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -22,7 +22,7 @@
     }
     team_used_.resize(team_list_.size());
     team_busy_.resize(team_list_.size(), -1);
-    settings_.tuning.claims = settings_.guards.claims;
+    settings_.tuning.reservations = settings_.guards.claims;
     for (const auto& objective : settings_.objectives) {
         if (objective.kind == Objective::Kind::Guarantee) guarantee_s_ = objective.within_s;
     }
@@ -90,14 +90,15 @@
         }
     }
     // A replica that is not up is a loss for as long as it is not.
-    spec.soon = spec.service || !class_objectives_[spec.cls].start_within_s.empty();
-    spec.starving_ms = spec.gang ? 60000 : 120000;
+    spec.has_start_objective = spec.service || !class_objectives_[spec.cls].start_within_s.empty();
+    spec.starvation_threshold_ms = spec.gang ? 60000 : 120000;
     if (settings_.policy) {
         const auto about = facts(job);
         spec.weights = settings_.policy->weights(about);
-        spec.starving_ms = static_cast<Millis>(settings_.policy->starving_s(about) * 1000);
+        spec.starvation_threshold_ms =
+            static_cast<Millis>(settings_.policy->starvation_threshold_s(about) * 1000);
     }
-    if (spec.soon) {
+    if (spec.has_start_objective) {
         warm_[spec.image] = now;
         Arrivals& arrivals = arrivals_[spec.cls];
         const double passed = static_cast<double>(now - arrivals.at) / kRateFor;
@@ -200,7 +201,7 @@
         event.image_present = there;
         event.score_percent = std::lround(start.score * 100);
         event.tasks = on.size();
-        for (auto zone : start.rejected) event.rejected_zones.push_back(zones_.name(zone));
+        for (auto zone : start.rejected_zones) event.rejected_zones.push_back(zones_.name(zone));
         for (auto [task, mix] : on) {
             Allocation h;
             h.job = start.job;
@@ -222,8 +223,7 @@
         applied.events.emplace_back(std::move(event));
         ++applied.starts;
     }
-    for (std::size_t k = 0; k < plan.stops.size(); ++k) {
-        const auto [allocation_index, attempt] = plan.stops[k];
+    for (const auto& [allocation_index, attempt, preemptor] : plan.preemptions) {
         if (allocation_index >= allocations_.size() ||
             allocations_[allocation_index].attempt != attempt ||
             allocations_[allocation_index].stop)
@@ -233,7 +233,7 @@
         // Saving is worth its time only if more than that would be lost.
         const bool save = spec.checkpoint_s > 0 && h.phase == TaskPhase::Running &&
                           spec.checkpoint_s / 2 > spec.save_s;
-        const auto mine = k < plan.stops_for.size() ? jobs_.find(plan.stops_for[k]) : jobs_.end();
+        const auto mine = jobs_.find(preemptor);
         applied.events.emplace_back(
             events::TaskPreempted{jobs_[h.job].id, h.task, machines_[h.machine].name,
                                   mine == jobs_.end() ? std::string() : mine->second.id});
@@ -250,13 +250,13 @@
     // Emptying several machines in a row left jobs waiting beside half-empty machines that took
     // nothing any more: one in a while, and all are taken back as soon as room is short.
     for (auto& machine : machines_) {
-        if (!plan.short_of_room || !machine.consolidating || machine.life != Machine::Life::Up)
+        if (!plan.capacity_short || !machine.consolidating || machine.life != Machine::Life::Up)
             continue;
         machine.consolidating = false;
         machine.drain = machine.faulty;
         applied.events.emplace_back(events::MachineDrainCancelled{machine.name});
     }
-    const bool may_drain = now - drained_at_ >= settings_.tuning.drain_every_ms;
+    const bool may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
     for (auto mix : plan.drains) {
         Machine& machine = machines_[mix];
         if (machine.life != Machine::Life::Up || machine.drain || !may_drain) continue;
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -391,8 +391,7 @@
     std::set<MachineIndex> attention_;  // machines that may have commands due
     std::vector<std::string> orphans_;
     std::vector<std::string> orphans_writing_;
-    std::map<std::tuple<TypeIndex, ZoneIndex, bool>, std::pair<Millis, Millis>>
-        refused_;  // until, step
+    std::map<ProvisioningPool, std::pair<Millis, Millis>> refused_;  // until, step
     std::uint64_t work_ = 0;
     std::uint64_t attempts_ = 0;
     std::uint64_t nonces_ = 0;
--- a/src/core/plan_builder.cpp
+++ b/src/core/plan_builder.cpp
@@ -13,7 +13,7 @@
     for (const auto& m : machines_) {
         free_.push_back(m.free);
         last = std::max(last, m.index);
-        total_ += m.room;
+        total_ += m.capacity;
     }
     releasing_.resize(n);
     claimed_.resize(n);
@@ -21,7 +21,7 @@
     planned_fetch_.resize(n);
     position_.resize(n == 0 ? 0 : last + 1);
     for (std::size_t i = 0; i < n; ++i) position_[machines_[i].index] = i;
-    for (const auto& item : s_.items) {
+    for (const auto& item : s_.waiting_jobs) {
         longest_patience_ = std::max(longest_patience_, item.on_demand_patience_s);
     }
     index_allocations();
@@ -33,7 +33,7 @@
 
 Plan PlanBuilder::run() {
     for (const auto* item : order()) {
-        if (!warm_reserved_ && !spec(*item).soon && item->slack_s > 15) {
+        if (!warm_reserved_ && !spec(*item).has_start_objective && item->slack_s > 15) {
             keep_warm(*item);
         }
         if (spec(*item).gang) {
@@ -43,12 +43,12 @@
         }
     }
     if (!warm_reserved_) {
-        for (const auto& warm : s_.warm_classes) reserve_places(warm);
+        for (const auto& warm : s_.warm_capacity) reserve_places(warm);
     }
     provision_all();
     return_idle();
     drain_some();
-    plan_.taken_at = s_.now;
+    plan_.snapshot_at = s_.now;
     return std::move(plan_);
 }
 
@@ -77,7 +77,7 @@
         } else {
             ranks_.try_emplace({job.in_guarantee, job.spec.priority, job.spec.team}, h);
         }
-        if (s_.allocations[h].left_s <= longest_patience_) ending_.push_back(h);
+        if (s_.allocations[h].remaining_s <= longest_patience_) ending_.push_back(h);
     }
 }
 
@@ -89,11 +89,11 @@
         minimum_ = {std::min(minimum_.cpus, need.cpus), std::min(minimum_.gpus, need.gpus),
                     std::min(minimum_.mem, need.mem)};
     };
-    for (const auto& item : s_.items) {
+    for (const auto& item : s_.waiting_jobs) {
         item_jobs_.emplace(&item, &s_.jobs.at(item.job));
         smallest(spec(item).need);
     }
-    for (const auto& warm : s_.warm_classes) smallest(warm.spec.need);
+    for (const auto& warm : s_.warm_capacity) smallest(warm.spec.need);
 }
 
 void PlanBuilder::index_releasing() {
@@ -109,11 +109,11 @@
     }
 }
 
-std::vector<const ItemView*> PlanBuilder::order() {
-    std::vector<const ItemView*> items;
-    std::vector<const ItemView*> starving;
-    for (const auto& item : s_.items) {
-        if (item.blocked) continue;
+std::vector<const WaitingJob*> PlanBuilder::order() {
+    std::vector<const WaitingJob*> items;
+    std::vector<const WaitingJob*> starving;
+    for (const auto& item : s_.waiting_jobs) {
+        if (item.backing_off) continue;
         items.push_back(&item);
         if (starves(item)) starving.push_back(&item);
     }
@@ -121,7 +121,7 @@
                      [](const auto* a, const auto* b) { return a->waited_ms > b->waited_ms; });
     std::map<std::pair<bool, Priority>, std::size_t> of_rank;
     for (const auto* item : starving) {
-        if (of_rank[{item->in_guarantee, spec(*item).priority}]++ < s_.tuning.max_starving) {
+        if (of_rank[{item->in_guarantee, spec(*item).priority}]++ < s_.tuning.max_starved_jobs) {
             first_.push_back(item);
         }
     }
@@ -131,7 +131,7 @@
         bool first;
         double order_s;
         std::int64_t submitted_ms;
-        const ItemView* item;
+        const WaitingJob* item;
     };
     std::vector<Key> keys;
     keys.reserve(items.size());
@@ -177,12 +177,12 @@
 
 bool PlanBuilder::kept_for_guarantees(std::size_t i) const {
     const auto& m = machines_[i];
-    if (s_.guarantee_s <= 0 || s_.guarantee_s > s_.types[m.type].boot_s) return false;
+    if (s_.guaranteed_start_s <= 0 || s_.guaranteed_start_s > s_.types[m.type].boot_s) return false;
     Resources rest = total_;
     rest -= scaled_in_;
-    rest -= m.room;
-    return (s_.kept_guarantee.cpus > 0 && rest.cpus < s_.kept_guarantee.cpus) ||
-           (s_.kept_guarantee.gpus > 0 && rest.gpus < s_.kept_guarantee.gpus);
+    rest -= m.capacity;
+    return (s_.retained_guarantees.cpus > 0 && rest.cpus < s_.retained_guarantees.cpus) ||
+           (s_.retained_guarantees.gpus > 0 && rest.gpus < s_.retained_guarantees.gpus);
 }
 
 Plan make_plan(const Snapshot& snapshot) { return PlanBuilder(snapshot).run(); }
--- a/src/core/plan_builder.h
+++ b/src/core/plan_builder.h
@@ -36,7 +36,7 @@
     std::vector<std::size_t> machines;  // positions in the snapshot, one for each task
     double score = -1e300;
     std::vector<std::size_t> victims;  // positions in Snapshot::allocations
-    std::vector<ZoneIndex> rejected;
+    std::vector<ZoneIndex> rejected_zones;
     [[nodiscard]] bool found() const { return !machines.empty(); }
 };
 
@@ -63,17 +63,18 @@
     // In the order of the design: guarantee, priority, slack, age. What waited too long goes first
     // among its equals, a few at a time: without that, newcomers with an aim still ahead of them
     // kept the largest jobs from beginning for as long as they came.
-    std::vector<const ItemView*> order();
-    bool starves(const ItemView& item) const {
-        if (!s_.tuning.claims || item.waited_ms <= spec(item).starving_ms) return false;
+    std::vector<const WaitingJob*> order();
+    bool starves(const WaitingJob& item) const {
+        if (!s_.tuning.reservations || item.waited_ms <= spec(item).starvation_threshold_ms)
+            return false;
         return !spec(item).gang || spec(item).count > 1;
     }
 
-    bool goes_first(const ItemView& item) const {
+    bool goes_first(const WaitingJob& item) const {
         return std::find(first_.begin(), first_.end(), &item) != first_.end();
     }
 
-    const JobSpec& spec(const ItemView& item) const { return item_jobs_.at(&item)->spec; }
+    const JobSpec& spec(const WaitingJob& item) const { return item_jobs_.at(&item)->spec; }
 
     bool allows(const JobSpec& spec, const MachineView& m) const {
         return m.type < 64 && (spec.types >> m.type & 1) != 0 &&
@@ -103,7 +104,7 @@
 
     // Machines that the plan has filled up leave the lists now and then.
     void thin_out();
-    bool fits_place(const ItemView& item, const JobSpec& sp, ZoneIndex zone, std::size_t i) const;
+    bool fits_place(const WaitingJob& item, const JobSpec& sp, ZoneIndex zone, std::size_t i) const;
     struct Candidate {
         double score = 0;
         std::size_t at = 0;
@@ -116,43 +117,43 @@
 
     // Trial-places `count` tasks one by one inside a candidate zone (kInvalidIndex: the fleet),
     // each where it scores best; gives up as soon as the whole is out of reach unless `partial`.
-    Choice trial(const ItemView& item, ZoneIndex zone, std::uint32_t count, Pass pass,
+    Choice trial(const WaitingJob& item, ZoneIndex zone, std::uint32_t count, Pass pass,
                  bool partial);
     // How many replicas of the service a machine and a zone have already, taken off the score: one
     // machine or zone that is lost should take few of them with it.
-    double crowding(const ItemView& item, std::size_t i, const std::vector<std::uint32_t>& zones,
+    double crowding(const WaitingJob& item, std::size_t i, const std::vector<std::uint32_t>& zones,
                     const std::vector<std::size_t>& chosen) const;
     std::vector<ZoneIndex> candidates(const JobSpec& sp) const;
-    Choice best_of(const ItemView& item, std::uint32_t count, Pass pass, bool partial);
+    Choice best_of(const WaitingJob& item, std::uint32_t count, Pass pass, bool partial);
     // The smallest number of such tasks that is known to find no room together.
-    std::uint32_t fails(const ItemView& item, Pass pass) const {
+    std::uint32_t fails(const WaitingJob& item, Pass pass) const {
         if (!plain(item)) return kNever;
         const auto it = failed_.find(key_of(item));
         return it == failed_.end() ? kNever : it->second[static_cast<std::size_t>(pass)];
     }
 
-    void note_fail(const ItemView& item, Pass pass, std::uint32_t count);
+    void note_fail(const WaitingJob& item, Pass pass, std::uint32_t count);
     // Nothing but its key decides where it fits.
-    bool plain(const ItemView& item) const {
+    bool plain(const WaitingJob& item) const {
         const auto& sp = spec(item);
-        return item.avoid.empty() && (!sp.one_zone || item.zone == kInvalidIndex) &&
-               (!sp.apart || !item.begun);
+        return item.avoided_machines.empty() && (!sp.one_zone || item.zone == kInvalidIndex) &&
+               (!sp.apart || !item.has_started);
     }
 
-    FitKey key_of(const ItemView& item) const {
+    FitKey key_of(const WaitingJob& item) const {
         const auto& sp = spec(item);
         return {sp.need, sp.types,    sp.zone,  sp.team,          sp.priority,
                 sp.spot, sp.one_zone, sp.apart, item.in_guarantee};
     }
 
     void consume(const JobSpec& sp, const Choice& choice, bool reserve);
-    void start(const ItemView& item, const Choice& choice);
+    void start(const WaitingJob& item, const Choice& choice);
     // Places kept free for classes whose tasks should start sooner than room comes free. What such
     // a class could displace needs no keeping.
-    void keep_warm(const ItemView& item);
-    void reserve_places(const WarmClass& warm);
-    bool may_stop(const ItemView& item, std::size_t allocation) const;
-    bool too_late(const ItemView& item, const Choice& choice) const;
+    void keep_warm(const WaitingJob& item);
+    void reserve_places(const WarmCapacity& warm);
+    bool may_stop(const WaitingJob& item, std::size_t allocation) const;
+    bool too_late(const WaitingJob& item, const Choice& choice) const;
     struct Displacement {
         double cost = 0;
         std::size_t at = 0;
@@ -164,31 +165,33 @@
     };
 
     // The cheapest way to make room for one more task on a machine.
-    bool displace(const ItemView& item, std::size_t i, const Resources& start,
+    bool displace(const WaitingJob& item, std::size_t i, const Resources& start,
                   const std::vector<std::size_t>& chosen, Displacement& out);
     // Victims whose removal makes room for the whole (for as many as can be, with `partial`),
     // fewest and cheapest first.
-    Choice preempt(const ItemView& item, std::uint32_t count, bool image_there, bool partial);
-    void take_victims(const ItemView& item, const Choice& choice);
-    bool has_victims(const ItemView& item) {
+    Choice preempt(const WaitingJob& item, std::uint32_t count, bool image_there, bool partial);
+    void take_victims(const WaitingJob& item, const Choice& choice);
+    bool has_victims(const WaitingJob& item) {
         return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto& rank) {
             ++plan_.steps;
             return may_stop(item, rank.second);
         });
     }
 
-    void gang(const ItemView& item);
+    void gang(const WaitingJob& item);
     // Exception to the plain rule, see docs/design.md: small tasks would hold a large gang back
     // for ever, so one that waited long gets a claim on the room of one zone: the machines that
     // have room for it soonest.
-    void claim(const ItemView& item, std::uint32_t count);
+    void claim(const WaitingJob& item, std::uint32_t count);
     double room_after_s(std::size_t i, const Resources& need) const;
-    void array(const ItemView& item);
-    void demand(const ItemView& item, std::uint32_t count) { demands_.emplace_back(&item, count); }
+    void array(const WaitingJob& item);
+    void demand(const WaitingJob& item, std::uint32_t count) {
+        demands_.emplace_back(&item, count);
+    }
 
     bool refused(TypeIndex type, ZoneIndex zone, bool spot) const {
-        return std::find(s_.refused.begin(), s_.refused.end(), std::tuple(type, zone, spot)) !=
-               s_.refused.end();
+        return std::find(s_.refused_provisions.begin(), s_.refused_provisions.end(),
+                         ProvisioningPool{type, zone, spot}) != s_.refused_provisions.end();
     }
 
     struct Virtual {
@@ -204,21 +207,21 @@
     // What the first of the waiting gangs could use already is kept until the rest has come. Where
     // the cloud has few machines to give they come one by one, and each was idle for long enough to
     // be released before the next one was there; kept for several gangs, none ever got enough.
-    void keep_what_came(const ItemView& item);
-    void keep_for(const ItemView& item, ZoneIndex zone, std::int64_t count);
+    void keep_what_came(const WaitingJob& item);
+    void keep_for(const WaitingJob& item, ZoneIndex zone, std::int64_t count);
     // The zones it may use, the one with most room first, what is being rented included.
-    std::vector<ZoneIndex> zones_by_room(const ItemView& item);
+    std::vector<ZoneIndex> zones_by_room(const WaitingJob& item);
     void count_zones() {
         if (!in_zone_.empty()) return;
-        in_zone_.resize(s_.zones + 1);
-        for (const auto& m : machines_) ++in_zone_[std::min<std::size_t>(m.zone, s_.zones)];
+        in_zone_.resize(s_.zone_count + 1);
+        for (const auto& m : machines_) ++in_zone_[std::min<std::size_t>(m.zone, s_.zone_count)];
     }
 
     // How many of `count` are left without a place that is free within `patience_s`.
     std::uint32_t wait_for_places(const JobSpec& sp, std::uint32_t count, double patience_s);
     // No zone gets more than half of the job: what lies there beyond that, free or rented, is of no
     // use to it. Rented as any other, it got machine after machine in the zone that had room.
-    void provision_apart(const ItemView& item, std::uint32_t count);
+    void provision_apart(const WaitingJob& item, std::uint32_t count);
     // How many of `count` no machine could be planned for.
     std::uint32_t provision_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count, bool spot);
     // Where guaranteed work should start sooner than a machine boots, room for the guarantees has
@@ -264,7 +267,7 @@
     std::vector<std::size_t> ending_;  // allocations that end within the longest patience
     std::vector<char> soon_used_;
     std::vector<char> victim_;
-    std::unordered_map<const ItemView*, const JobView*> item_jobs_;
+    std::unordered_map<const WaitingJob*, const JobView*> item_jobs_;
     Resources minimum_;  // what asks for least of each
     Resources total_;
     Resources scaled_in_;
@@ -275,11 +278,11 @@
     std::size_t taken_since_ = 0;
     std::vector<Candidate> candidates_;
     std::vector<std::size_t> order_;
-    std::vector<const ItemView*> first_;
+    std::vector<const WaitingJob*> first_;
     std::size_t claims_ = 0;
     std::map<FitKey, std::array<std::uint32_t, kPasses>> failed_;
     std::map<RankKey, std::size_t> ranks_;  // of what runs, with one hold of each
-    std::vector<std::pair<const ItemView*, std::uint32_t>> demands_;
+    std::vector<std::pair<const WaitingJob*, std::uint32_t>> demands_;
     std::vector<Virtual> virtual_;
     std::vector<std::size_t> open_virtual_;
     std::vector<std::int64_t> in_zone_;
--- a/src/core/plan_draining.cpp
+++ b/src/core/plan_draining.cpp
@@ -14,14 +14,15 @@
     for (auto k = allocations_from_[i]; k < allocations_from_[i + 1]; ++k) {
         const auto& view = s_.allocations[allocations_list_[k]];
         const auto& sp = allocation_job_[allocations_list_[k]]->spec;
-        if (view.left_s < 40) continue;
+        if (view.remaining_s < 40) continue;
         // A replica keeps its zone, so that what has to be apart stays so.
         const bool replica_moves = sp.service && view.ran_ms > kReplicaSettled;
         const bool moves =
-            replica_moves || (sp.checkpoint_s > 0 && sp.spot && sp.save_s < 10 && !sp.apart &&
-                              view.ran_ms > s_.tuning.drain_after_ms && view.left_s > 60);
+            replica_moves ||
+            (sp.checkpoint_s > 0 && sp.spot && sp.save_s < 10 && !sp.apart &&
+             view.ran_ms > s_.tuning.min_run_before_drain_ms && view.remaining_s > 60);
         if (!moves) return release();
-        const auto to = place_to_move(i, sp, view.left_s);
+        const auto to = place_to_move(i, sp, view.remaining_s);
         if (to == machines_.size()) return release();
         use.emplace_back(to, sp.need);
         free_[to] -= sp.need;
@@ -50,8 +51,8 @@
 }
 
 void PlanBuilder::drain_some() {
-    plan_.short_of_room = !demands_.empty();
-    if (!demands_.empty() || !plan_.stops.empty() || !s_.may_drain) return;
+    plan_.capacity_short = !demands_.empty();
+    if (!demands_.empty() || !plan_.preemptions.empty() || !s_.may_drain) return;
     std::vector<std::tuple<double, std::size_t, std::size_t>> order;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         const auto& m = machines_[i];
@@ -60,8 +61,8 @@
         if (m.age_ms < 60000 || kept_for_guarantees(i)) continue;
         order.emplace_back(-hourly(i), allocations, i);
     }
-    const auto limit =
-        1 + static_cast<std::size_t>(s_.tuning.drain_share * static_cast<double>(order.size()));
+    const auto limit = 1 + static_cast<std::size_t>(s_.tuning.max_drained_share *
+                                                    static_cast<double>(order.size()));
     const auto tried = std::min(order.size(), kMaxDrainTried + 2 * limit);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(tried),
                       order.end());
@@ -72,7 +73,7 @@
         emptied_[i] = 1;
         if (can_empty(i)) {
             plan_.drains.push_back(machines_[i].index);
-            scaled_in_ += machines_[i].room;
+            scaled_in_ += machines_[i].capacity;
         } else {
             emptied_[i] = 0;
         }
@@ -88,7 +89,7 @@
             allocations_from_[i] != allocations_from_[i + 1]) {
             continue;
         }
-        if (m.idle_ms < m.keep_ms || m.age_ms < 60000) continue;
+        if (m.idle_ms < m.idle_retention_ms || m.age_ms < 60000) continue;
         idle.push_back(i);
     }
     std::stable_sort(idle.begin(), idle.end(),
@@ -97,7 +98,7 @@
     const auto spare = demands_.empty() ? s_.tuning.spare_machines : 0;
     for (std::size_t k = 0; k + spare < idle.size(); ++k) {
         if (kept_for_guarantees(idle[k])) continue;
-        scaled_in_ += machines_[idle[k]].room;
+        scaled_in_ += machines_[idle[k]].capacity;
         plan_.releases.push_back(machines_[idle[k]].index);
     }
 }
--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -10,20 +10,21 @@
     double score = 0;
     if (among(m.images, spec.image)) {
         score += spec.weights.image;
-    } else if (among(m.fetching, spec.image) || among(planned_fetch_[i], spec.image)) {
+    } else if (among(m.fetching_images, spec.image) || among(planned_fetch_[i], spec.image)) {
         score += spec.weights.fetching;
-    } else if (spec.soon) {
+    } else if (spec.has_start_objective) {
         score -= spec.weights.fetch * fetch_s(spec, i);
     }
-    if (!spec.soon && std::any_of(m.images.begin(), m.images.end(),
-                                  [&](ImageIndex image) { return among(s_.warm_images, image); })) {
+    if (!spec.has_start_objective &&
+        std::any_of(m.images.begin(), m.images.end(),
+                    [&](ImageIndex image) { return among(s_.start_objective_images, image); })) {
         score -= spec.weights.warm;
     }
     auto share = [](std::int64_t left, std::int64_t all) {
         return all > 0 ? static_cast<double>(left) / static_cast<double>(all) : 0.0;
     };
-    const double left = spec.need.gpus > 0 ? share(room.gpus - spec.need.gpus, m.room.gpus)
-                                           : share(room.cpus - spec.need.cpus, m.room.cpus);
+    const double left = spec.need.gpus > 0 ? share(room.gpus - spec.need.gpus, m.capacity.gpus)
+                                           : share(room.cpus - spec.need.cpus, m.capacity.cpus);
     score -= spec.weights.fit * left;
     score -= spec.weights.price * hourly(i) / max_hourly_;
     return score;
@@ -33,20 +34,21 @@
     const auto& m = machines_[i];
     if (among(m.images, spec.image)) return 0;
     const auto rate = std::max(0.01, s_.types[m.type].fetch_gb_s);
-    const auto others = m.fetching.size() + planned_fetch_[i].size();
+    const auto others = m.fetching_images.size() + planned_fetch_[i].size();
     return spec.image_gb * (1.0 + static_cast<double>(others)) / rate;
 }
 
-bool PlanBuilder::fits_place(const ItemView& item, const JobSpec& sp, ZoneIndex zone,
+bool PlanBuilder::fits_place(const WaitingJob& item, const JobSpec& sp, ZoneIndex zone,
                              std::size_t i) const {
     const auto& m = machines_[i];
     if (claimed_[i] || !allows(sp, m)) return false;
     if (zone != kInvalidIndex && m.zone != zone) return false;
     if (sp.one_zone && item.zone != kInvalidIndex && m.zone != item.zone) return false;
-    return std::find(item.avoid.begin(), item.avoid.end(), m.index) == item.avoid.end();
+    return std::find(item.avoided_machines.begin(), item.avoided_machines.end(), m.index) ==
+           item.avoided_machines.end();
 }
 
-Choice PlanBuilder::trial(const ItemView& item, ZoneIndex zone, std::uint32_t count, Pass pass,
+Choice PlanBuilder::trial(const WaitingJob& item, ZoneIndex zone, std::uint32_t count, Pass pass,
                           bool partial) {
     const JobSpec& sp = spec(item);
     candidates_.clear();
@@ -61,7 +63,7 @@
     Choice choice;
     if (candidates_.empty() || (!partial && reach < count)) return choice;
     auto zones = item.zone_counts;
-    zones.resize(s_.zones);
+    zones.resize(s_.zone_count);
     double score = 0;
     std::make_heap(candidates_.begin(), candidates_.end());
     while (choice.machines.size() < count && !candidates_.empty()) {
@@ -101,11 +103,11 @@
     return choice;
 }
 
-double PlanBuilder::crowding(const ItemView& item, std::size_t i,
+double PlanBuilder::crowding(const WaitingJob& item, std::size_t i,
                              const std::vector<std::uint32_t>& zones,
                              const std::vector<std::size_t>& chosen) const {
     const auto there =
-        std::count(item.replicas_on.begin(), item.replicas_on.end(), machines_[i].index) +
+        std::count(item.replica_machines.begin(), item.replica_machines.end(), machines_[i].index) +
         std::count(chosen.begin(), chosen.end(), i);
     const auto zone = machines_[i].zone;
     const auto in_zone = zone < zones.size() ? zones[zone] : 0;
@@ -118,14 +120,14 @@
     if (sp.zone != kInvalidIndex) {
         zones.push_back(sp.zone);
     } else if (sp.one_zone) {
-        for (ZoneIndex z = 0; z < s_.zones; ++z) zones.push_back(z);
+        for (ZoneIndex z = 0; z < s_.zone_count; ++z) zones.push_back(z);
     } else {
         zones.push_back(kInvalidIndex);
     }
     return zones;
 }
 
-Choice PlanBuilder::best_of(const ItemView& item, std::uint32_t count, Pass pass, bool partial) {
+Choice PlanBuilder::best_of(const WaitingJob& item, std::uint32_t count, Pass pass, bool partial) {
     const auto known = fails(item, pass);
     if (known <= count && (!partial || known <= 1)) return {};
     Choice best;
@@ -142,13 +144,13 @@
             best = std::move(choice);
         }
     }
-    best.rejected = std::move(rejected);
+    best.rejected_zones = std::move(rejected);
     if (partial && best.machines.size() < count) note_fail(item, pass, 1);
     if (!partial && !best.found()) note_fail(item, pass, count);
     return best;
 }
 
-void PlanBuilder::note_fail(const ItemView& item, Pass pass, std::uint32_t count) {
+void PlanBuilder::note_fail(const WaitingJob& item, Pass pass, std::uint32_t count) {
     if (!plain(item)) return;
     auto [it, fresh] = failed_.try_emplace(key_of(item));
     if (fresh) it->second.fill(kNever);
@@ -167,25 +169,25 @@
     thin_out();
 }
 
-void PlanBuilder::start(const ItemView& item, const Choice& choice) {
+void PlanBuilder::start(const WaitingJob& item, const Choice& choice) {
     Start start;
     start.job = item.job;
     start.score = choice.score;
-    start.rejected = choice.rejected;
+    start.rejected_zones = choice.rejected_zones;
     for (auto i : choice.machines) start.machines.push_back(machines_[i].index);
     plan_.starts.push_back(std::move(start));
     consume(spec(item), choice, false);
 }
 
-bool PlanBuilder::too_late(const ItemView& item, const Choice& choice) const {
+bool PlanBuilder::too_late(const WaitingJob& item, const Choice& choice) const {
     const JobSpec& sp = spec(item);
-    if (!sp.soon) return false;
+    if (!sp.has_start_objective) return false;
     double fetch = 0;
     for (auto i : choice.machines) fetch = std::max(fetch, fetch_s(sp, i));
     return fetch > item.slack_s && item.slack_s > 1;
 }
 
-void PlanBuilder::gang(const ItemView& item) {
+void PlanBuilder::gang(const WaitingJob& item) {
     const JobSpec& sp = spec(item);
     if (team_room(sp, sp.count) < sp.count) {
         // Smaller jobs of its team would take each bit of the limit that comes free.
@@ -224,16 +226,16 @@
     if (goes_first(item)) claim(item, sp.count);
 }
 
-void PlanBuilder::array(const ItemView& item) {
+void PlanBuilder::array(const WaitingJob& item) {
     const JobSpec& sp = spec(item);
-    auto left = team_room(sp, item.waiting);
+    auto left = team_room(sp, item.waiting_tasks);
     if (left == 0) {
         if (goes_first(item)) used_[sp.team] += sp.need;
         return;
     }
     const bool starving = goes_first(item);
     const auto later =
-        starving && left > s_.tuning.starving_tasks ? left - s_.tuning.starving_tasks : 0;
+        starving && left > s_.tuning.starved_array_tasks ? left - s_.tuning.starved_array_tasks : 0;
     left -= later;
     const auto wanted = left;
     if (auto choice = best_of(item, left, Pass::Free, true); choice.found()) {
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -5,7 +5,7 @@
 
 namespace lichendrift::core {
 
-bool PlanBuilder::may_stop(const ItemView& item, std::size_t allocation) const {
+bool PlanBuilder::may_stop(const WaitingJob& item, std::size_t allocation) const {
     const auto& v = *allocation_job_[allocation];
     const auto& mine = spec(item);
     if (s_.allocations[allocation].job == item.job) return false;
@@ -14,7 +14,7 @@
            s_.teams[mine.team].guarantee != Resources{};
 }
 
-bool PlanBuilder::displace(const ItemView& item, std::size_t i, const Resources& start,
+bool PlanBuilder::displace(const WaitingJob& item, std::size_t i, const Resources& start,
                            const std::vector<std::size_t>& chosen, Displacement& out) {
     const JobSpec& sp = spec(item);
     Resources reach = start;
@@ -32,8 +32,8 @@
         const auto pa = allocation_job_[a]->spec.priority;
         const auto pb = allocation_job_[b]->spec.priority;
         if (pa != pb) return pa < pb;
-        if (s_.allocations[a].lost_s != s_.allocations[b].lost_s) {
-            return s_.allocations[a].lost_s < s_.allocations[b].lost_s;
+        if (s_.allocations[a].lost_work_s != s_.allocations[b].lost_work_s) {
+            return s_.allocations[a].lost_work_s < s_.allocations[b].lost_work_s;
         }
         return a < b;
     });
@@ -44,7 +44,7 @@
     for (auto h : order_) {
         if (out.room.covers(sp.need)) break;
         out.room += allocation_job_[h]->spec.need;
-        out.cost += 5 + s_.allocations[h].lost_s;
+        out.cost += 5 + s_.allocations[h].lost_work_s;
         out.victims.push_back(h);
     }
     // Spare those that turned out not to be needed.
@@ -53,7 +53,7 @@
         without -= allocation_job_[out.victims[k]]->spec.need;
         if (without.covers(sp.need)) {
             out.room = without;
-            out.cost -= 5 + s_.allocations[out.victims[k]].lost_s;
+            out.cost -= 5 + s_.allocations[out.victims[k]].lost_work_s;
             out.victims.erase(out.victims.begin() + static_cast<std::ptrdiff_t>(k));
         } else {
             ++k;
@@ -62,7 +62,7 @@
     return true;
 }
 
-Choice PlanBuilder::preempt(const ItemView& item, std::uint32_t count, bool image_there,
+Choice PlanBuilder::preempt(const WaitingJob& item, std::uint32_t count, bool image_there,
                             bool partial) {
     const JobSpec& sp = spec(item);
     if (!image_there && fails(item, Pass::Preempt) <= (partial ? 1 : count)) return {};
@@ -75,14 +75,15 @@
         for (std::size_t i = 0; i < machines_.size(); ++i) {
             ++plan_.steps;
             const auto& m = machines_[i];
-            if (!m.usable || !fits_place(item, sp, zone, i) || !m.room.covers(sp.need)) continue;
+            if (!m.usable || !fits_place(item, sp, zone, i) || !m.capacity.covers(sp.need))
+                continue;
             if (image_there && fetch_s(sp, i) > 0) continue;
             if (displace(item, i, room_in(i, Pass::Releasing), choice.victims, one)) {
                 heap.push_back(one);
             }
         }
         auto zones = item.zone_counts;
-        zones.resize(s_.zones);
+        zones.resize(s_.zone_count);
         double cost = 0;
         std::make_heap(heap.begin(), heap.end());
         while (choice.machines.size() < count && !heap.empty()) {
@@ -112,15 +113,14 @@
     return best;
 }
 
-void PlanBuilder::take_victims(const ItemView& item, const Choice& choice) {
+void PlanBuilder::take_victims(const WaitingJob& item, const Choice& choice) {
     const auto release = [&](std::size_t h) {
         victim_[h] = true;
         releasing_stale_ = true;
         releasing_[allocation_at_[h]] += allocation_job_[h]->spec.need;
     };
     for (auto h : choice.victims) {
-        plan_.stops.emplace_back(s_.allocations[h].index, s_.allocations[h].attempt);
-        plan_.stops_for.push_back(item.job);
+        plan_.preemptions.push_back({s_.allocations[h].index, s_.allocations[h].attempt, item.job});
         if (!victim_[h]) release(h);
         // Stopping one task of a gang stops the gang.
         if (!allocation_job_[h]->spec.gang) continue;
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -88,18 +88,18 @@
                        provision.spot == v.spot;
             });
         if (same != plan_.provisions.end()) {
-            ++same->number;
+            ++same->count;
         } else {
             plan_.provisions.push_back({v.type, v.zone, v.spot, 1});
         }
     }
 }
 
-void PlanBuilder::keep_what_came(const ItemView& item) {
+void PlanBuilder::keep_what_came(const WaitingJob& item) {
     const JobSpec& sp = spec(item);
     kept_for_gang_ = true;
     if (sp.apart && !sp.one_zone && sp.zone == kInvalidIndex) {
-        for (ZoneIndex z = 0; z < s_.zones; ++z) keep_for(item, z, (sp.count + 1) / 2);
+        for (ZoneIndex z = 0; z < s_.zone_count; ++z) keep_for(item, z, (sp.count + 1) / 2);
     } else if (sp.one_zone && sp.zone == kInvalidIndex) {
         const auto zones = zones_by_room(item);
         if (!zones.empty()) keep_for(item, zones.front(), sp.count);
@@ -108,7 +108,7 @@
     }
 }
 
-void PlanBuilder::keep_for(const ItemView& item, ZoneIndex zone, std::int64_t count) {
+void PlanBuilder::keep_for(const WaitingJob& item, ZoneIndex zone, std::int64_t count) {
     const JobSpec& sp = spec(item);
     for (const auto i : list_of(Pass::Booting)) {
         ++plan_.steps;
@@ -119,18 +119,18 @@
     }
 }
 
-std::vector<ZoneIndex> PlanBuilder::zones_by_room(const ItemView& item) {
+std::vector<ZoneIndex> PlanBuilder::zones_by_room(const WaitingJob& item) {
     const JobSpec& sp = spec(item);
     if (sp.zone != kInvalidIndex) return {sp.zone};
-    std::vector<std::int64_t> fit(s_.zones);
+    std::vector<std::int64_t> fit(s_.zone_count);
     for (const auto i : list_of(Pass::Booting)) {
         ++plan_.steps;
         if (!fits_place(item, sp, kInvalidIndex, i)) continue;
         fit[machines_[i].zone] += free_[i].fits(sp.need);
     }
     for (const auto k : open_virtual_) fit[virtual_[k].zone] += virtual_[k].free.fits(sp.need);
-    std::vector<ZoneIndex> zones(s_.zones);
-    for (ZoneIndex z = 0; z < s_.zones; ++z) zones[z] = z;
+    std::vector<ZoneIndex> zones(s_.zone_count);
+    for (ZoneIndex z = 0; z < s_.zone_count; ++z) zones[z] = z;
     count_zones();
     // Among equals the zone with fewer machines: they would all pile up in the first.
     std::stable_sort(zones.begin(), zones.end(), [&](ZoneIndex a, ZoneIndex b) {
@@ -139,18 +139,18 @@
     return zones;
 }
 
-void PlanBuilder::provision_apart(const ItemView& item, std::uint32_t count) {
+void PlanBuilder::provision_apart(const WaitingJob& item, std::uint32_t count) {
     const JobSpec& sp = spec(item);
     const std::uint32_t half = (sp.count + 1) / 2;
-    std::vector<std::int64_t> fit(s_.zones);
+    std::vector<std::int64_t> fit(s_.zone_count);
     for (const auto i : list_of(Pass::Booting)) {
         ++plan_.steps;
         // What it keeps off, since it failed there, is no room for it.
         if (!fits_place(item, sp, kInvalidIndex, i)) continue;
         fit[machines_[i].zone] += free_[i].fits(sp.need);
     }
-    std::vector<std::uint32_t> open(s_.zones);  // how many more each zone may take
-    for (ZoneIndex z = 0; z < s_.zones; ++z) {
+    std::vector<std::uint32_t> open(s_.zone_count);  // how many more each zone may take
+    for (ZoneIndex z = 0; z < s_.zone_count; ++z) {
         const auto there = z < item.zone_counts.size() ? item.zone_counts[z] : 0;
         const auto limit = half - std::min(half, there);
         const auto have = static_cast<std::uint32_t>(std::min<std::int64_t>(limit, fit[z]));
@@ -158,7 +158,7 @@
         count -= std::min(count, have);
     }
     for (const bool spot : {true, false}) {
-        for (ZoneIndex z = 0; z < s_.zones; ++z) {
+        for (ZoneIndex z = 0; z < s_.zone_count; ++z) {
             const auto ask = std::min(count, open[z]);
             const auto got = ask - provision_for(sp, z, ask, spot);
             open[z] -= got;
--- a/src/core/plan_reservations.cpp
+++ b/src/core/plan_reservations.cpp
@@ -5,16 +5,16 @@
 
 namespace lichendrift::core {
 
-void PlanBuilder::keep_warm(const ItemView& item) {
+void PlanBuilder::keep_warm(const WaitingJob& item) {
     warm_reserved_ = true;
-    for (const auto& warm : s_.warm_classes) {
+    for (const auto& warm : s_.warm_capacity) {
         if (warm.spec.priority > spec(item).priority) continue;
         reserve_places(warm);
     }
 }
 
-void PlanBuilder::reserve_places(const WarmClass& warm) {
-    auto left = warm.places;
+void PlanBuilder::reserve_places(const WarmCapacity& warm) {
+    auto left = warm.tasks;
     for (const auto pass : {Pass::Free, Pass::Booting}) {
         candidates_.clear();
         for (const auto i : list_of(pass)) {
@@ -48,7 +48,7 @@
     if (left > 0) warm_demands_.emplace_back(&warm.spec, left);
 }
 
-void PlanBuilder::claim(const ItemView& item, std::uint32_t count) {
+void PlanBuilder::claim(const WaitingJob& item, std::uint32_t count) {
     const JobSpec& sp = spec(item);
     struct Soon {
         double s;
@@ -61,7 +61,8 @@
         for (std::size_t i = 0; i < machines_.size(); ++i) {
             ++plan_.steps;
             const auto& m = machines_[i];
-            if (!m.usable || !fits_place(item, sp, zone, i) || !m.room.covers(sp.need)) continue;
+            if (!m.usable || !fits_place(item, sp, zone, i) || !m.capacity.covers(sp.need))
+                continue;
             soon.push_back({room_after_s(i, sp.need), i});
         }
         std::sort(soon.begin(), soon.end(), [](const Soon& a, const Soon& b) {
@@ -73,13 +74,13 @@
         for (const auto& one : soon) {
             if (fit >= count) break;
             // Its first task there is what the time stands for; more may fit later.
-            fit += machines_[one.at].room.fits(sp.need);
+            fit += machines_[one.at].capacity.fits(sp.need);
             until_s = std::max(until_s, one.s);
             mine.push_back(one.at);
         }
         if (fit >= count && until_s < best_s) best_s = until_s, best = mine;
     }
-    const auto limit = s_.tuning.claimed_share * static_cast<double>(machines_.size()) + 1;
+    const auto limit = s_.tuning.max_reserved_share * static_cast<double>(machines_.size()) + 1;
     if (static_cast<double>(claims_ + best.size()) > limit && claims_ > 0) return;
     for (auto i : best) claimed_[i] = true;
     claims_ += best.size();
@@ -92,7 +93,7 @@
         allocations_list_.begin() + static_cast<std::ptrdiff_t>(allocations_from_[i]),
         allocations_list_.begin() + static_cast<std::ptrdiff_t>(allocations_from_[i + 1]));
     const auto left = [&](std::size_t h) {
-        return s_.allocations[h].stopping || victim_[h] ? 0.0 : s_.allocations[h].left_s;
+        return s_.allocations[h].stopping || victim_[h] ? 0.0 : s_.allocations[h].remaining_s;
     };
     std::sort(order.begin(), order.end(), [&](auto a, auto b) { return left(a) < left(b); });
     for (auto h : order) {
@@ -108,7 +109,7 @@
         if (count == 0) break;
         ++plan_.steps;
         const auto& view = s_.allocations[h];
-        if (soon_used_[h] || victim_[h] || view.left_s > patience_s) continue;
+        if (soon_used_[h] || victim_[h] || view.remaining_s > patience_s) continue;
         const auto& m = machines_[allocation_at_[h]];
         if (!m.usable || !allows(sp, m) || !allocation_job_[h]->spec.need.covers(sp.need)) continue;
         soon_used_[h] = true;
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -68,7 +68,7 @@
     about.priority = job.spec.priority;
     about.gang = job.spec.gang;
     about.service = job.spec.service;
-    about.soon = job.spec.soon;
+    about.has_start_objective = job.spec.has_start_objective;
     about.spot = job.spec.spot;
     about.guaranteed = job.in_guarantee;
     about.tasks = job.spec.count;
@@ -102,49 +102,49 @@
     const auto fleet = policy != nullptr ? fleet_facts() : FleetFacts{};
     if (policy != nullptr) {
         s.tuning.spare_machines = static_cast<std::uint32_t>(policy->spare_machines(fleet));
-        s.tuning.warm_s = policy->warm_s(fleet);
+        s.tuning.warm_capacity_s = policy->warm_capacity_s(fleet);
     }
-    s.may_drain = now - drained_at_ >= settings_.tuning.drain_every_ms;
+    s.may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
     for (std::size_t t = 0; t < team_list_.size(); ++t) {
         // Without a bound a team that went home would keep its room up for ever.
-        if (team_busy_[t] >= 0 && now - team_busy_[t] < settings_.tuning.guarantee_keep_ms) {
-            s.kept_guarantee += team_list_[t].guarantee;
+        if (team_busy_[t] >= 0 && now - team_busy_[t] < settings_.tuning.guarantee_retention_ms) {
+            s.retained_guarantees += team_list_[t].guarantee;
         }
     }
     s.machines.reserve(machines_.size());
     s.allocations.reserve(allocations_.size());
     s.jobs.reserve(jobs_.size());
-    s.items.reserve(jobs_.size());
+    s.waiting_jobs.reserve(jobs_.size());
     s.team_used = team_used_;
     s.teams = team_list_;
     s.types = type_info_;
-    s.zones = zones_.size();
-    s.guarantee_s = guarantee_s_;
+    s.zone_count = zones_.size();
+    s.guaranteed_start_s = guarantee_s_;
     for (const auto& [cls, arrivals] : arrivals_) {
         const double rate =
             arrivals.rate * std::exp(-static_cast<double>(now - arrivals.at) / kRateFor);
         // A class that has not been seen for minutes needs nothing kept.
         // Nor does a single service, which stays for long, say that another one comes soon.
         const double minimum = arrivals.spec.service ? kMinReplicasSoon : kMinTasksSoon;
-        if (rate * s.tuning.warm_s < minimum) continue;
-        const auto places = static_cast<std::uint32_t>(std::ceil(rate * s.tuning.warm_s));
-        s.warm_classes.push_back({arrivals.spec, std::min(places, 8U)});
+        if (rate * s.tuning.warm_capacity_s < minimum) continue;
+        const auto tasks = static_cast<std::uint32_t>(std::ceil(rate * s.tuning.warm_capacity_s));
+        s.warm_capacity.push_back({arrivals.spec, std::min(tasks, 8U)});
     }
     for (const auto& [image, used] : warm_) {
-        if (now - used < kWarmFor) s.warm_images.push_back(image);
+        if (now - used < kWarmFor) s.start_objective_images.push_back(image);
     }
     for (const auto& type : type_info_) {
         auto& zones = s.type_zones.emplace_back();
         for (const auto& zone : type.zones) zones.push_back(zones_.intern(zone));
     }
     for (const auto& [kind, until] : refused_) {
-        if (until.first > now) s.refused.push_back(kind);
+        if (until.first > now) s.refused_provisions.push_back(kind);
     }
     for (TypeIndex t = 0; t < s.type_zones.size(); ++t) {
         for (auto zone : s.type_zones[t]) {
             if (zone >= zone_cut_.size() || zone_cut_[zone] == 0) continue;
-            s.refused.emplace_back(t, zone, false);
-            s.refused.emplace_back(t, zone, true);
+            s.refused_provisions.push_back({t, zone, false});
+            s.refused_provisions.push_back({t, zone, true});
         }
     }
     for (MachineIndex mix = 0; mix < machines_.size(); ++mix) {
@@ -159,16 +159,16 @@
         view.zone = machine.zone;
         view.spot = machine.spot;
         view.usable = usable(machine, now);
-        view.room = type_info_[machine.type].room;
-        view.free = view.room;
+        view.capacity = type_info_[machine.type].room;
+        view.free = view.capacity;
         view.free -= machine.used;
         view.idle_ms = machine.allocations.empty() ? now - machine.idle_since : 0;
         view.age_ms = now - machine.provisioned_at;
         if (machine.allocations.empty()) {
-            view.keep_ms = machine.spot ? 45000 : 10000;
+            view.idle_retention_ms = machine.spot ? 45000 : 10000;
             if (policy != nullptr) {
                 const auto& type = type_info_[machine.type];
-                view.keep_ms = static_cast<Millis>(
+                view.idle_retention_ms = static_cast<Millis>(
                     1000 * policy->idle_keep_s(
                                {types_.name(machine.type), zones_.name(machine.zone), machine.spot,
                                 machine.spot ? type.spot_hourly : type.hourly,
@@ -180,18 +180,16 @@
             const double boot_s = type_info_[machine.type].boot_s;
             const double age_s = static_cast<double>(view.age_ms) / 1000.0;
             view.booting = age_s < boot_s * 1.7 + 5;
-            view.boot_left_s = std::max(2.0, boot_s - age_s);
         } else if (!view.usable) {
             // Not heard under this token yet, or resting: it will most likely be usable soon.
             view.booting = !machine.drain && !machine.taken_at &&
                            now - std::max(machine.last_heartbeat_at, machine.first_seen) < 6000;
-            view.boot_left_s = 2;
         }
         view.images = machine.images;
         for (auto allocation_index : machine.allocations) {
             const Allocation& h = allocations_[allocation_index];
             const JobSpec& spec = jobs_[h.job].spec;
-            if (h.phase == TaskPhase::Pulling) view.fetching.push_back(spec.image);
+            if (h.phase == TaskPhase::Pulling) view.fetching_images.push_back(spec.image);
             AllocationView hv;
             hv.index = allocation_index;
             hv.attempt = h.attempt;
@@ -200,9 +198,10 @@
             hv.stopping = h.stop;
             const double ran =
                 h.running_since > 0 ? static_cast<double>(now - h.running_since) / 1000.0 : 0;
-            hv.left_s = spec.service ? 1e9 : std::max(spec.estimate_s - ran, spec.estimate_s * 0.1);
+            hv.remaining_s =
+                spec.service ? 1e9 : std::max(spec.estimate_s - ran, spec.estimate_s * 0.1);
             hv.ran_ms = h.phase == TaskPhase::Running ? now - h.running_since : 0;
-            hv.lost_s = spec.checkpoint_s > 0 ? std::min(spec.checkpoint_s, ran) : ran;
+            hv.lost_work_s = spec.checkpoint_s > 0 ? std::min(spec.checkpoint_s, ran) : ran;
             s.allocations.push_back(hv);
         }
         s.machines.push_back(std::move(view));
@@ -214,15 +213,15 @@
         if (n == 0 && job.allocations.empty()) continue;
         s.jobs.emplace(jix, JobView{job.spec, job.in_guarantee});
         if (n == 0) continue;
-        ItemView& item = s.items.emplace_back();
+        WaitingJob& item = s.waiting_jobs.emplace_back();
         item.job = jix;
-        item.waiting = n;
+        item.waiting_tasks = n;
         item.in_guarantee = job.in_guarantee;
-        item.blocked = job.retry_at > now;
+        item.backing_off = job.retry_at > now;
         // An array of which a task started not long ago does not starve, however much is left.
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         const double age_s = static_cast<double>(wall_ms - job.spec.submitted_ms) / 1000.0;
-        item.begun = job.next_fresh > 0;
+        item.has_started = job.next_fresh > 0;
         item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], age_s,
                                 fetch_rate > 0 ? job.spec.image_gb / fetch_rate : 0,
                                 job.in_guarantee ? guarantee_s_ : 0,
@@ -245,14 +244,14 @@
         // What fails everywhere has a mistake: to keep it off ever more machines would rent a new
         // one for each try, and leave it waiting beside capacity that fits.
         if (has_run_well(job, now) || job.failed_on.size() < kMachinesThatProveAMistake) {
-            item.avoid.assign(job.failed_on.begin(), job.failed_on.end());
+            item.avoided_machines.assign(job.failed_on.begin(), job.failed_on.end());
         }
         if (!job.spec.one_zone && !job.spec.apart && !job.spec.service) continue;
         item.zone_counts.resize(zones_.size());
         for (const auto& [task, allocation_index] : job.allocations) {
             const auto zone = machines_[allocations_[allocation_index].machine].zone;
             if (job.spec.service)
-                item.replicas_on.push_back(allocations_[allocation_index].machine);
+                item.replica_machines.push_back(allocations_[allocation_index].machine);
             if (zone == kInvalidIndex) continue;
             if (job.spec.one_zone) item.zone = zone;
             ++item.zone_counts[zone];
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -70,7 +70,7 @@
     // Not in a row: work that could not move yet must not lose all its room at once.
     EXPECT_TRUE(usable(1, 1200));
     Plan next;
-    next.short_of_room = true;
+    next.capacity_short = true;
     cluster_.apply(next, 1300);
     EXPECT_TRUE(usable(0, 1400));
 }
@@ -150,13 +150,13 @@
         const auto running = cluster_.snapshot(1350, 0).allocations;
         ASSERT_EQ(running.size(), 1U);
         Plan stop;
-        stop.stops.emplace_back(running[0].index, running[0].attempt);
+        stop.preemptions.push_back({running[0].index, running[0].attempt, kInvalidIndex});
         cluster_.apply(stop, 1350);
     }
     cluster_.direct_result(direct, Cluster::DirectResult::NotExecuted, 1400);
     const auto after = cluster_.snapshot(1500, 0);
     EXPECT_TRUE(after.allocations.empty());
-    EXPECT_EQ(after.items.size(), cancelled ? 0U : 1U);
+    EXPECT_EQ(after.waiting_jobs.size(), cancelled ? 0U : 1U);
     EXPECT_EQ(after.team_used.at(0), Resources{});
     EXPECT_EQ(cluster_.has_job(job.id), !cancelled);
 }
@@ -198,11 +198,11 @@
         }
         heartbeat(name, 2, 2000, 3, exited);
     }
-    const auto items = cluster_.snapshot(2100, 0).items;
+    const auto items = cluster_.snapshot(2100, 0).waiting_jobs;
     ASSERT_EQ(items.size(), 1U);
-    EXPECT_EQ(items[0].blocked, !sound);
+    EXPECT_EQ(items[0].backing_off, !sound);
     // Even what fails everywhere is tried again well within the 90 s that nothing may wait.
-    EXPECT_FALSE(cluster_.snapshot(2000 + 45'000, 0).items[0].blocked);
+    EXPECT_FALSE(cluster_.snapshot(2000 + 45'000, 0).waiting_jobs[0].backing_off);
 }
 INSTANTIATE_TEST_SUITE_P(Jobs, FaultyMachinesTest, ::testing::Bool(), [](const auto& param) {
     return std::string(param.param ? "WithACompletedTask" : "ThatFailEverywhere");
@@ -333,8 +333,8 @@
     job.cpus = 4;
     cluster_.add_job(job, 1, 5000, false, 90'000);
     const auto s = cluster_.snapshot(6000, 0);
-    ASSERT_EQ(s.items.size(), 1U);
-    EXPECT_EQ(s.items[0].waited_ms, 91'000);
+    ASSERT_EQ(s.waiting_jobs.size(), 1U);
+    EXPECT_EQ(s.waiting_jobs[0].waited_ms, 91'000);
 }
 
 // The cloud says when it takes a machine. Waiting until its silence shows cost ten seconds of a
@@ -358,9 +358,9 @@
     EXPECT_TRUE(cluster_.next_releases(10, 4500).empty());
     cluster_.tick(6600);
     ASSERT_EQ(cluster_.next_releases(10, 6600), (std::vector<std::string>{"host-1"}));
-    EXPECT_EQ(cluster_.snapshot(6650, 0).refused.size(), 1U);
+    EXPECT_EQ(cluster_.snapshot(6650, 0).refused_provisions.size(), 1U);
     cluster_.on_released({"host-1"}, true, 6700);
-    EXPECT_TRUE(cluster_.snapshot(6750, 0).refused.empty());
+    EXPECT_TRUE(cluster_.snapshot(6750, 0).refused_provisions.empty());
 }
 
 // With few changes a second, the records of replicas waited behind those of older jobs, were not
@@ -470,12 +470,12 @@
     service.count = 2;
     service.cpus = 1;
     cluster_.add_job(service, 1, 1000);
-    EXPECT_TRUE(cluster_.snapshot(2000, 0).warm_classes.empty());
+    EXPECT_TRUE(cluster_.snapshot(2000, 0).warm_capacity.empty());
     for (int n = 2; n < 8; ++n) {
         service.id = "job-00000" + std::to_string(n);
         cluster_.add_job(service, 1, 2000);
     }
-    EXPECT_EQ(cluster_.snapshot(3000, 0).warm_classes.size(), 1U);
+    EXPECT_EQ(cluster_.snapshot(3000, 0).warm_capacity.size(), 1U);
 }
 
 }  // namespace
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -326,7 +326,7 @@
     cluster.job_over("job-000001", true, 200'000);
     EXPECT_EQ(releases(210'000), 0U);
     // One of the two stays as the spare machine.
-    EXPECT_EQ(releases(210'000 + settings.tuning.guarantee_keep_ms + 60'000), 1U);
+    EXPECT_EQ(releases(210'000 + settings.tuning.guarantee_retention_ms + 60'000), 1U);
 }
 
 // What is known of images grows with the fleet, one value of the state service does not.
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -17,7 +17,7 @@
         type.zones = {"a", "b"};
         s.types = {type};
         s.type_zones = {{0, 1}};
-        s.zones = 2;
+        s.zone_count = 2;
         s.teams = {{"core", {}, {}}, {"side", {4000, 0, 0}, {}}};
         s.team_used.resize(2);
     }
@@ -28,7 +28,7 @@
         m.zone = zone;
         m.spot = spot;
         m.usable = true;
-        m.room = s.types[0].room;
+        m.capacity = s.types[0].room;
         m.free = {cpus_free, 2000, 16000};
         s.machines.push_back(m);
         return m.index;
@@ -46,10 +46,10 @@
         spec.image = index;
         spec.submitted_ms = index;
         s.jobs[index] = {spec, false};
-        ItemView item;
+        WaitingJob item;
         item.job = index;
-        item.waiting = count;
-        s.items.push_back(item);
+        item.waiting_tasks = count;
+        s.waiting_jobs.push_back(item);
         return index;
     }
     void hold(JobIndex owner, MachineIndex on) {
@@ -58,9 +58,9 @@
         h.attempt = 100 + h.index;
         h.machine = on;
         h.job = owner;
-        h.left_s = 100;
+        h.remaining_s = 100;
         s.allocations.push_back(h);
-        std::erase_if(s.items, [&](const ItemView& i) { return i.job == owner; });
+        std::erase_if(s.waiting_jobs, [&](const WaitingJob& i) { return i.job == owner; });
     }
     Snapshot s;
 };
@@ -75,8 +75,8 @@
     auto plan = make_plan(s);
     ASSERT_EQ(plan.provisions.size(), 1U);
     EXPECT_EQ(plan.provisions[0].zone, 0U);
-    EXPECT_EQ(plan.provisions[0].number, 1U);
-    s.refused = {{0, 0, true}, {0, 0, false}};
+    EXPECT_EQ(plan.provisions[0].count, 1U);
+    s.refused_provisions = {{0, 0, true}, {0, 0, false}};
     EXPECT_TRUE(make_plan(s).provisions.empty());
 }
 
@@ -87,7 +87,7 @@
     machine(1, 8000);
     const auto j = job(2, 8000, true);
     s.jobs[j].spec.apart = true;
-    s.items[0].avoid = {failed};
+    s.waiting_jobs[0].avoided_machines = {failed};
     const auto plan = make_plan(s);
     EXPECT_TRUE(plan.starts.empty());
     ASSERT_EQ(plan.provisions.size(), 1U);
@@ -98,13 +98,13 @@
 TEST_F(PlannerTest, RentsForTheRestOfAnArrayThatHasToBeApart) {
     const auto j = job(4, 8000, false);
     s.jobs[j].spec.apart = true;
-    s.items[0].waiting = 2;
-    s.items[0].begun = true;
-    s.items[0].zone_counts = {0, 2};
+    s.waiting_jobs[0].waiting_tasks = 2;
+    s.waiting_jobs[0].has_started = true;
+    s.waiting_jobs[0].zone_counts = {0, 2};
     const auto plan = make_plan(s);
     ASSERT_EQ(plan.provisions.size(), 1U);
     EXPECT_EQ(plan.provisions[0].zone, 0U);
-    EXPECT_EQ(plan.provisions[0].number, 2U);
+    EXPECT_EQ(plan.provisions[0].count, 2U);
 }
 
 // Two gangs of different zones each had a part of the few machines that the cloud gave. What the
@@ -117,9 +117,9 @@
         m.age_ms = 100'000;
     }
     for (ZoneIndex zone : {0U, 1U}) s.jobs[job(2, 8000, true)].spec.zone = zone;
-    s.items[0].order_s = 1;
-    s.items[1].order_s = 2;
-    s.refused = {{0, 0, false}, {0, 0, true}, {0, 1, false}, {0, 1, true}};
+    s.waiting_jobs[0].order_s = 1;
+    s.waiting_jobs[1].order_s = 2;
+    s.refused_provisions = {{0, 0, false}, {0, 0, true}, {0, 1, false}, {0, 1, true}};
     const auto plan = make_plan(s);
     EXPECT_EQ(plan.releases, std::vector<MachineIndex>{second}) << first;
 }
@@ -144,11 +144,11 @@
     auto plan = make_plan(s);
     ASSERT_EQ(plan.starts.size(), 1U);
     EXPECT_EQ(plan.starts[0].machines, (std::vector<MachineIndex>{tight, tight}));
-    EXPECT_TRUE(plan.starts[0].rejected.empty());
+    EXPECT_TRUE(plan.starts[0].rejected_zones.empty());
     s.machines[tight].free.cpus = 3000;
     plan = make_plan(s);
     ASSERT_EQ(plan.starts.size(), 1U);
-    EXPECT_EQ(plan.starts[0].rejected, (std::vector<ZoneIndex>{1}));
+    EXPECT_EQ(plan.starts[0].rejected_zones, (std::vector<ZoneIndex>{1}));
 }
 
 TEST_F(PlannerTest, GangIsNeverStartedInPart) {
@@ -188,8 +188,8 @@
     job(1, 4000, true, Priority::High);
     const auto plan = make_plan(s);
     EXPECT_TRUE(plan.starts.empty());
-    EXPECT_EQ(plan.stops.size(), 2U);
-    EXPECT_EQ(plan.stops_for, (std::vector<JobIndex>{1, 1}));
+    ASSERT_EQ(plan.preemptions.size(), 2U);
+    for (const auto& preemption : plan.preemptions) EXPECT_EQ(preemption.preemptor, 1U);
 }
 
 TEST_F(PlannerTest, SamePriorityIsNeverDisplaced) {
@@ -197,7 +197,7 @@
     const auto running = job(1, 8000, false, Priority::Normal);
     hold(running, m);
     job(1, 4000, true, Priority::Normal);
-    EXPECT_TRUE(make_plan(s).stops.empty());
+    EXPECT_TRUE(make_plan(s).preemptions.empty());
 }
 
 TEST_F(PlannerTest, GuaranteeTakesBackWhatAnotherTeamBorrows) {
@@ -205,11 +205,11 @@
     const auto running = job(1, 8000, false, Priority::Critical, 0);
     hold(running, m);
     const auto j = job(1, 4000, true, Priority::Low, 1);
-    s.items.back().in_guarantee = true;
+    s.waiting_jobs.back().in_guarantee = true;
     s.jobs[j].in_guarantee = true;
-    EXPECT_EQ(make_plan(s).stops.size(), 1U);
+    EXPECT_EQ(make_plan(s).preemptions.size(), 1U);
     s.jobs[running].in_guarantee = true;
-    EXPECT_TRUE(make_plan(s).stops.empty());
+    EXPECT_TRUE(make_plan(s).preemptions.empty());
 }
 
 TEST_F(PlannerTest, StoppedRoomIsKeptForWhoItWasMadeFor) {
@@ -231,9 +231,9 @@
     const auto gang = job(2, 8000, true);
     s.jobs[gang].spec.one_zone = true;
     job(50, 1000, false);
-    s.items[0].waited_ms = 1000;
+    s.waiting_jobs[0].waited_ms = 1000;
     EXPECT_EQ(make_plan(s).starts.size(), 1U);
-    s.items[0].waited_ms = s.jobs[gang].spec.starving_ms + 1;
+    s.waiting_jobs[0].waited_ms = s.jobs[gang].spec.starvation_threshold_ms + 1;
     EXPECT_TRUE(make_plan(s).starts.empty());
 }
 
@@ -244,7 +244,7 @@
     std::uint32_t n = 0;
     for (const auto& r : plan.provisions) {
         EXPECT_TRUE(r.spot);
-        n += r.number;
+        n += r.count;
     }
     EXPECT_EQ(n, 2U);
     s.jobs[0].spec.spot = false;
@@ -256,7 +256,7 @@
     for (int i = 0; i < 3; ++i) machine(0, 8000);
     for (int i = 0; i < 6; ++i) {
         const auto j = job(50, 1000, false);
-        s.items.back().waited_ms = s.jobs[j].spec.starving_ms + 1000 - i;
+        s.waiting_jobs.back().waited_ms = s.jobs[j].spec.starvation_threshold_ms + 1000 - i;
     }
     EXPECT_EQ(make_plan(s).starts.size(), 6U);
 }
@@ -264,7 +264,7 @@
 // After a peak each machine keeps a little work: machines are emptied by a share of the fleet, and
 // their work never counts on the same room twice.
 TEST_F(PlannerTest, ManyMachinesAreEmptiedTogetherOntoRoomThatThereIs) {
-    s.tuning.drain_share = 0.5;
+    s.tuning.max_drained_share = 0.5;
     for (int i = 0; i < 8; ++i) {
         machine(0, 4000, i >= 4);
         s.machines.back().age_ms = 100'000;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -166,9 +166,9 @@
         EXPECT_DOUBLE_EQ(built_in.provision_patience_s(job), cheap);
         EXPECT_DOUBLE_EQ(built_in.on_demand_patience_s(job), std::clamp(slack * 0.6, cheap, 60.0));
     }
-    EXPECT_DOUBLE_EQ(built_in.starving_s(job), 120);
+    EXPECT_DOUBLE_EQ(built_in.starvation_threshold_s(job), 120);
     job.gang = true;
-    EXPECT_DOUBLE_EQ(built_in.starving_s(job), 60);
+    EXPECT_DOUBLE_EQ(built_in.starvation_threshold_s(job), 60);
     job.failures = 3;
     EXPECT_DOUBLE_EQ(built_in.retry_s(job), 8);
     job.failures = 1000;
@@ -177,7 +177,7 @@
     fleet.report_s = 1.5;
     EXPECT_DOUBLE_EQ(built_in.silent_s(fleet), 8.375);
     EXPECT_DOUBLE_EQ(built_in.spare_machines(fleet), core::PlannerTuning{}.spare_machines);
-    EXPECT_DOUBLE_EQ(built_in.warm_s(fleet), core::PlannerTuning{}.warm_s);
+    EXPECT_DOUBLE_EQ(built_in.warm_capacity_s(fleet), core::PlannerTuning{}.warm_capacity_s);
     core::MachineFacts machine;
     EXPECT_DOUBLE_EQ(built_in.idle_keep_s(machine, fleet), 10);
     machine.spot = true;
@@ -198,7 +198,7 @@
     job.cls = "other";
     EXPECT_DOUBLE_EQ(own.weights(job).fit, core::Weights{}.fit);
     EXPECT_DOUBLE_EQ(own.weights(job).fit, core::Weights{}.fit);
-    EXPECT_DOUBLE_EQ(own.starving_s(job), 120);
+    EXPECT_DOUBLE_EQ(own.starvation_threshold_s(job), 120);
     EXPECT_EQ(own.take_rejected_values().size(), 2U);
     EXPECT_TRUE(own.take_rejected_values().empty());
     core::MachineFacts machine;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -253,7 +253,7 @@
     type.zones = {"a"};
     s.types = {type};
     s.type_zones = {{0}};
-    s.zones = 1;
+    s.zone_count = 1;
     s.teams = {{"core", {}, {}}};
     s.team_used.resize(1);
     for (MachineIndex m = 0; m < 1200; ++m) {
@@ -262,7 +262,7 @@
         view.type = 0;
         view.zone = 0;
         view.usable = true;
-        view.room = view.free = type.room;
+        view.capacity = view.free = type.room;
         s.machines.push_back(view);
     }
     for (JobIndex j = 0; j < 20; ++j) {
@@ -273,10 +273,10 @@
         spec.spot = true;
         spec.image = j;
         s.jobs[j] = {spec, false};
-        ItemView item;
+        WaitingJob item;
         item.job = j;
-        item.waiting = 50;
-        s.items.push_back(item);
+        item.waiting_tasks = 50;
+        s.waiting_jobs.push_back(item);
     }
     const auto plan = make_plan(s);
     EXPECT_EQ(plan.starts.size(), 20U);
