--- a/src/control/cancellation_log.h
+++ b/src/control/cancellation_log.h
@@ -6,7 +6,7 @@
 #include <limits>
 #include <vector>
 
-#include "wire/cbor_messages.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -15,7 +15,7 @@
 #include "control/terminal_state_cache.h"
 #include "net/runtime.h"
 #include "store/store_client.h"
-#include "wire/cbor_messages.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -14,7 +14,7 @@
 #include "core/cluster.h"
 #include "events/event.h"
 #include "net/malformed_message_counter.h"
-#include "wire/cbor_messages.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/leader_host.h
+++ b/src/control/leader_host.h
@@ -5,7 +5,7 @@
 
 #include "core/types.h"
 #include "events/event.h"
-#include "wire/cbor_messages.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -6,7 +6,7 @@
 
 #include "control/job_watcher.h"
 #include "control/settings.h"
-#include "wire/cbor_messages.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- /dev/null
+++ b/src/wire/cbor.h
@@ -0,0 +1,186 @@
+// CBOR arrays (RFC 8949) of typed entries: the encoding of the messages between controllers.
+#pragma once
+
+#include <cbor.h>
+
+#include <array>
+#include <concepts>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <tuple>
+#include <type_traits>
+#include <utility>
+#include <vector>
+
+namespace lichendrift::wire::cbor {
+
+/// The entries of a message's array, in order. A specialisation has a static function
+/// `entries(message)` that returns a std::tie of its fields; encoder and decoder both follow it.
+template <typename Message>
+struct Layout;
+
+/// The highest enumerator that may be sent; a specialisation has a `kValue`.
+template <typename Enum>
+struct MaxEnumerator;
+
+template <typename>
+inline constexpr bool kIsVector = false;  ///< whether a type is a list of messages
+template <typename Element>
+inline constexpr bool kIsVector<std::vector<Element>> = true;  ///< a list is
+
+/// Appends the entries of a message to a buffer of its own.
+class Encoder {
+  public:
+    /// Appends a message as an array of its entries.
+    template <typename Message>
+    void message(const Message& message) {
+        std::apply(
+            [this](const auto&... entries) {
+                start_array(sizeof...(entries));
+                (entry(entries), ...);
+            },
+            Layout<Message>::entries(message));
+    }
+    /// The bytes; the encoder is empty afterwards.
+    [[nodiscard]] std::string take() { return std::move(bytes_); }
+
+  private:
+    static constexpr std::size_t kMaxHeadBytes = 16;  // a head has at most 9
+
+    template <typename Entry>
+    void entry(const Entry& value) {
+        if constexpr (std::same_as<Entry, bool>) {
+            append([&](auto* to, std::size_t size) { return cbor_encode_bool(value, to, size); });
+        } else if constexpr (std::integral<Entry> || std::is_enum_v<Entry>) {
+            append([&](auto* to, std::size_t size) {
+                return cbor_encode_uint(static_cast<std::uint64_t>(value), to, size);
+            });
+        } else if constexpr (std::same_as<Entry, double>) {
+            append([&](auto* to, std::size_t size) { return cbor_encode_double(value, to, size); });
+        } else if constexpr (std::same_as<Entry, std::optional<double>>) {
+            if (value) return entry(*value);
+            append([](auto* to, std::size_t size) { return cbor_encode_null(to, size); });
+        } else if constexpr (std::same_as<Entry, std::string>) {
+            append([&](auto* to, std::size_t size) {
+                return cbor_encode_string_start(value.size(), to, size);
+            });
+            bytes_.append(value);
+        } else {
+            static_assert(kIsVector<Entry>);
+            start_array(value.size());
+            for (const auto& element : value) message(element);
+        }
+    }
+    void start_array(std::size_t count) {
+        append(
+            [&](auto* to, std::size_t size) { return cbor_encode_array_start(count, to, size); });
+    }
+    template <typename Encode>
+    void append(Encode encode) {
+        std::array<unsigned char, kMaxHeadBytes> head{};
+        const auto size = encode(head.data(), head.size());
+        bytes_.append(reinterpret_cast<const char*>(head.data()), size);
+    }
+
+    std::string bytes_;
+};
+
+/// Releases a decoded item.
+struct ItemDeleter {
+    /// Gives up the only reference to `item`.
+    void operator()(cbor_item_t* item) const { cbor_decref(&item); }
+};
+/// Owns a decoded item with all that it contains.
+using ItemOwner = std::unique_ptr<cbor_item_t, ItemDeleter>;
+
+/// Decodes the whole of `bytes`; nothing if they are no CBOR, or hold what no message has.
+[[nodiscard]] ItemOwner load(std::string_view bytes);
+
+/// Reads the entries of one array in turn. The first one that is missing or of a wrong type makes
+/// the array malformed, and what is read afterwards has no meaning. Further entries are ignored.
+class ArrayReader {
+  public:
+    /// Of an item that may be no array, or may be missing.
+    explicit ArrayReader(const cbor_item_t* item);
+
+    /// Reads the entries of a message into it. False: malformed.
+    template <typename Message>
+    [[nodiscard]] bool message(Message& message) {
+        std::apply([this](auto&... entries) { (entry(entries), ...); },
+                   Layout<Message>::entries(message));
+        return well_formed_;
+    }
+
+  private:
+    template <typename Entry>
+    void entry(Entry& out) {
+        if constexpr (std::same_as<Entry, bool>) {
+            out = boolean();
+        } else if constexpr (std::signed_integral<Entry>) {
+            const auto number = unsigned_integer();
+            if (!std::in_range<Entry>(number)) return fail();
+            out = static_cast<Entry>(number);
+        } else if constexpr (std::unsigned_integral<Entry>) {
+            // A narrower field takes the low bits, as in every version so far.
+            out = static_cast<Entry>(unsigned_integer());
+        } else if constexpr (std::is_enum_v<Entry>) {
+            const auto number = unsigned_integer();
+            if (number > static_cast<std::uint64_t>(MaxEnumerator<Entry>::kValue)) return fail();
+            out = static_cast<Entry>(number);
+        } else if constexpr (std::same_as<Entry, double>) {
+            out = real();
+        } else if constexpr (std::same_as<Entry, std::optional<double>>) {
+            out = real_or_null();
+        } else if constexpr (std::same_as<Entry, std::string>) {
+            const auto bytes = text();
+            out.assign(bytes.data(), bytes.size());
+        } else {
+            static_assert(kIsVector<Entry>);
+            list(out);
+        }
+    }
+    template <typename Message>
+    void list(std::vector<Message>& out) {
+        ArrayReader elements(next());
+        while (well_formed_ && elements.left() > 0) {
+            if (!ArrayReader(elements.next()).message(out.emplace_back())) return fail();
+        }
+        if (!elements.well_formed_) fail();
+    }
+
+    [[nodiscard]] std::size_t left() const { return well_formed_ ? size_ - at_ : 0; }
+    const cbor_item_t* next();
+    std::uint64_t unsigned_integer();
+    double real();
+    std::optional<double> real_or_null();
+    bool boolean();
+    std::string_view text();
+    void fail() { well_formed_ = false; }
+
+    bool well_formed_ = true;
+    cbor_item_t** items_ = nullptr;
+    std::size_t size_ = 0;
+    std::size_t at_ = 0;
+};
+
+/// The bytes of a message.
+template <typename Message>
+[[nodiscard]] std::string encode(const Message& message) {
+    Encoder encoder;
+    encoder.message(message);
+    return encoder.take();
+}
+
+/// The message that `bytes` hold; nothing if they are malformed.
+template <typename Message>
+[[nodiscard]] std::optional<Message> decode(std::string_view bytes) {
+    const auto item = load(bytes);
+    std::optional<Message> message(std::in_place);
+    if (!ArrayReader(item.get()).message(*message)) message.reset();
+    return message;
+}
+
+}  // namespace lichendrift::wire::cbor
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,8 +2,8 @@
 
 #include <random>
 
-#include "wire/cbor_messages.h"
 #include "wire/json_messages.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::wire {
 namespace {
