--- /dev/null
+++ b/src/core/plan_cycle.cpp
@@ -0,0 +1,142 @@
+// One plan from its snapshot to its decisions.
+#include "core/plan_cycle.h"
+
+namespace lichendrift::core {
+
+namespace {
+
+// With less slack a start is late wherever the image comes from.
+constexpr double kMinSlackToWaitS = 1;
+
+}  // namespace
+
+PlanCycle::PlanCycle(const Snapshot& snapshot)
+    : queue_(scheduling_queue(snapshot)),
+      state_(snapshot),
+      placement_(state_),
+      preemption_(state_),
+      reservation_(state_),
+      provisioning_(state_, placement_),
+      warm_capacity_(state_, provisioning_),
+      guaranteed_(snapshot),
+      release_(state_, guaranteed_),
+      drain_(state_, guaranteed_) {}
+
+Plan PlanCycle::run() {
+    for (const auto& job : queue_) {
+        warm_capacity_.before(job);
+        if (job.spec.gang) {
+            place_gang(job);
+        } else {
+            place_array(job);
+        }
+    }
+    warm_capacity_.after_all_jobs();
+    provisioning_.run();
+    state_.plan.capacity_short = provisioning_.any_demand();
+    release_.run();
+    drain_.run();
+    state_.plan.snapshot_at = state_.snapshot.now;
+    return std::move(state_.plan);
+}
+
+void PlanCycle::place_gang(const QueuedJob& job) {
+    const auto& spec = job.spec;
+    if (state_.quota.tasks_within_limit(spec, spec.count) < spec.count) {
+        // Smaller jobs of its team would take each bit of the limit that becomes free.
+        if (job.starved) state_.quota.use(spec, spec.count);
+        return;
+    }
+    const PlacementRequest whole{job, spec.count, false};
+    if (start_gang(whole)) return;
+    if (hold(whole, CapacitySource::Releasing) > 0) return;
+    if (preemption_.has_victims(job) && preempt(whole) > 0) return;
+    if (hold(whole, CapacitySource::Booting) > 0) return;
+    provisioning_.request(job, spec.count);
+    if (job.starved) reservation_.reserve(job, spec.count);
+}
+
+// Exception 2 of docs/design.md: with free capacity only where the image would come too late for
+// the class's start objective, lower priorities are preempted where it is.
+bool PlanCycle::start_gang(const PlacementRequest& request) {
+    const auto& job = request.job;
+    const auto free = placement_.find(request, CapacitySource::Free);
+    if (!free.found()) return false;
+    if (image_too_late(job, free) && preemption_.has_victims(job)) {
+        const auto with_image = preemption_.find_where_image_is(request);
+        if (with_image.found() && !with_image.victims.empty()) {
+            preemption_.preempt(job, with_image);
+            return true;
+        }
+    }
+    add_start(job, free);
+    return true;
+}
+
+void PlanCycle::place_array(const QueuedJob& job) {
+    const auto& spec = job.spec;
+    const auto startable = state_.quota.tasks_within_limit(spec, job.waiting.waiting_tasks);
+    if (startable == 0) {
+        if (job.starved) state_.quota.use(spec, 1);
+        return;
+    }
+    const auto wanted =
+        job.starved ? std::min(startable, state_.snapshot.tuning.starved_array_tasks) : startable;
+    auto left = wanted;
+    left -= start({job, left, true});
+    if (left > 0 && preemption_.has_victims(job)) {
+        left -= hold({job, left, true}, CapacitySource::Releasing);
+        if (left > 0) left -= preempt({job, left, true});
+    }
+    const auto later = startable - wanted;
+    if (left + later > 0) provisioning_.request(job, left + later);
+    // Its tasks can be as large as a machine: then nothing less than a whole one serves it.
+    if (left == wanted && job.starved) reservation_.reserve(job, 1);
+}
+
+// Starts tasks on free capacity; returns how many.
+std::uint32_t PlanCycle::start(const PlacementRequest& request) {
+    const auto placement = placement_.find(request, CapacitySource::Free);
+    if (placement.found()) add_start(request.job, placement);
+    return placement.tasks();
+}
+
+// Holds capacity of the source until tasks can start there; returns for how many.
+std::uint32_t PlanCycle::hold(const PlacementRequest& request, CapacitySource source) {
+    const auto placement = placement_.find(request, source);
+    if (placement.found()) state_.hold(request.job.spec, placement);
+    return placement.tasks();
+}
+
+// Preempts victims for tasks; returns for how many.
+std::uint32_t PlanCycle::preempt(const PlacementRequest& request) {
+    const auto placement = preemption_.find(request);
+    if (placement.found()) preemption_.preempt(request.job, placement);
+    return placement.tasks();
+}
+
+void PlanCycle::add_start(const QueuedJob& job, const Placement& placement) {
+    Start start;
+    start.job = job.waiting.job;
+    start.score = placement.score;
+    start.rejected_zones = placement.rejected_zones;
+    start.machines.reserve(placement.machines.size());
+    for (const auto machine : placement.machines) {
+        start.machines.push_back(state_.snapshot.machines[machine].index);
+    }
+    state_.plan.starts.push_back(std::move(start));
+    state_.assume(job.spec, placement);
+}
+
+bool PlanCycle::image_too_late(const QueuedJob& job, const Placement& placement) const {
+    if (!job.spec.has_start_objective) return false;
+    double fetch_s = 0;
+    for (const auto machine : placement.machines) {
+        fetch_s = std::max(fetch_s, state_.fetches.fetch_s(job.spec, machine));
+    }
+    return fetch_s > job.waiting.slack_s && job.waiting.slack_s > kMinSlackToWaitS;
+}
+
+Plan make_plan(const Snapshot& snapshot) { return PlanCycle(snapshot).run(); }
+
+}  // namespace lichendrift::core
--- /dev/null
+++ b/src/core/plan_cycle.h
@@ -0,0 +1,47 @@
+// One plan from its snapshot to its decisions.
+#pragma once
+
+#include "core/plan_drain.h"
+#include "core/plan_placement.h"
+#include "core/plan_preemption.h"
+#include "core/plan_provisioning.h"
+#include "core/plan_queue.h"
+#include "core/plan_release.h"
+#include "core/plan_reservation.h"
+#include "core/plan_warm_capacity.h"
+
+namespace lichendrift::core {
+
+/// Takes the waiting jobs in their order and for each one tries, in this order: free capacity,
+/// capacity being released, preemption, booting machines, and at last new machines and, if it is
+/// starved, a reservation. Then releases and drains machines that nothing needs.
+class PlanCycle {
+  public:
+    /// Refers to the snapshot, which has to outlive it.
+    explicit PlanCycle(const Snapshot& snapshot);
+    /// Makes the plan; to be called once.
+    Plan run();
+
+  private:
+    void place_gang(const QueuedJob& job);
+    void place_array(const QueuedJob& job);
+    bool start_gang(const PlacementRequest& request);
+    std::uint32_t start(const PlacementRequest& request);
+    std::uint32_t hold(const PlacementRequest& request, CapacitySource source);
+    std::uint32_t preempt(const PlacementRequest& request);
+    void add_start(const QueuedJob& job, const Placement& placement);
+    [[nodiscard]] bool image_too_late(const QueuedJob& job, const Placement& placement) const;
+
+    std::vector<QueuedJob> queue_;
+    PlanState state_;
+    PlacementPhase placement_;
+    PreemptionPhase preemption_;
+    ReservationPhase reservation_;
+    ProvisioningPhase provisioning_;
+    WarmCapacityPhase warm_capacity_;
+    GuaranteedCapacity guaranteed_;
+    ReleasePhase release_;
+    DrainPhase drain_;
+};
+
+}  // namespace lichendrift::core
--- /dev/null
+++ b/src/core/plan_drain.cpp
@@ -0,0 +1,119 @@
+// Machines whose work fits elsewhere, drained to save their price.
+#include "core/plan_drain.h"
+
+namespace lichendrift::core {
+
+namespace {
+
+// Machines tried in a plan, beside two for each that may be drained.
+constexpr std::size_t kMaxTried = 16;
+// Work that ends within so long is left to end; work with less left is not worth a move.
+constexpr double kEndsSoonS = 40;
+constexpr double kMinRemainingToMoveS = 60;
+constexpr double kMaxSaveToMoveS = 10;
+// Fetching the image may take so much of what is left to run.
+constexpr double kMaxFetchShare = 0.12;
+// A replica is moved after running for so long at the earliest.
+constexpr Millis kMinReplicaRunMs = 600'000;
+
+}  // namespace
+
+void DrainPhase::run() {
+    const auto& plan = state_.plan;
+    if (plan.capacity_short || !plan.preemptions.empty() || !state_.snapshot.may_drain) return;
+    auto order = candidates();
+    const auto limit = 1 + static_cast<std::size_t>(state_.snapshot.tuning.max_drained_share *
+                                                    static_cast<double>(order.size()));
+    const auto tried = std::min(order.size(), kMaxTried + 2 * limit);
+    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(tried),
+                      order.end());
+    drained_.assign(state_.snapshot.machines.size(), 0);
+    for (std::size_t k = 0; k < tried && plan.drains.size() < limit; ++k) {
+        const auto at = order[k].machine;
+        if (state_.capacity.in_use(at) || guaranteed_.needs(at)) continue;
+        drained_[at] = 1;
+        if (!find_moves(at)) {
+            drained_[at] = 0;
+            continue;
+        }
+        state_.plan.drains.push_back(state_.snapshot.machines[at].index);
+        guaranteed_.give_up(at);
+    }
+}
+
+std::vector<DrainPhase::Candidate> DrainPhase::candidates() const {
+    const auto& machines = state_.snapshot.machines;
+    std::vector<Candidate> result;
+    for (MachinePosition at = 0; at < machines.size(); ++at) {
+        const auto allocations = state_.allocations.on(at).size();
+        if (!machines[at].usable || allocations == 0) continue;
+        if (state_.capacity.in_use(at) || state_.capacity.reserved(at)) continue;
+        if (machines[at].age_ms < kMinMachineAgeMs || guaranteed_.needs(at)) continue;
+        result.push_back({hourly(at), allocations, at});
+    }
+    return result;
+}
+
+// Whether each task of the machine ends soon or fits on another one; takes that capacity if so.
+bool DrainPhase::find_moves(MachinePosition from) {
+    moves_.clear();
+    bool all = true;
+    for (const auto at : state_.allocations.on(from)) {
+        if (state_.allocations.view(at).remaining_s < kEndsSoonS) continue;
+        const auto to = can_move(at) ? target_of(at) : drained_.size();
+        all = to != drained_.size();
+        if (!all) break;
+        moves_.push_back({to, state_.allocations.resources(at)});
+        state_.capacity.take_on_trial(to, moves_.back().resources);
+    }
+    for (const auto& move : moves_) {
+        if (all) {
+            state_.capacity.keep(move.to);
+        } else {
+            state_.capacity.undo_trial(move.to, move.resources);
+        }
+    }
+    return all;
+}
+
+// Whether the task loses little by a move.
+bool DrainPhase::can_move(AllocationPosition at) const {
+    const auto& view = state_.allocations.view(at);
+    const auto& spec = state_.allocations.job(at).spec;
+    if (spec.service && view.ran_ms > kMinReplicaRunMs) return true;
+    return spec.checkpoint_s > 0 && spec.spot && spec.save_s < kMaxSaveToMoveS && !spec.apart &&
+           view.ran_ms > state_.snapshot.tuning.min_run_before_drain_ms &&
+           view.remaining_s > kMinRemainingToMoveS;
+}
+
+// A cheaper machine, or one as cheap and in use; the number of machines if there is none.
+MachinePosition DrainPhase::target_of(AllocationPosition at) {
+    const auto from = state_.allocations.machine(at);
+    const auto count = state_.snapshot.machines.size();
+    auto as_cheap = count;
+    for (MachinePosition to = 0; to < count; ++to) {
+        state_.count_step();
+        if (!may_take(to, at)) continue;
+        if (hourly(to) < hourly(from)) return to;
+        const bool in_use = !state_.allocations.on(to).empty() || state_.capacity.in_use(to);
+        if (in_use && as_cheap == count) as_cheap = to;
+    }
+    return as_cheap;
+}
+
+bool DrainPhase::may_take(MachinePosition to, AllocationPosition at) const {
+    const auto from = state_.allocations.machine(at);
+    const auto& spec = state_.allocations.job(at).spec;
+    const auto& machine = state_.snapshot.machines[to];
+    if (!state_.capacity.free(to).covers(spec.need) || to == from || !machine.usable) return false;
+    if (state_.capacity.reserved(to) || drained_[to] != 0) return false;
+    if (!MachineFilter::allows(spec, machine) || hourly(to) > hourly(from)) return false;
+    // The rest of its gang stays where it is; a replica keeps its zone, so that what has to be
+    // apart stays so.
+    const bool bound_to_zone = (spec.one_zone && spec.count > 1) || spec.service;
+    if (bound_to_zone && machine.zone != state_.snapshot.machines[from].zone) return false;
+    const auto remaining_s = state_.allocations.view(at).remaining_s;
+    return state_.fetches.fetch_s(spec, to) <= remaining_s * kMaxFetchShare;
+}
+
+}  // namespace lichendrift::core
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -1,143 +1,194 @@
-// Displacement: whose tasks may be stopped for whom, and which of them are.
-#include <algorithm>
-
-#include "core/plan_builder.h"
+// Preemption: whose tasks may be stopped for whom, and which of them are.
+#include "core/plan_preemption.h"
 
 namespace lichendrift::core {
 
-bool PlanBuilder::may_stop(const WaitingJob& item, std::size_t allocation) const {
-    const auto& v = *allocation_job_[allocation];
-    const auto& mine = spec(item);
-    if (s_.allocations[allocation].job == item.job) return false;
-    if (v.spec.priority < mine.priority && (item.in_guarantee || !v.in_guarantee)) return true;
-    return item.in_guarantee && !v.in_guarantee && v.spec.team != mine.team &&
-           s_.teams[mine.team].guarantee != Resources{};
-}
+namespace {
+
+constexpr double kVictimCost = 5;    // of each victim, beside a point for a second of lost work
+constexpr double kScoreShare = 0.5;  // of the machine's score, taken off the cost
 
-bool PlanBuilder::displace(const WaitingJob& item, std::size_t i, const Resources& start,
-                           const std::vector<std::size_t>& chosen, Displacement& out) {
-    const JobSpec& sp = spec(item);
-    Resources reach = start;
-    order_.clear();
-    for (auto k = allocations_from_[i]; k < allocations_from_[i + 1]; ++k) {
-        ++plan_.steps;
-        const auto h = allocations_list_[k];
-        if (s_.allocations[h].stopping || victim_[h] || !may_stop(item, h)) continue;
-        if (std::find(chosen.begin(), chosen.end(), h) != chosen.end()) continue;
-        order_.push_back(h);
-        reach += allocation_job_[h]->spec.need;
+}  // namespace
+
+bool PreemptionPhase::may_preempt(const QueuedJob& job, AllocationPosition victim) const {
+    const auto& owner = state_.allocations.job(victim);
+    const bool in_guarantee = job.waiting.in_guarantee;
+    if (state_.allocations.view(victim).job == job.waiting.job) return false;
+    if (owner.spec.priority < job.spec.priority && (in_guarantee || !owner.in_guarantee)) {
+        return true;
     }
-    if (!reach.covers(sp.need)) return false;
-    std::sort(order_.begin(), order_.end(), [&](auto a, auto b) {
-        const auto pa = allocation_job_[a]->spec.priority;
-        const auto pb = allocation_job_[b]->spec.priority;
-        if (pa != pb) return pa < pb;
-        if (s_.allocations[a].lost_work_s != s_.allocations[b].lost_work_s) {
-            return s_.allocations[a].lost_work_s < s_.allocations[b].lost_work_s;
-        }
-        return a < b;
+    return in_guarantee && !owner.in_guarantee && owner.spec.team != job.spec.team &&
+           state_.snapshot.teams[job.spec.team].guarantee != Resources{};
+}
+
+bool PreemptionPhase::has_victims(const QueuedJob& job) {
+    const auto& ranks = state_.allocations.ranks();
+    return std::any_of(ranks.begin(), ranks.end(), [&](const auto& rank) {
+        state_.count_step();
+        return may_preempt(job, rank.second);
     });
-    out.at = i;
-    out.room = start;
-    out.cost = -0.5 * node_score(sp, i, start);
-    out.victims.clear();
-    for (auto h : order_) {
-        if (out.room.covers(sp.need)) break;
-        out.room += allocation_job_[h]->spec.need;
-        out.cost += 5 + s_.allocations[h].lost_work_s;
-        out.victims.push_back(h);
+}
+
+double PreemptionPhase::cost_of(AllocationPosition victim) const {
+    return kVictimCost + state_.allocations.view(victim).lost_work_s;
+}
+
+Placement PreemptionPhase::find(const PlacementRequest& request) {
+    if (state_.failed_fits.known(request, CapacitySource::Preemptible)) return {};
+    auto best = cheapest(request, false);
+    if (!best.found()) state_.failed_fits.note(request, CapacitySource::Preemptible);
+    return best;
+}
+
+Placement PreemptionPhase::find_where_image_is(const PlacementRequest& request) {
+    return cheapest(request, true);
+}
+
+Placement PreemptionPhase::cheapest(const PlacementRequest& request, bool image_present) {
+    CostedPlacement best;
+    for (const auto zone : candidate_zones(request.job.spec, state_.snapshot.zone_count)) {
+        auto found = place_in(request, zone, image_present);
+        const auto tasks = found.placement.tasks();
+        if (!request.accepts(tasks)) continue;
+        if (tasks > best.placement.tasks() ||
+            (tasks == best.placement.tasks() && found.cost < best.cost)) {
+            best = std::move(found);
+        }
     }
-    // Spare those that turned out not to be needed.
-    for (std::size_t k = 0; k < out.victims.size();) {
-        Resources without = out.room;
-        without -= allocation_job_[out.victims[k]]->spec.need;
-        if (without.covers(sp.need)) {
-            out.room = without;
-            out.cost -= 5 + s_.allocations[out.victims[k]].lost_work_s;
-            out.victims.erase(out.victims.begin() + static_cast<std::ptrdiff_t>(k));
-        } else {
-            ++k;
+    return std::move(best.placement);
+}
+
+PreemptionPhase::CostedPlacement PreemptionPhase::place_in(const PlacementRequest& request,
+                                                           ZoneIndex zone, bool image_present) {
+    const auto& spec = request.job.spec;
+    collect_evictions(request.job, zone, image_present);
+    auto zone_counts = request.job.waiting.zone_counts;
+    zone_counts.resize(state_.snapshot.zone_count);
+    CostedPlacement result{{}, 0};
+    auto& [placement, cost] = result;
+    std::make_heap(evictions_.begin(), evictions_.end());
+    while (placement.tasks() < request.count && !evictions_.empty()) {
+        std::pop_heap(evictions_.begin(), evictions_.end());
+        const auto taken = std::move(evictions_.back());
+        evictions_.pop_back();
+        auto& in_zone = zone_counts[state_.snapshot.machines[taken.machine].zone];
+        if (spec.apart && in_zone + 1 > max_tasks_in_zone(spec)) continue;
+        ++in_zone;
+        cost += taken.cost;
+        placement.machines.push_back(taken.machine);
+        placement.victims.insert(placement.victims.end(), taken.victims.begin(),
+                                 taken.victims.end());
+        next_.machine = taken.machine;
+        next_.available = taken.available;
+        next_.available -= spec.need;
+        if (evict(request.job, placement.victims, next_)) {
+            evictions_.push_back(std::move(next_));
+            std::push_heap(evictions_.begin(), evictions_.end());
         }
     }
+    return result;
+}
+
+void PreemptionPhase::collect_evictions(const QueuedJob& job, ZoneIndex zone, bool image_present) {
+    const auto& machines = state_.snapshot.machines;
+    evictions_.clear();
+    for (MachinePosition at = 0; at < machines.size(); ++at) {
+        state_.count_step();
+        const auto& machine = machines[at];
+        if (!machine.usable || !state_.filter.admits(job, zone, at)) continue;
+        if (!machine.capacity.covers(job.spec.need)) continue;
+        if (image_present && state_.fetches.fetch_s(job.spec, at) > 0) continue;
+        next_.machine = at;
+        next_.available = state_.capacity.available(at, CapacitySource::Releasing);
+        if (evict(job, {}, next_)) evictions_.push_back(next_);
+    }
+}
+
+// Fills in the victims that have to go from the machine, so that one more task fits into what is
+// available there; false if that can't be.
+bool PreemptionPhase::evict(const QueuedJob& job, const std::vector<AllocationPosition>& chosen,
+                            Eviction& eviction) {
+    const auto& need = job.spec.need;
+    auto reach = eviction.available;
+    reach += collect_victims(job, eviction.machine, chosen);
+    if (!reach.covers(need)) return false;
+    std::sort(possible_victims_.begin(), possible_victims_.end(), [&](auto left, auto right) {
+        const auto left_priority = state_.allocations.job(left).spec.priority;
+        const auto right_priority = state_.allocations.job(right).spec.priority;
+        if (left_priority != right_priority) return left_priority < right_priority;
+        const auto left_lost_s = state_.allocations.view(left).lost_work_s;
+        const auto right_lost_s = state_.allocations.view(right).lost_work_s;
+        return left_lost_s != right_lost_s ? left_lost_s < right_lost_s : left < right;
+    });
+    eviction.cost = -kScoreShare * state_.score.of(job.spec, eviction.machine, eviction.available);
+    eviction.victims.clear();
+    for (const auto victim : possible_victims_) {
+        if (eviction.available.covers(need)) break;
+        eviction.available += state_.allocations.resources(victim);
+        eviction.cost += cost_of(victim);
+        eviction.victims.push_back(victim);
+    }
+    spare_victims(need, eviction);
     return true;
 }
 
-Choice PlanBuilder::preempt(const WaitingJob& item, std::uint32_t count, bool image_there,
-                            bool partial) {
-    const JobSpec& sp = spec(item);
-    if (!image_there && fails(item, Pass::Preempt) <= (partial ? 1 : count)) return {};
-    Choice best;
-    double best_cost = 1e300;
-    for (auto zone : candidates(sp)) {
-        Choice choice;
-        std::vector<Displacement> heap;
-        Displacement one;
-        for (std::size_t i = 0; i < machines_.size(); ++i) {
-            ++plan_.steps;
-            const auto& m = machines_[i];
-            if (!m.usable || !fits_place(item, sp, zone, i) || !m.capacity.covers(sp.need))
-                continue;
-            if (image_there && fetch_s(sp, i) > 0) continue;
-            if (displace(item, i, room_in(i, Pass::Releasing), choice.victims, one)) {
-                heap.push_back(one);
-            }
-        }
-        auto zones = item.zone_counts;
-        zones.resize(s_.zone_count);
-        double cost = 0;
-        std::make_heap(heap.begin(), heap.end());
-        while (choice.machines.size() < count && !heap.empty()) {
-            std::pop_heap(heap.begin(), heap.end());
-            auto taken = std::move(heap.back());
-            heap.pop_back();
-            const auto in_zone = machines_[taken.at].zone;
-            if (sp.apart && zones[in_zone] + 1 > (sp.count + 1) / 2) continue;
-            ++zones[in_zone];
-            cost += taken.cost;
-            choice.machines.push_back(taken.at);
-            choice.victims.insert(choice.victims.end(), taken.victims.begin(), taken.victims.end());
-            taken.room -= sp.need;
-            if (displace(item, taken.at, taken.room, choice.victims, one)) {
-                heap.push_back(std::move(one));
-                std::push_heap(heap.begin(), heap.end());
-            }
-        }
-        if (choice.machines.empty() || (!partial && choice.machines.size() < count)) continue;
-        if (choice.machines.size() > best.machines.size() ||
-            (choice.machines.size() == best.machines.size() && cost < best_cost)) {
-            best_cost = cost;
-            best = std::move(choice);
+// Lists what may be preempted on the machine, but for victims chosen already; returns its sum.
+Resources PreemptionPhase::collect_victims(const QueuedJob& job, MachinePosition machine,
+                                           const std::vector<AllocationPosition>& chosen) {
+    Resources sum;
+    possible_victims_.clear();
+    for (const auto at : state_.allocations.on(machine)) {
+        state_.count_step();
+        if (state_.allocations.ends(at) || !may_preempt(job, at)) continue;
+        if (std::find(chosen.begin(), chosen.end(), at) != chosen.end()) continue;
+        possible_victims_.push_back(at);
+        sum += state_.allocations.resources(at);
+    }
+    return sum;
+}
+
+// Victims that turned out not to be needed are spared, as KEP-5732 reprieves them.
+void PreemptionPhase::spare_victims(const Resources& need, Eviction& eviction) const {
+    auto& victims = eviction.victims;
+    for (auto victim = victims.begin(); victim != victims.end();) {
+        auto without = eviction.available;
+        without -= state_.allocations.resources(*victim);
+        if (!without.covers(need)) {
+            ++victim;
+            continue;
         }
+        eviction.available = without;
+        eviction.cost -= cost_of(*victim);
+        victim = victims.erase(victim);
     }
-    if (!best.found() && !image_there) note_fail(item, Pass::Preempt, partial ? 1 : count);
-    return best;
 }
 
-void PlanBuilder::take_victims(const WaitingJob& item, const Choice& choice) {
-    const auto release = [&](std::size_t h) {
-        victim_[h] = true;
-        releasing_stale_ = true;
-        releasing_[allocation_at_[h]] += allocation_job_[h]->spec.need;
-    };
-    for (auto h : choice.victims) {
-        plan_.preemptions.push_back({s_.allocations[h].index, s_.allocations[h].attempt, item.job});
-        if (!victim_[h]) release(h);
-        // Stopping one task of a gang stops the gang.
-        if (!allocation_job_[h]->spec.gang) continue;
-        for (std::size_t other = 0; other < s_.allocations.size(); ++other) {
-            ++plan_.steps;
-            if (s_.allocations[other].job == s_.allocations[h].job && !victim_[other] &&
-                !s_.allocations[other].stopping) {
-                release(other);
-            }
+void PreemptionPhase::mark_victim(AllocationPosition victim) {
+    state_.allocations.mark_victim(victim);
+    state_.capacity.add_releasing(state_.allocations.machine(victim),
+                                  state_.allocations.resources(victim));
+}
+
+// Stopping one task of a gang stops the gang.
+void PreemptionPhase::mark_rest_of_gang(AllocationPosition victim) {
+    const auto job = state_.allocations.view(victim).job;
+    for (AllocationPosition at = 0; at < state_.allocations.size(); ++at) {
+        state_.count_step();
+        if (state_.allocations.view(at).job == job && !state_.allocations.ends(at)) {
+            mark_victim(at);
         }
     }
-    consume(spec(item), choice, true);
-    // There may be more room on the way now than when others were tried.
-    for (auto& [key, minimum] : failed_) {
-        minimum[static_cast<std::size_t>(Pass::Releasing)] = kNever;
-        minimum[static_cast<std::size_t>(Pass::Booting)] = kNever;
+}
+
+void PreemptionPhase::preempt(const QueuedJob& job, const Placement& placement) {
+    for (const auto victim : placement.victims) {
+        const auto& view = state_.allocations.view(victim);
+        state_.plan.preemptions.push_back({view.index, view.attempt, job.waiting.job});
+        if (!state_.allocations.is_victim(victim)) mark_victim(victim);
+        if (state_.allocations.job(victim).spec.gang) mark_rest_of_gang(victim);
     }
+    state_.hold(job.spec, placement);
+    state_.failed_fits.forget_releasing();
 }
 
 }  // namespace lichendrift::core
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -1,180 +1,164 @@
-// What is to be rented, and what came for a waiting gang.
-#include <algorithm>
-
-#include "core/plan_builder.h"
+// Machines to provision for tasks that found no capacity.
+#include "core/plan_provisioning.h"
 
 namespace lichendrift::core {
 
-bool PlanBuilder::take_virtual(const JobSpec& sp, ZoneIndex zone) {
-    for (std::size_t k = 0; k < open_virtual_.size(); ++k) {
-        ++plan_.steps;
-        auto& v = virtual_[open_virtual_[k]];
-        if ((sp.types >> v.type & 1) == 0 || (v.spot && !sp.spot)) continue;
-        if (zone != kInvalidIndex && v.zone != zone) continue;
-        if (!v.free.covers(sp.need)) continue;
-        v.free -= sp.need;
-        if (!v.free.covers(minimum_)) {
-            open_virtual_.erase(open_virtual_.begin() + static_cast<std::ptrdiff_t>(k));
-        }
-        return true;
+namespace {
+
+constexpr std::uint32_t kMaxTasksOfDemand = 400;
+
+// Whether no zone may get more than half of the tasks, and any zone a part.
+bool spreads_over_zones(const JobSpec& spec) {
+    return spec.apart && !spec.one_zone && spec.zone == kInvalidIndex;
+}
+
+}  // namespace
+
+void ProvisioningPhase::run() {
+    for (const auto& demand : demands_) provision(demand);
+    // Warm capacity is provisioned only where it is cheap.
+    for (const auto& [spec, count] : warm_demands_) {
+        new_machines_.place(*spec, kInvalidIndex, count, spec->spot);
     }
-    return false;
+    state_.plan.provisions = new_machines_.provisions();
 }
 
-bool PlanBuilder::add_virtual(const JobSpec& sp, ZoneIndex only_zone, bool spot) {
-    if (virtual_.size() >= kMaxProvisioned) return false;
-    count_zones();
-    double best = 1e300;
-    Virtual pick{kInvalidIndex, kInvalidIndex, false, {}};
-    for (TypeIndex t = 0; t < s_.types.size() && t < 64; ++t) {
-        const auto& type = s_.types[t];
-        if ((sp.types >> t & 1) == 0 || type.zones.empty()) continue;
-        const auto fits = type.room.fits(sp.need);
-        if (fits == 0) continue;
-        for (auto zone : s_.type_zones[t]) {
-            if (sp.zone != kInvalidIndex && zone != sp.zone) continue;
-            if (only_zone != kInvalidIndex && zone != only_zone) continue;
-            if ((spot && !sp.spot) || refused(t, zone, spot)) continue;
-            double cost = (spot ? type.spot_hourly : type.hourly) / static_cast<double>(fits);
-            // Spread machines over the zones: one wave, or one cut, takes fewer.
-            cost *= 1.0 + 0.2 * static_cast<double>(in_zone_[zone]) /
-                              static_cast<double>(machines_.size() + virtual_.size() + 100);
-            if (cost < best) {
-                best = cost;
-                pick = {t, zone, spot, type.room};
-            }
-        }
+// Capacity that is free again in time needs no new machine. On-demand machines cost a multiple of
+// spot ones, so work that has time waits longer before it gets one. A gang of one zone needs its
+// machines together; where the cloud refuses, the next zone is asked for the rest.
+void ProvisioningPhase::provision(const Demand& demand) {
+    const auto& job = *demand.job;
+    const auto& spec = job.spec;
+    auto left = std::min(demand.count, kMaxTasksOfDemand);
+    if (!spec.gang) {
+        const auto booting = placement_.find({job, left, true}, CapacitySource::Booting);
+        if (booting.found()) state_.hold(spec, booting);
+        left -= booting.tasks();
+    }
+    if (spec.gang && !kept_for_gang_) keep_provisioned(job);
+    if (spreads_over_zones(spec)) return provision_apart(job, left);
+    std::vector<ZoneIndex> zones{job.waiting.zone};
+    if (spec.gang && spec.one_zone && job.waiting.zone == kInvalidIndex) {
+        zones = zones_by_capacity(job);
     }
-    if (pick.type == kInvalidIndex) return false;
-    ++in_zone_[pick.zone];
-    open_virtual_.push_back(virtual_.size());
-    virtual_.push_back(pick);
-    return true;
+    left = await_capacity(spec, left, job.waiting.provision_patience_s);
+    for (const auto zone : zones) left = new_machines_.place(spec, zone, left, true);
+    left = await_capacity(spec, left, job.waiting.on_demand_patience_s);
+    for (const auto zone : zones) left = new_machines_.place(spec, zone, left, false);
 }
 
-void PlanBuilder::provision_all() {
-    for (auto [item, count] : demands_) {
-        const JobSpec& sp = spec(*item);
-        auto left = std::min<std::uint32_t>(count, 2 * kMaxProvisioned);
-        if (!sp.gang) {
-            if (auto choice = best_of(*item, left, Pass::Booting, true); choice.found()) {
-                consume(sp, choice, true);
-                left -= static_cast<std::uint32_t>(choice.machines.size());
-            }
-        }
-        // Places that are free again in time need no new machine. Ordinary machines cost a
-        // multiple of spot ones, so work that has time waits longer before it gets one.
-        // A gang of one zone needs its machines together; where the cloud refuses, the next
-        // zone is asked for the rest.
-        if (sp.gang && !kept_for_gang_) keep_what_came(*item);
-        if (sp.apart && !sp.one_zone && sp.zone == kInvalidIndex) {
-            provision_apart(*item, left);
-            continue;
-        }
-        std::vector<ZoneIndex> zones{item->zone};
-        if (sp.gang && sp.one_zone && item->zone == kInvalidIndex) zones = zones_by_room(*item);
-        left = wait_for_places(sp, left, item->provision_patience_s);
-        for (auto zone : zones) left = provision_for(sp, zone, left, true);
-        left = wait_for_places(sp, left, item->on_demand_patience_s);
-        for (auto zone : zones) left = provision_for(sp, zone, left, false);
+// No zone gets more than half of the job: what is free or provisioned there beyond that is of no
+// use to it (docs/design.md, exception 5).
+void ProvisioningPhase::provision_apart(const QueuedJob& job, std::uint32_t count) {
+    const auto& spec = job.spec;
+    const auto max_in_zone = max_tasks_in_zone(spec);
+    const auto fitting = fitting_by_zone(job);
+    const auto& zone_counts = job.waiting.zone_counts;
+    std::vector<std::uint32_t> open(state_.snapshot.zone_count);  // tasks each zone may still get
+    for (ZoneIndex zone = 0; zone < open.size(); ++zone) {
+        const auto there = zone < zone_counts.size() ? zone_counts[zone] : 0;
+        const auto limit = max_in_zone - std::min(max_in_zone, there);
+        const auto fits = static_cast<std::uint32_t>(std::min<std::int64_t>(limit, fitting[zone]));
+        open[zone] = limit - fits;
+        count -= std::min(count, fits);
     }
-    // Resources to keep warm is rented only where it is cheap.
-    for (auto [sp, count] : warm_demands_) provision_for(*sp, kInvalidIndex, count, sp->spot);
-    // In the order of what waits: where the cloud has few machines left, the first gets them.
-    for (const auto& v : virtual_) {
-        const auto same = std::find_if(
-            plan_.provisions.begin(), plan_.provisions.end(), [&](const Provision& provision) {
-                return provision.type == v.type && provision.zone == v.zone &&
-                       provision.spot == v.spot;
-            });
-        if (same != plan_.provisions.end()) {
-            ++same->count;
-        } else {
-            plan_.provisions.push_back({v.type, v.zone, v.spot, 1});
+    for (const bool spot : {true, false}) {
+        for (ZoneIndex zone = 0; zone < open.size(); ++zone) {
+            const auto wanted = std::min(count, open[zone]);
+            const auto placed = wanted - new_machines_.place(spec, zone, wanted, spot);
+            open[zone] -= placed;
+            count -= placed;
         }
     }
 }
 
-void PlanBuilder::keep_what_came(const WaitingJob& item) {
-    const JobSpec& sp = spec(item);
-    kept_for_gang_ = true;
-    if (sp.apart && !sp.one_zone && sp.zone == kInvalidIndex) {
-        for (ZoneIndex z = 0; z < s_.zone_count; ++z) keep_for(item, z, (sp.count + 1) / 2);
-    } else if (sp.one_zone && sp.zone == kInvalidIndex) {
-        const auto zones = zones_by_room(item);
-        if (!zones.empty()) keep_for(item, zones.front(), sp.count);
-    } else {
-        keep_for(item, sp.zone, sp.count);
+// How many of `count` tasks are left without an allocation that ends within the patience.
+std::uint32_t ProvisioningPhase::await_capacity(const JobSpec& spec, std::uint32_t count,
+                                                double patience_s) {
+    const auto& allocations = state_.allocations;
+    index_ending();
+    for (const auto at : ending_) {
+        if (count == 0) break;
+        state_.count_step();
+        if (awaited_[at] != 0 || allocations.is_victim(at)) continue;
+        if (allocations.view(at).remaining_s > patience_s) continue;
+        const auto& machine = state_.snapshot.machines[allocations.machine(at)];
+        if (!machine.usable || !MachineFilter::allows(spec, machine)) continue;
+        if (!allocations.resources(at).covers(spec.need)) continue;
+        awaited_[at] = 1;
+        --count;
     }
+    return count;
 }
 
-void PlanBuilder::keep_for(const WaitingJob& item, ZoneIndex zone, std::int64_t count) {
-    const JobSpec& sp = spec(item);
-    for (const auto i : list_of(Pass::Booting)) {
-        ++plan_.steps;
-        if (count <= 0 || !fits_place(item, sp, zone, i)) continue;
-        const auto fits = free_[i].fits(sp.need);
-        if (fits > 0) reserved_[i] = true;
-        count -= fits;
+void ProvisioningPhase::index_ending() {
+    if (!awaited_.empty()) return;
+    const auto& allocations = state_.allocations;
+    awaited_.resize(allocations.size());
+    double longest_patience_s = 0;
+    for (const auto& waiting : state_.snapshot.waiting_jobs) {
+        longest_patience_s = std::max(longest_patience_s, waiting.on_demand_patience_s);
+    }
+    for (AllocationPosition at = 0; at < allocations.size(); ++at) {
+        if (allocations.view(at).remaining_s <= longest_patience_s) ending_.push_back(at);
     }
 }
 
-std::vector<ZoneIndex> PlanBuilder::zones_by_room(const WaitingJob& item) {
-    const JobSpec& sp = spec(item);
-    if (sp.zone != kInvalidIndex) return {sp.zone};
-    std::vector<std::int64_t> fit(s_.zone_count);
-    for (const auto i : list_of(Pass::Booting)) {
-        ++plan_.steps;
-        if (!fits_place(item, sp, kInvalidIndex, i)) continue;
-        fit[machines_[i].zone] += free_[i].fits(sp.need);
+// What the first of the waiting gangs could use already is kept until the rest has come. Where the
+// cloud has few machines to give they come one by one, and each was idle for long enough to be
+// released before the next one came; kept for several gangs, none ever got enough (docs/design.md,
+// exception 7).
+void ProvisioningPhase::keep_provisioned(const QueuedJob& job) {
+    const auto& spec = job.spec;
+    kept_for_gang_ = true;
+    if (spreads_over_zones(spec)) {
+        for (ZoneIndex zone = 0; zone < state_.snapshot.zone_count; ++zone) {
+            keep_in(job, zone, max_tasks_in_zone(spec));
+        }
+    } else if (spec.one_zone && spec.zone == kInvalidIndex) {
+        const auto zones = zones_by_capacity(job);
+        if (!zones.empty()) keep_in(job, zones.front(), spec.count);
+    } else {
+        keep_in(job, spec.zone, spec.count);
     }
-    for (const auto k : open_virtual_) fit[virtual_[k].zone] += virtual_[k].free.fits(sp.need);
-    std::vector<ZoneIndex> zones(s_.zone_count);
-    for (ZoneIndex z = 0; z < s_.zone_count; ++z) zones[z] = z;
-    count_zones();
-    // Among equals the zone with fewer machines: they would all pile up in the first.
-    std::stable_sort(zones.begin(), zones.end(), [&](ZoneIndex a, ZoneIndex b) {
-        return fit[a] != fit[b] ? fit[a] > fit[b] : in_zone_[a] < in_zone_[b];
-    });
-    return zones;
 }
 
-void PlanBuilder::provision_apart(const WaitingJob& item, std::uint32_t count) {
-    const JobSpec& sp = spec(item);
-    const std::uint32_t half = (sp.count + 1) / 2;
-    std::vector<std::int64_t> fit(s_.zone_count);
-    for (const auto i : list_of(Pass::Booting)) {
-        ++plan_.steps;
-        // What it keeps off, since it failed there, is no room for it.
-        if (!fits_place(item, sp, kInvalidIndex, i)) continue;
-        fit[machines_[i].zone] += free_[i].fits(sp.need);
-    }
-    std::vector<std::uint32_t> open(s_.zone_count);  // how many more each zone may take
-    for (ZoneIndex z = 0; z < s_.zone_count; ++z) {
-        const auto there = z < item.zone_counts.size() ? item.zone_counts[z] : 0;
-        const auto limit = half - std::min(half, there);
-        const auto have = static_cast<std::uint32_t>(std::min<std::int64_t>(limit, fit[z]));
-        open[z] = limit - have;
-        count -= std::min(count, have);
-    }
-    for (const bool spot : {true, false}) {
-        for (ZoneIndex z = 0; z < s_.zone_count; ++z) {
-            const auto ask = std::min(count, open[z]);
-            const auto got = ask - provision_for(sp, z, ask, spot);
-            open[z] -= got;
-            count -= got;
-        }
+// Keeps machines of a zone that fit so many tasks of the job, or as many as there are.
+void ProvisioningPhase::keep_in(const QueuedJob& job, ZoneIndex zone, std::int64_t count) {
+    for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
+        state_.count_step();
+        if (count <= 0 || !state_.filter.admits(job, zone, at)) continue;
+        const auto fits = state_.capacity.free(at).fits(job.spec.need);
+        if (fits > 0) state_.capacity.keep(at);
+        count -= fits;
     }
 }
 
-std::uint32_t PlanBuilder::provision_for(const JobSpec& sp, ZoneIndex zone, std::uint32_t count,
-                                         bool spot) {
-    for (; count > 0; --count) {
-        if (take_virtual(sp, zone)) continue;
-        if (!add_virtual(sp, zone, spot)) break;
-        take_virtual(sp, zone);
+// How many tasks of the job fit on what is free, by zone. Machines that it avoids after failures
+// are no capacity for it.
+std::vector<std::int64_t> ProvisioningPhase::fitting_by_zone(const QueuedJob& job) {
+    std::vector<std::int64_t> fitting(state_.snapshot.zone_count);
+    for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
+        state_.count_step();
+        if (!state_.filter.admits(job, kInvalidIndex, at)) continue;
+        fitting[state_.snapshot.machines[at].zone] += state_.capacity.free(at).fits(job.spec.need);
     }
-    return count;
+    return fitting;
+}
+
+// The zones the job may use, the one with most capacity for it first, new machines included.
+std::vector<ZoneIndex> ProvisioningPhase::zones_by_capacity(const QueuedJob& job) {
+    if (job.spec.zone != kInvalidIndex) return {job.spec.zone};
+    auto fitting = fitting_by_zone(job);
+    new_machines_.add_fitting(job.spec, fitting);
+    const auto& machines_by_zone = new_machines_.machines_by_zone();
+    auto zones = all_zones(state_.snapshot.zone_count);
+    // Among equals the zone with fewer machines: they would all pile up in the first.
+    std::stable_sort(zones.begin(), zones.end(), [&](ZoneIndex left, ZoneIndex right) {
+        if (fitting[left] != fitting[right]) return fitting[left] > fitting[right];
+        return machines_by_zone[left] < machines_by_zone[right];
+    });
+    return zones;
 }
 
 }  // namespace lichendrift::core
--- /dev/null
+++ b/src/core/plan_reservation.h
@@ -0,0 +1,40 @@
+// Machines reserved for starved jobs.
+#pragma once
+
+#include "core/plan_state.h"
+
+namespace lichendrift::core {
+
+/// Exception 1 of docs/design.md: small tasks would hold a large gang back for ever, so one that
+/// waited too long gets the machines of one zone reserved that have capacity for it soonest.
+class ReservationPhase {
+  public:
+    /// Keeps a reference to the state.
+    explicit ReservationPhase(PlanState& state) : state_(state) {}
+
+    /// Reserves machines for so many tasks of the job, unless all reservations together would
+    /// exceed their share of the fleet.
+    void reserve(const QueuedJob& job, std::uint32_t count);
+
+  private:
+    struct AvailableMachine {
+        double after_s = 0;  // until one task fits
+        MachinePosition machine = 0;
+        bool operator<(const AvailableMachine& other) const {
+            return after_s != other.after_s ? after_s < other.after_s : machine < other.machine;
+        }
+    };
+    struct MachineSet {
+        std::vector<MachinePosition> machines;
+        double after_s = kMaxCost;  // until one task fits on each
+    };
+
+    MachineSet soonest_in(const QueuedJob& job, ZoneIndex zone, std::uint32_t count);
+    [[nodiscard]] double available_after_s(MachinePosition machine, const Resources& need) const;
+    [[nodiscard]] bool within_share(std::size_t machines) const;
+
+    PlanState& state_;
+    std::size_t reserved_ = 0;
+};
+
+}  // namespace lichendrift::core
--- /dev/null
+++ b/src/core/plan_warm_capacity.cpp
@@ -0,0 +1,70 @@
+// Capacity kept free for classes with a start objective.
+#include "core/plan_warm_capacity.h"
+
+namespace lichendrift::core {
+
+namespace {
+
+// A job with less slack is itself too urgent to wait for others.
+constexpr double kUrgentSlackS = 15;
+
+}  // namespace
+
+void WarmCapacityPhase::before(const QueuedJob& job) {
+    if (kept_ || job.spec.has_start_objective || job.waiting.slack_s <= kUrgentSlackS) return;
+    kept_ = true;
+    for (const auto& warm : state_.snapshot.warm_capacity) {
+        if (warm.spec.priority <= job.spec.priority) keep(warm);
+    }
+}
+
+void WarmCapacityPhase::after_all_jobs() {
+    if (kept_) return;
+    for (const auto& warm : state_.snapshot.warm_capacity) keep(warm);
+}
+
+void WarmCapacityPhase::keep(const WarmCapacity& warm) {
+    auto left = warm.tasks;
+    for (const auto source : {CapacitySource::Free, CapacitySource::Booting}) {
+        collect(warm.spec, source, left);
+        left -= take_best(warm.spec, left);
+    }
+    state_.capacity.thin_out();
+    if (left > 0) provisioning_.request_warm(warm.spec, left);
+}
+
+// Scores the machines that fit a task; none if no task is left.
+void WarmCapacityPhase::collect(const JobSpec& spec, CapacitySource source, std::uint32_t count) {
+    candidates_.clear();
+    for (const auto at : state_.capacity.machines_with(source)) {
+        if (count == 0) break;
+        state_.count_step();
+        const auto& machine = state_.snapshot.machines[at];
+        const auto& free = state_.capacity.free(at);
+        if (source == CapacitySource::Booting && !machine.booting) continue;
+        if (state_.capacity.reserved(at) || !MachineFilter::allows(spec, machine)) continue;
+        if (!free.covers(spec.need)) continue;
+        candidates_.push_back({state_.score.of(spec, at, free), at, free, 0});
+    }
+    std::make_heap(candidates_.begin(), candidates_.end());
+}
+
+// Takes capacity for the tasks one by one where they score best; returns for how many.
+std::uint32_t WarmCapacityPhase::take_best(const JobSpec& spec, std::uint32_t count) {
+    std::uint32_t taken = 0;
+    while (taken < count && !candidates_.empty()) {
+        auto& best = pop_best(candidates_);
+        state_.capacity.take(best.machine, spec.need);
+        ++taken;
+        best.available = state_.capacity.free(best.machine);
+        if (best.available.covers(spec.need)) {
+            best.score = state_.score.of(spec, best.machine, best.available);
+            std::push_heap(candidates_.begin(), candidates_.end());
+        } else {
+            candidates_.pop_back();
+        }
+    }
+    return taken;
+}
+
+}  // namespace lichendrift::core
