--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -111,8 +111,7 @@
         host_.log(events::DutyAcquired{duty::name_of(duty::Duty::Cleanup), claim_->epoch()});
         return next_page_soon();
     }
-    claim_->look_again();
-    if (claim_->take_read()) return read_duty();
+    if (claim_->begin_read()) return read_duty();
     write_duty();
 }
 
@@ -120,16 +119,14 @@
     store_.get(store::RequestPriority::Read, duty::record_key(duty::Duty::Cleanup),
                [this, term = term_](store::Outcome outcome, const wire::Item& item) {
                    if (!claim_ || term != term_) return;
-                   auto read = read_outcome(outcome);
-                   const auto record = wire::parse_duty_value(item.value);
-                   if (read == duty::ReadOutcome::Found && !record) {
-                       read = duty::ReadOutcome::Damaged;
+                   const auto read = duty_read_result(outcome, item);
+                   if (read.outcome == duty::ReadOutcome::Damaged) {
                        host_.log(events::RecordUnreadable{item.key});
                        lose(events::DutyEnd::GivenUp);
                        return;
                    }
-                   claim_->on_read(read, record.value_or(duty::DutyRecord{}), item.revision);
-                   if (read == duty::ReadOutcome::Failed) {
+                   claim_->on_read(read);
+                   if (read.outcome == duty::ReadOutcome::Failed) {
                        runtime_.after(kClaimRetry, [this, term] {
                            if (term == term_) claim();
                        });
@@ -140,7 +137,7 @@
 }
 
 void Cleaner::write_duty() {
-    auto write = claim_->take_write(host_.peers_fence_duties());
+    auto write = claim_->begin_write(host_.peers_fence_duties());
     if (!write) {
         runtime_.after(kLookEvery, [this, term = term_] {
             if (term == term_ && claim_ && !claim_->held()) claim();
@@ -251,8 +248,12 @@
             }
             if (!known) page->jobs.push_back(job);
             const auto record = wire::parse_placement_value(item.value);
-            page->entries.push_back(
-                {item.key, item.revision, record.has_value(), record && record->placed.empty()});
+            auto content = duty::PlacementContent::Unreadable;
+            if (record) {
+                content = record->placed.empty() ? duty::PlacementContent::NoAllocations
+                                                 : duty::PlacementContent::Allocations;
+            }
+            page->entries.push_back({item.key, item.revision, content});
         }
         placements_since_ = item.key;
     }
@@ -270,12 +271,12 @@
                    if (!claim_ || term != term_) return;
                    const auto& id = page->jobs[at];
                    auto& state = page->states[id];
-                   state = duty::JobState::Open;  // what is not known now is left alone
-                   if (outcome == store::Outcome::Missing) state = duty::JobState::Unknown;
+                   state = duty::KnownJobState::Open;  // what is not known now is left alone
+                   if (outcome == store::Outcome::Missing) state = duty::KnownJobState::Unknown;
                    if (outcome == store::Outcome::Ok) {
                        const auto over = wire::parse_terminal_state_value(id, item.value);
-                       state = over && !over->job ? duty::JobState::OverNothingPlaced
-                                                  : duty::JobState::OverMayBePlaced;
+                       state = over && !over->job ? duty::KnownJobState::TerminalNothingPlaced
+                                                  : duty::KnownJobState::TerminalMaybePlaced;
                        page->proofs[id] = {item.key, item.revision};
                    }
                    read_terminal_states(page, at + 1);
@@ -287,12 +288,12 @@
     const auto limit = store_.max_transaction_operations();
     for (const auto& entry : page.entries) {
         const auto id = job_of(entry.key);
-        const auto verdict = duty::classify(entry, page.states.at(id));
-        if (verdict == duty::Verdict::Suspicious) {
+        const auto verdict = duty::decide(entry, page.states.at(id));
+        if (verdict == duty::CleanupDecision::Suspicious) {
             ++suspicious_;
             host_.log(events::CleanupSuspicious{entry.key});
         }
-        if (verdict != duty::Verdict::Remove) continue;
+        if (verdict != duty::CleanupDecision::Remove) continue;
         plan.records.push_back({entry.key, entry.revision});
         const auto& proof = page.proofs.at(id);
         if (std::find(plan.proofs.begin(), plan.proofs.end(), proof) == plan.proofs.end()) {
@@ -318,11 +319,11 @@
                         }
                         hints.push_back(std::move(entry));
                     }
-                    cloud_.list([this, term, hints](cloud::Result answer,
+                    cloud_.list([this, term, hints](cloud::Result result,
                                                     const std::vector<core::ListedMachine>&,
                                                     const std::set<std::string>& listed) {
                         if (!claim_ || term != term_) return;
-                        if (answer == cloud::Result::Ok) check_hints(hints, listed);
+                        if (result == cloud::Result::Ok) check_hints(hints, listed);
                         end_round();
                     });
                 });
@@ -332,7 +333,7 @@
                           const std::set<std::string>& listed) {
     duty::RemovalPlan plan;
     for (const auto& entry : hints) {
-        if (duty::classify(entry, listed) != duty::Verdict::Remove) continue;
+        if (duty::decide(entry, listed) != duty::CleanupDecision::Remove) continue;
         if (plan.records.size() >= store_.max_transaction_operations()) break;
         plan.records.push_back({entry.key, entry.revision});
     }
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -43,7 +43,7 @@
     struct Page {
         std::vector<duty::PlacementEntry> entries;
         std::vector<std::string> jobs;  // of these, the terminal states are to be read
-        std::map<std::string, duty::JobState> states;
+        std::map<std::string, duty::KnownJobState> states;
         std::map<std::string, duty::RecordVersion> proofs;
     };
 
--- a/src/control/fenced_store.cpp
+++ b/src/control/fenced_store.cpp
@@ -1,3 +1,4 @@
+// Conversions between the types of duties and those of the state service's client.
 #include "control/fenced_store.h"
 
 namespace lichendrift::control {
@@ -5,56 +6,71 @@
 namespace {
 
 std::string encoded(const duty::StoredValue& value) {
-    if (const auto* record = std::get_if<duty::DutyRecord>(&value))
+    if (const auto* record = std::get_if<duty::DutyRecord>(&value)) {
         return wire::duty_value(*record);
+    }
     if (const auto* intent = std::get_if<duty::Intent>(&value)) return wire::intent_value(*intent);
     return "";
 }
 
-}  // namespace
-
 duty::ReadOutcome read_outcome(store::Outcome outcome) {
     if (outcome == store::Outcome::Ok) return duty::ReadOutcome::Found;
     if (outcome == store::Outcome::Missing) return duty::ReadOutcome::Missing;
     return duty::ReadOutcome::Failed;
 }
 
-duty::WriteResult write_result(const store::TransactionResult& result) {
-    using duty::WriteOutcome;
-    auto outcome = WriteOutcome::Unknown;
-    switch (result.outcome) {
+duty::WriteOutcome write_outcome(store::Outcome outcome) {
+    switch (outcome) {
         case store::Outcome::Ok:
-            outcome = WriteOutcome::Written;
-            break;
+            return duty::WriteOutcome::Written;
         case store::Outcome::Conflict:
-            outcome = WriteOutcome::Conflict;
-            break;
+            return duty::WriteOutcome::Conflict;
         case store::Outcome::Unavailable:
         case store::Outcome::Missing:
-            outcome = WriteOutcome::Refused;
-            break;
+            return duty::WriteOutcome::Refused;
         case store::Outcome::Rejected:
-            outcome = WriteOutcome::Rejected;
-            break;
+            return duty::WriteOutcome::Rejected;
         case store::Outcome::Unknown:
-            break;
+            return duty::WriteOutcome::Unknown;
+    }
+    return duty::WriteOutcome::Unknown;
+}
+
+}  // namespace
+
+duty::DutyReadResult duty_read_result(store::Outcome outcome, const wire::Item& item) {
+    duty::DutyReadResult result{read_outcome(outcome), {}, item.revision};
+    if (result.outcome != duty::ReadOutcome::Found) return result;
+    if (auto record = wire::parse_duty_value(item.value)) {
+        result.record = std::move(*record);
+    } else {
+        result.outcome = duty::ReadOutcome::Damaged;
     }
-    return {outcome, result.revision, result.failed};
+    return result;
+}
+
+duty::IntentReadResult intent_read_result(store::Outcome outcome, const wire::Item& item) {
+    duty::IntentReadResult result{read_outcome(outcome), {}, item.revision};
+    if (result.outcome != duty::ReadOutcome::Found) return result;
+    auto stored = wire::parse_intent(item);
+    result.record = std::move(stored.intent);
+    if (stored.damaged) result.outcome = duty::ReadOutcome::Damaged;
+    return result;
 }
 
 void send_write(store::StoreClient& store, store::RequestPriority priority,
                 const duty::FencedWrite& write, std::function<void(duty::WriteResult)> done) {
-    std::vector<wire::Condition> when;
+    std::vector<wire::Condition> conditions;
     for (const auto& condition : write.conditions()) {
-        when.push_back({condition.key, condition.revision});
+        conditions.push_back({condition.key, condition.revision});
     }
-    std::vector<wire::Change> then;
+    std::vector<wire::Change> changes;
     for (const auto& change : write.changes()) {
-        then.push_back({change.key, encoded(change.value), 0});
+        changes.push_back({change.key, encoded(change.value), 0});
     }
-    store.transact(priority, when, then,
+    store.transact(priority, conditions, changes,
                    [done = std::move(done)](const store::TransactionResult& result) {
-                       done(write_result(result));
+                       done({write_outcome(result.outcome), result.revision, result.failed});
                    });
 }
 
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -57,9 +57,10 @@
     }
     cs.tasks_per_record = std::max(8U, static_cast<std::uint32_t>(kilobytes * 1024 / 80));
     for (const auto& zone : settings.zones) shared_->zones.intern(zone);
-    duties_ = std::make_shared<MachineDuties>(runtime, settings, store, cloud, host,
-                                              static_cast<MachineDutiesListener&>(*this), token,
-                                              leader_revision);
+    duties_ = std::make_shared<MachineDuties>(
+        MachineDuties::Services{runtime, settings, store, cloud, host,
+                                static_cast<MachineDutiesListener&>(*this)},
+        token, leader_revision);
     shared_->cluster = std::make_unique<core::Cluster>(cs, shared_->types, shared_->zones);
 }
 
--- a/src/control/leader_provisioning.cpp
+++ b/src/control/leader_provisioning.cpp
@@ -58,7 +58,7 @@
         }
     });
     // Tasks wait for the release of theirs; the others only cost money.
-    for (const auto& [name, has_tasks] : wanted) duties_->want_release(name, has_tasks);
+    for (const auto& [name, has_tasks] : wanted) duties_->queue_release(name, has_tasks);
     duties_->pump();
 }
 
@@ -88,7 +88,7 @@
     });
     host_.log(events::ProvisionRequested{order.request, order.number, order.type, order.zone,
                                          order.spot});
-    duties_->want_provision(std::move(order));
+    duties_->queue_provision(std::move(order));
 }
 
 void Leader::on_provisioned(const duty::ProvisionRequest& order,
--- a/src/duty/claim.cpp
+++ b/src/duty/claim.cpp
@@ -1,47 +1,46 @@
+// The states of a claim to a duty.
 #include "duty/claim.h"
 
-#include <algorithm>
-
 namespace lichendrift::duty {
 
-bool WriteResult::failed_on(const std::string& key) const {
-    return std::find(failed.begin(), failed.end(), key) != failed.end();
-}
-
 Claim::Claim(Setup setup)
-    : setup_(std::move(setup)), state_(setup_.fencing ? State::ToRead : State::Unfenced) {}
+    : setup_(std::move(setup)), state_(setup_.fencing ? State::ReadDue : State::Unfenced) {}
 
-bool Claim::take_read() {
-    if (state_ != State::ToRead) return false;
+bool Claim::begin_read() {
+    if (state_ != State::ReadDue) return false;
     state_ = State::Reading;
     return true;
 }
 
-void Claim::on_read(ReadOutcome outcome, const DutyRecord& record, std::uint64_t revision) {
+void Claim::on_read(const DutyReadResult& result) {
     if (state_ != State::Reading) return;
-    if (outcome == ReadOutcome::Failed) {
-        state_ = State::ToRead;
-        return;
-    }
-    if (outcome == ReadOutcome::Damaged) {
-        state_ = State::Damaged;
-        return;
+    switch (result.outcome) {
+        case ReadOutcome::Failed:
+            state_ = State::ReadDue;
+            return;
+        case ReadOutcome::Damaged:
+            state_ = State::Damaged;
+            return;
+        case ReadOutcome::Missing:
+            record_ = {};
+            revision_ = 0;
+            state_ = State::Unfenced;
+            return;
+        case ReadOutcome::Found:
+            break;
     }
-    found_ = outcome == ReadOutcome::Found;
-    record_ = found_ ? record : DutyRecord{};
-    revision_ = found_ ? revision : 0;
-    // A write of ours that had no answer was executed.
-    const bool ours = found_ && record.holder == setup_.holder && record.nonce == setup_.nonce;
-    state_ = ours ? State::Held : found_ ? State::ToWrite : State::Unfenced;
+    record_ = result.record;
+    revision_ = result.revision;
+    // A write of this claim that had no answer was executed.
+    const bool own = record_.holder == setup_.holder && record_.nonce == setup_.nonce;
+    state_ = own ? State::Held : State::WriteDue;
 }
 
-std::optional<FencedWrite> Claim::take_write(bool may_create) {
+std::optional<FencedWrite> Claim::begin_write(bool may_create) {
     const bool creates = state_ == State::Unfenced && setup_.fencing && may_create;
-    if (state_ != State::ToWrite && !creates) return std::nullopt;
+    if (state_ != State::WriteDue && !creates) return std::nullopt;
     state_ = State::Writing;
-    std::vector<RecordVersion> conditions;
-    if (setup_.conditions) conditions = {setup_.lease, {key(), revision_}};
-    FencedWrite write(std::move(conditions));
+    FencedWrite write(conditions());
     write.set(key(), DutyRecord{setup_.holder, record_.epoch + 1, setup_.nonce});
     return write;
 }
@@ -55,32 +54,33 @@
             state_ = State::Held;
             return;
         case WriteOutcome::Conflict:
-            state_ = result.failed_on(setup_.lease.key) ? State::Lost : State::ToRead;
+            state_ = result.failed_on(setup_.lease.key) ? State::Lost : State::ReadDue;
             return;
         case WriteOutcome::Refused:
         case WriteOutcome::Rejected:
         case WriteOutcome::Unknown:
             // It may still be executed. The same write again fails then, and the read that follows
             // finds this claim's nonce.
-            state_ = State::ToRead;
+            state_ = State::ReadDue;
             return;
     }
 }
 
 void Claim::on_record_changed() {
-    if (state_ == State::Held) state_ = State::ToRead;
+    if (state_ == State::Held) state_ = State::ReadDue;
 }
 
 void Claim::on_lease_lost() { state_ = State::Lost; }
 
 std::optional<Permit> Claim::permit(Millis not_after) const {
-    if (state_ == State::Unfenced) {
-        return Permit(setup_.duty, 0, not_after, {setup_.lease});
-    }
+    if (state_ == State::Unfenced) return Permit(setup_.duty, 0, not_after, {setup_.lease});
     if (state_ != State::Held) return std::nullopt;
-    std::vector<RecordVersion> conditions;
-    if (setup_.conditions) conditions = {setup_.lease, {key(), revision_}};
-    return Permit(setup_.duty, record_.epoch, not_after, std::move(conditions));
+    return Permit(setup_.duty, record_.epoch, not_after, conditions());
+}
+
+std::vector<RecordVersion> Claim::conditions() const {
+    if (!setup_.conditions) return {};
+    return {setup_.lease, {key(), revision_}};
 }
 
 }  // namespace lichendrift::duty
--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -1,96 +1,89 @@
 #pragma once
 
+/// @file
+/// How one controller comes to hold one duty.
+
 #include <optional>
 
 #include "duty/fence.h"
+#include "duty/results.h"
 
 namespace lichendrift::duty {
 
-// What came of reading a record.
-enum class ReadOutcome : std::uint8_t {
-    Found,
-    Missing,
-    Damaged,  // there, and not to be understood
-    Failed,   // nothing is known
-};
-
-// What came of a transaction.
-enum class WriteOutcome : std::uint8_t {
-    Written,
-    Conflict,  // certainly not executed: a condition failed
-    Refused,   // certainly not executed
-    Rejected,  // certainly not executed, and the same again never will be: too large
-    Unknown,   // may have been executed, or may still be
-};
-
-struct WriteResult {
-    WriteOutcome outcome = WriteOutcome::Unknown;
-    std::uint64_t revision = 0;
-    std::vector<std::string> failed;  // keys whose condition failed
-
-    [[nodiscard]] bool failed_on(const std::string& key) const;
-};
-
-// How one controller comes to hold one duty, and how it learns that it does not any more. Pure:
-// results go in, reads and writes to do come out.
-//
-// The record is written under the revision of the lease key, so that a controller whose lease has
-// passed to another never becomes the holder, however late its write arrives.
+/// How one controller comes to hold one duty, and how it learns that it lost it. Pure: results go
+/// in, reads and writes to do come out.
+///
+/// The record is written under the revision of the lease key, so that a controller whose lease has
+/// passed to another never becomes the holder, however late its write arrives.
 class Claim {
   public:
+    /// Where the claim stands.
     enum class State : std::uint8_t {
-        Unfenced,  // the fence is not switched on: the lease alone gives the right to act
-        ToRead,
+        Unfenced,  ///< fencing has not begun: the lease alone gives the right to act
+        ReadDue,
         Reading,
-        ToWrite,
+        WriteDue,
         Writing,
         Held,
-        Damaged,  // the record cannot be understood: nothing is done for this duty
-        Lost,
+        Damaged,  ///< the record cannot be parsed: nothing is done for this duty
+        Lost,     ///< the lease has passed to another controller; final
     };
+    /// What a claim is made for.
     struct Setup {
-        Duty duty = Duty::Provisioning;
-        std::string holder;
-        std::uint64_t nonce = 0;  // never used by this or another claim of the duty before
-        RecordVersion lease;      // the key that shows the lease under which the duty is held
-        bool fencing = false;     // off: the claim stays unfenced
-        bool conditions = true;   // off in the tests of this guard: permits carry no conditions
+        Duty duty = Duty::Provisioning;  ///< the duty
+        std::string holder;              ///< member name of this controller
+        std::uint64_t nonce = 0;         ///< never used by any claim of this duty before
+        RecordVersion lease;             ///< the key that shows the lease
+        bool fencing = false;            ///< off: the claim stays unfenced
+        bool conditions = true;  ///< off only in tests of this guard: permits without conditions
     };
 
+    /// Begins with a read, or unfenced for good.
     explicit Claim(Setup setup);
 
-    // Whether the record has to be read, or written, now. Each is under way until its result is
-    // handed in.
-    [[nodiscard]] bool take_read();
-    // `may_create`: a duty that was never held begins to be fenced only with this. Once it has a
-    // record, it is for good.
-    [[nodiscard]] std::optional<FencedWrite> take_write(bool may_create);
-    void on_read(ReadOutcome outcome, const DutyRecord& record, std::uint64_t revision);
+    /// Whether the record has to be read now. If so, on_read() has to follow.
+    [[nodiscard]] bool begin_read();
+    /// The write that is due now, if any. on_written() has to follow. `may_create`: a duty without
+    /// a record begins to be fenced only with this; once it has a record, it is fenced for good.
+    [[nodiscard]] std::optional<FencedWrite> begin_write(bool may_create);
+    /// The record was read.
+    void on_read(const DutyReadResult& result);
+    /// The record was written.
     void on_written(const WriteResult& result);
-    // A write under a permit of this claim failed on the duty's record.
+    /// A write under a permit of this claim failed on the duty's record.
     void on_record_changed();
+    /// The lease has passed to another controller.
     void on_lease_lost();
-    // A damaged record may have been repaired meanwhile.
-    void look_again() {
-        if (state_ == State::Damaged) state_ = State::ToRead;
+    /// Reads a damaged record again: an operator may have repaired it.
+    void retry_damaged_record() {
+        if (state_ == State::Damaged) state_ = State::ReadDue;
     }
 
+    /// The right to act until a steady time; nothing if the duty is not held.
     [[nodiscard]] std::optional<Permit> permit(Millis not_after) const;
+    /// Where the claim stands.
     [[nodiscard]] State state() const { return state_; }
+    /// Whether the record names this claim.
     [[nodiscard]] bool held() const { return state_ == State::Held; }
+    /// The epoch while the duty is held; 0: it is not.
     [[nodiscard]] Epoch epoch() const { return held() ? record_.epoch : 0; }
+    /// Key of the duty's record.
     [[nodiscard]] std::string key() const { return record_key(setup_.duty); }
+    /// The duty that is claimed.
     [[nodiscard]] Duty duty() const { return setup_.duty; }
 
-    friend bool operator==(const Claim& a, const Claim& b) {
-        return a.state_ == b.state_ && a.record_ == b.record_ && a.revision_ == b.revision_;
+    /// Compares what changes; claims of one setup are meant.
+    friend bool operator==(const Claim& left, const Claim& right) {
+        return left.state_ == right.state_ && left.record_ == right.record_ &&
+               left.revision_ == right.revision_;
     }
 
   private:
+    [[nodiscard]] std::vector<RecordVersion> conditions() const;
+
     Setup setup_;
     State state_ = State::Unfenced;
-    bool found_ = false;  // the record was there when it was read last
-    DutyRecord record_;   // ours once it is held, or else as read
+    DutyRecord record_;  // this claim's own once it is held, or else as read
     std::uint64_t revision_ = 0;
 };
 
--- a/src/duty/cleanup.cpp
+++ b/src/duty/cleanup.cpp
@@ -1,33 +1,35 @@
+// Decisions of the cleanup duty.
 #include "duty/cleanup.h"
 
 #include <algorithm>
 
 namespace lichendrift::duty {
 
-Verdict classify(const PlacementEntry& entry, JobState job) {
+CleanupDecision decide(const PlacementEntry& entry, KnownJobState job) {
     switch (job) {
-        case JobState::Open:
-            return Verdict::Keep;
-        case JobState::OverNothingPlaced:
-            return Verdict::Remove;
-        case JobState::OverMayBePlaced:
+        case KnownJobState::Open:
+            return CleanupDecision::Keep;
+        case KnownJobState::TerminalNothingPlaced:
+            return CleanupDecision::Remove;
+        case KnownJobState::TerminalMaybePlaced:
             // Only the leader learns that a task is off its machine.
-            return entry.readable && entry.empty ? Verdict::Remove : Verdict::Keep;
-        case JobState::Unknown:
-            return Verdict::Suspicious;
+            return entry.content == PlacementContent::NoAllocations ? CleanupDecision::Remove
+                                                                    : CleanupDecision::Keep;
+        case KnownJobState::Unknown:
+            return CleanupDecision::Suspicious;
     }
-    return Verdict::Keep;
+    return CleanupDecision::Keep;
 }
 
-Verdict classify(const HintEntry& entry, const std::set<std::string>& listed) {
-    if (!entry.readable) return Verdict::Suspicious;
+CleanupDecision decide(const HintEntry& entry, const std::set<std::string>& listed) {
+    if (!entry.readable) return CleanupDecision::Suspicious;
     // The list lags: a machine newer than all that it shows may be missing from it.
-    if (listed.empty()) return Verdict::Keep;
+    if (listed.empty()) return CleanupDecision::Keep;
     const auto& newest = *listed.rbegin();
     const bool of_use = std::any_of(
         entry.machines.begin(), entry.machines.end(),
         [&](const std::string& machine) { return machine >= newest || listed.contains(machine); });
-    return of_use ? Verdict::Keep : Verdict::Remove;
+    return of_use ? CleanupDecision::Keep : CleanupDecision::Remove;
 }
 
 FencedWrite removal_write(const Permit& permit, const RemovalPlan& plan) {
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -1,27 +1,32 @@
 #pragma once
 
+/// @file
+/// Acts that reach outside the process. None of these types can be made without a Permit, and only
+/// a Claim gives permits: a way round the fence does not compile.
+
 #include <utility>
 #include <variant>
 
 #include "core/types.h"
 #include "duty/duty.h"
 
-// Acts that reach outside the process. None of these types can be made without a Permit, and only
-// a Claim gives permits: a way round the fence does not compile.
 namespace lichendrift::duty {
 
 using core::Millis;
 
-// The right to act for a duty, by the holder's own knowledge. What it is worth is decided where
-// the act takes effect: by the conditions of a write, by the durable intent behind a request.
+/// The right to act for a duty, as far as the holder knows. Whether the act takes effect is decided
+/// elsewhere: by the conditions of a write, by the durable intent behind a request.
 class Permit {
   public:
+    /// The duty that it is for.
     [[nodiscard]] Duty duty() const { return duty_; }
+    /// Epoch of the holder; 0: not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
-    // False before the fence is switched on: the act then rests on the leader lease alone.
+    /// False before fencing begins: the act then rests on the leader lease alone.
     [[nodiscard]] bool fenced() const { return epoch_ != 0; }
-    // Nothing leaves the process after this steady time.
+    /// Nothing leaves the process after this steady time.
     [[nodiscard]] Millis not_after() const { return not_after_; }
+    /// What a write of the holder has to be conditional on.
     [[nodiscard]] const std::vector<RecordVersion>& conditions() const { return conditions_; }
 
   private:
@@ -35,25 +40,33 @@
     std::vector<RecordVersion> conditions_;
 };
 
-// What a fenced write stores under a key; nothing: the key is removed.
+/// What a fenced write stores under a key. Without a value the key is removed.
 using StoredValue = std::variant<std::monostate, DutyRecord, Intent>;
 
+/// One key of a fenced write.
 struct FencedChange {
-    std::string key;
-    StoredValue value;
+    std::string key;    ///< key in the state service
+    StoredValue value;  ///< its new value
+    /// Compares both fields.
     friend bool operator==(const FencedChange&, const FencedChange&) = default;
 };
 
-// A write to the state service that fails if the duty has passed to another holder.
+/// A write to the state service that fails if the duty has passed to another holder.
 class FencedWrite {
   public:
+    /// An empty write under the conditions of a permit.
     explicit FencedWrite(const Permit& permit) : conditions_(permit.conditions()) {}
+    /// Adds a condition.
     void require(RecordVersion version) { conditions_.push_back(std::move(version)); }
+    /// Adds a value to write.
     void set(std::string key, StoredValue value) {
         changes_.push_back({std::move(key), std::move(value)});
     }
+    /// Adds a key to remove.
     void remove(std::string key) { changes_.push_back({std::move(key), {}}); }
+    /// All must hold for the write to be executed.
     [[nodiscard]] const std::vector<RecordVersion>& conditions() const { return conditions_; }
+    /// Executed together or not at all.
     [[nodiscard]] const std::vector<FencedChange>& changes() const { return changes_; }
 
   private:
@@ -65,12 +78,15 @@
     std::vector<FencedChange> changes_;
 };
 
-// A request to rent machines. With a fenced permit only IntentLedger makes one, from a durable
-// intent.
+/// A request to provision machines. Only IntentLedger makes one, with a fenced permit from a
+/// durable intent.
 class FencedProvision {
   public:
+    /// What is requested.
     [[nodiscard]] const ProvisionRequest& order() const { return order_; }
+    /// Epoch of the holder; 0: not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
+    /// Not sent after this steady time.
     [[nodiscard]] Millis not_after() const { return not_after_; }
 
   private:
@@ -83,11 +99,14 @@
     Millis not_after_;
 };
 
-// A request to give machines back, made like a FencedRental.
+/// A request to release machines, made like a FencedProvision.
 class FencedRelease {
   public:
+    /// Names of the machines.
     [[nodiscard]] const std::vector<std::string>& machines() const { return machines_; }
+    /// Epoch of the holder; 0: not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
+    /// Not sent after this steady time.
     [[nodiscard]] Millis not_after() const { return not_after_; }
 
   private:
--- /dev/null
+++ b/src/duty/machine_duty_holder.cpp
@@ -0,0 +1,141 @@
+// The order of what a holder of the machine duties does.
+#include "duty/machine_duty_holder.h"
+
+namespace lichendrift::duty {
+
+namespace {
+
+constexpr Millis kRetryMs = 300;
+constexpr Millis kDamagedRetryMs = 10'000;
+
+Claim::Setup claim_setup(const MachineDutyHolder::Setup& setup, Duty duty) {
+    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditions};
+}
+
+}  // namespace
+
+MachineDutyHolder::MachineDutyHolder(const Setup& setup)
+    : setup_(setup),
+      provisioning_(claim_setup(setup, Duty::Provisioning)),
+      reclaiming_(claim_setup(setup, Duty::Reclaiming)),
+      ledger_(setup.guards),
+      intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Known) {}
+
+std::vector<Action> MachineDutyHolder::due(const Moment& moment) {
+    std::vector<Action> out;
+    if (lost()) return out;
+    if (intents_ == InheritedIntents::ReadDue && retry_at_ <= moment.now) {
+        intents_ = InheritedIntents::Reading;
+        out.emplace_back(ReadIntents{last_read_key_});
+    }
+    add_claim_actions(provisioning_, moment, out);
+    add_claim_actions(reclaiming_, moment, out);
+    if (!moment.lease_valid || !moment.records_known || !inherited_known()) return out;
+    const auto provisioning = provisioning_.permit(moment.not_after);
+    const auto reclaiming = reclaiming_.permit(moment.not_after);
+    // While fencing begins, one duty is fenced and the other is not yet.
+    if (!provisioning || !reclaiming || provisioning->fenced() != reclaiming->fenced()) return out;
+    if (provisioning->fenced()) {
+        ledger_.requeue_unfenced();
+        add_intent_actions(*provisioning, *reclaiming, moment, out);
+    } else {
+        ledger_.open_unfenced(moment.now);
+    }
+    add_requests(*provisioning, moment, out);
+    return out;
+}
+
+void MachineDutyHolder::add_claim_actions(Claim& claim, const Moment& moment,
+                                          std::vector<Action>& out) {
+    if (retry_at_ > moment.now) return;
+    claim.retry_damaged_record();
+    if (claim.begin_read()) {
+        out.emplace_back(ReadDuty{claim.duty()});
+        return;
+    }
+    if (!moment.lease_valid) return;
+    if (auto write = claim.begin_write(moment.may_activate)) {
+        out.emplace_back(WriteDuty{claim.duty(), std::move(*write)});
+    }
+}
+
+void MachineDutyHolder::add_intent_actions(const Permit& provisioning, const Permit& reclaiming,
+                                           const Moment& moment, std::vector<Action>& out) {
+    while (auto write = ledger_.next_write(provisioning, reclaiming, moment.limits, moment.now)) {
+        out.emplace_back(std::move(*write));
+    }
+    while (const auto read = ledger_.next_read(moment.now)) out.emplace_back(*read);
+    if (!moment.room_for_writes) return;
+    if (auto removal = ledger_.next_removal(provisioning, moment.limits.operations, moment.now)) {
+        out.emplace_back(std::move(*removal));
+    }
+}
+
+void MachineDutyHolder::add_requests(const Permit& provisioning, const Moment& moment,
+                                     std::vector<Action>& out) {
+    while (auto release = ledger_.next_release(provisioning, moment.now)) {
+        out.emplace_back(std::move(*release));
+    }
+    while (auto provision = ledger_.next_provision(provisioning, moment.now)) {
+        out.emplace_back(std::move(*provision));
+    }
+}
+
+void MachineDutyHolder::on_duty_read(Duty duty, const DutyReadResult& result, Millis now) {
+    claim_to(duty).on_read(result);
+    if (result.outcome == ReadOutcome::Failed) retry_at_ = now + kRetryMs;
+    if (result.outcome == ReadOutcome::Damaged) retry_at_ = now + kDamagedRetryMs;
+}
+
+void MachineDutyHolder::on_duty_written(Duty duty, const WriteResult& result, Millis now) {
+    claim_to(duty).on_written(result);
+    if (result.outcome != WriteOutcome::Written) retry_at_ = now + kRetryMs;
+}
+
+std::vector<std::string> MachineDutyHolder::on_intents_read(const IntentPage& page, Millis now) {
+    std::vector<std::string> machines;
+    if (intents_ != InheritedIntents::Reading) return machines;
+    for (const auto& stored : page.intents) {
+        ledger_.inherit(stored, now);
+        last_read_key_ = stored.key;
+        if (!setup_.guards.inherit) continue;
+        const auto& named = stored.intent.releases;
+        machines.insert(machines.end(), named.begin(), named.end());
+    }
+    const bool more = page.more && !page.intents.empty();
+    intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Known;
+    return machines;
+}
+
+void MachineDutyHolder::on_intents_read_failed(Millis now) {
+    if (intents_ != InheritedIntents::Reading) return;
+    intents_ = InheritedIntents::ReadDue;
+    retry_at_ = now + kRetryMs;
+}
+
+void MachineDutyHolder::on_intent_written(std::uint32_t slot, const WriteResult& result,
+                                          Millis now) {
+    on_fence_checked(ledger_.on_written(slot, result, now), result);
+}
+
+void MachineDutyHolder::on_intents_removed(const std::vector<std::uint32_t>& slots,
+                                           const WriteResult& result, Millis now) {
+    on_fence_checked(ledger_.on_removed(slots, result, now), result);
+}
+
+// Which condition failed shows whether the lease has passed to another controller, or only a
+// duty's record was changed.
+void MachineDutyHolder::on_fence_checked(IntentLedger::FenceCheck check,
+                                         const WriteResult& result) {
+    if (check == IntentLedger::FenceCheck::Intact) return;
+    for (auto* claim : {&provisioning_, &reclaiming_}) {
+        if (result.failed_on(setup_.lease.key)) claim->on_lease_lost();
+        if (result.failed_on(claim->key())) claim->on_record_changed();
+    }
+}
+
+bool MachineDutyHolder::lost() const {
+    return provisioning_.state() == Claim::State::Lost || reclaiming_.state() == Claim::State::Lost;
+}
+
+}  // namespace lichendrift::duty
--- /dev/null
+++ b/src/duty/pending_provision.cpp
@@ -0,0 +1,42 @@
+// Attempts and retries of a provisioning request.
+#include "duty/pending_provision.h"
+
+namespace lichendrift::duty {
+
+namespace {
+
+constexpr Millis kRetryMs = 1000;
+constexpr Millis kSlowRetryMs = 5000;
+constexpr Millis kOutdatedAfterMs = 8000;
+constexpr int kMaxQuickAttempts = 6;  // kRetryMs apart
+constexpr int kMaxInheritedAttempts = 30;
+
+}  // namespace
+
+PendingProvision PendingProvision::inherited(ProvisionRequest request, Millis now) {
+    PendingProvision provision(std::move(request), now);
+    provision.unanswered_ = true;
+    return provision;
+}
+
+bool PendingProvision::awaited() const { return !settled_ && attempts_ <= kMaxQuickAttempts; }
+
+bool PendingProvision::outdated(Millis now) const {
+    return !in_flight_ && !unanswered_ && !settled_ && now - wanted_at_ > kOutdatedAfterMs;
+}
+
+void PendingProvision::begin_attempt() {
+    in_flight_ = true;
+    ++attempts_;
+}
+
+void PendingProvision::on_outcome(CloudOutcome outcome, bool inherited, Millis now) {
+    in_flight_ = false;
+    unanswered_ |= outcome == CloudOutcome::NoAnswer;
+    const bool answered = outcome == CloudOutcome::Done || outcome == CloudOutcome::NoCapacity;
+    const auto max_attempts = inherited ? kMaxInheritedAttempts : kMaxQuickAttempts;
+    settled_ = answered || !unanswered_ || attempts_ > max_attempts;
+    retry_at_ = now + (attempts_ > kMaxQuickAttempts ? kSlowRetryMs : kRetryMs);
+}
+
+}  // namespace lichendrift::duty
--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -176,16 +176,17 @@
 
 // The list of machines lags: what is newer than all that it shows may be missing from it.
 TEST(Cleanup, HintsOfMachinesThatMayBeThereAreKept) {
-    using duty::Verdict;
+    using duty::CleanupDecision;
+    using duty::HintEntry;
     const std::set<std::string> listed{"host-000002", "host-000005"};
-    const auto judged = [&](std::vector<std::string> machines) {
-        return duty::classify(duty::HintEntry{"images/0", 1, true, std::move(machines)}, listed);
+    const auto decision = [&](std::vector<std::string> machines) {
+        return duty::decide(HintEntry{"images/0", 1, true, std::move(machines)}, listed);
     };
-    EXPECT_EQ(judged({"host-000001", "host-000003"}), Verdict::Remove);
-    EXPECT_EQ(judged({"host-000001", "host-000002"}), Verdict::Keep);
-    EXPECT_EQ(judged({"host-000001", "host-000009"}), Verdict::Keep);
-    EXPECT_EQ(duty::classify(duty::HintEntry{"images/0", 1, true, {"host-000001"}}, {}),
-              Verdict::Keep);
+    EXPECT_EQ(decision({"host-000001", "host-000003"}), CleanupDecision::Remove);
+    EXPECT_EQ(decision({"host-000001", "host-000002"}), CleanupDecision::Keep);
+    EXPECT_EQ(decision({"host-000001", "host-000009"}), CleanupDecision::Keep);
+    EXPECT_EQ(duty::decide(HintEntry{"images/0", 1, true, {"host-000001"}}, {}),
+              CleanupDecision::Keep);
 }
 
 }  // namespace
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "duty/machine_holder.h"
+#include "duty/machine_duty_holder.h"
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -136,33 +136,32 @@
 // What was wanted before a trouble of ours is not rented after it: the next plan knows better.
 TEST(Fencing, RentalsNotAskedForAreWithdrawn) {
     for (const bool fence : {true, false}) {
-        duty::MachineHolder holder({"n0", 1, {"leader", 1}, fence, true, {}});
-        duty::MachineHolder::Moment moment;
-        moment.sure = true;
+        duty::MachineDutyHolder holder({"n0", 1, {"leader", 1}, fence, true, {}});
+        duty::MachineDutyHolder::Moment moment;
+        moment.lease_valid = true;
         moment.records_known = true;
         moment.may_activate = true;
-        const auto answer = [&](const duty::MachineHolder::Action& action) {
-            using Holder = duty::MachineHolder;
-            if (const auto* read = std::get_if<Holder::ReadDuty>(&action)) {
-                holder.on_duty_read(read->duty, duty::ReadOutcome::Missing, {}, 0, moment.now);
-            } else if (std::holds_alternative<Holder::ReadIntents>(action)) {
-                holder.on_intents_read(true, {}, false, moment.now);
-            } else if (const auto* write = std::get_if<Holder::WriteDuty>(&action)) {
+        const auto answer = [&](const duty::Action& action) {
+            if (const auto* read = std::get_if<duty::ReadDuty>(&action)) {
+                holder.on_duty_read(read->duty, {duty::ReadOutcome::Missing, {}, 0}, moment.now);
+            } else if (std::holds_alternative<duty::ReadIntents>(action)) {
+                EXPECT_TRUE(holder.on_intents_read({}, moment.now).empty());
+            } else if (const auto* write = std::get_if<duty::WriteDuty>(&action)) {
                 holder.on_duty_written(write->duty, {duty::WriteOutcome::Written, 5, {}},
                                        moment.now);
             }
-            return std::holds_alternative<Holder::RequestProvision>(action);
+            return std::holds_alternative<duty::RequestProvision>(action);
         };
         for (int i = 0; i < 4; ++i) {
             for (const auto& action : holder.due(moment)) answer(action);
         }
         EXPECT_EQ(holder.fenced(), fence);
-        holder.want_provision({"r-1", "box", "a", true, 3}, moment.now);
+        holder.queue_provision({"r-1", "box", "a", true, 3}, moment.now);
         EXPECT_TRUE(holder.ledger().provisioning_in_flight());
-        moment.sure = false;
+        moment.lease_valid = false;
         EXPECT_TRUE(holder.due(moment).empty());
         moment.now += 20'000;
-        moment.sure = true;
+        moment.lease_valid = true;
         for (const auto& action : holder.due(moment)) EXPECT_FALSE(answer(action));
         EXPECT_FALSE(holder.ledger().provisioning_in_flight());
         EXPECT_EQ(holder.ledger().counters().withdrawn, 1U);
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -1,7 +1,7 @@
 // All interleavings, up to a depth, of controllers that lead one after the other, with requests
 // that are lost, late or time out at any point. The controllers run the daemon's own
-// duty::MachineHolder. Their clocks are not trusted at all: one that was replaced goes on acting
-// until a condition tells it, as if it had frozen after every look at the clock.
+// duty::MachineDutyHolder. Their clocks are not trusted at all: one that was replaced goes on
+// acting until a condition tells it, as if it had frozen after every look at the clock.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -9,7 +9,7 @@
 #include <memory>
 #include <unordered_set>
 
-#include "duty/machine_holder.h"
+#include "duty/machine_duty_holder.h"
 
 namespace lichendrift::duty {
 namespace {
@@ -40,7 +40,7 @@
 };
 
 struct Node {
-    std::shared_ptr<const MachineHolder> holder;  // copied on change
+    std::shared_ptr<const MachineDutyHolder> holder;  // copied on change
     std::uint64_t term = 0;
     std::uint64_t lease_revision = 0;
     std::array<bool, kMachines> unusable{};  // wanted back here, or named by an inherited intent
@@ -56,7 +56,7 @@
     std::size_t node = 0;
     std::uint64_t term = 0;
     bool awaited = true;  // its sender still waits for the answer
-    std::shared_ptr<const MachineHolder::Action> action;
+    std::shared_ptr<const Action> action;
 };
 
 struct State {
@@ -167,21 +167,21 @@
         Node node;
         node.term = ++s.terms;
         node.lease_revision = s.leader;
-        MachineHolder::Setup setup;
+        MachineDutyHolder::Setup setup;
         setup.member = "n" + std::to_string(n);
         setup.term = 100 + node.term;
         setup.lease = {"leader", s.leader};
         setup.fencing = true;
         setup.conditions = !broken_.conditions;
         setup.guards = {!broken_.durable_first, !broken_.inherit};
-        node.holder = std::make_shared<MachineHolder>(setup);
+        node.holder = std::make_shared<MachineDutyHolder>(setup);
         s.nodes[n] = node;
     }
 
     static void crash(State& s, std::size_t n) { s.nodes[n] = {}; }
 
-    static std::shared_ptr<MachineHolder> changed(State& s, std::size_t n) {
-        auto holder = std::make_shared<MachineHolder>(*s.nodes[n].holder);
+    static std::shared_ptr<MachineDutyHolder> changed(State& s, std::size_t n) {
+        auto holder = std::make_shared<MachineDutyHolder>(*s.nodes[n].holder);
         s.nodes[n].holder = holder;
         return holder;
     }
@@ -189,25 +189,25 @@
     // Carries out what is due. Reads are answered at once: what they find may be old by the time at
     // which it is acted on, as other events come in between.
     bool step(State& s, std::size_t n) const {
-        MachineHolder::Moment moment;
+        MachineDutyHolder::Moment moment;
         moment.now = kActsAt;
-        moment.sure = true;
+        moment.lease_valid = true;
         moment.records_known = true;
         moment.may_activate = true;
-        moment.idle_writes = true;
+        moment.room_for_writes = true;
         auto actions = changed(s, n)->due(moment);
         for (auto& action : actions) {
-            s.messages.push_back({n, s.nodes[n].term, true,
-                                  std::make_shared<MachineHolder::Action>(std::move(action))});
+            s.messages.push_back(
+                {n, s.nodes[n].term, true, std::make_shared<Action>(std::move(action))});
             if (is_read(*s.messages.back().action)) deliver(s, s.messages.size() - 1);
         }
         return !actions.empty();
     }
 
-    static bool is_read(const MachineHolder::Action& action) {
-        return std::holds_alternative<MachineHolder::ReadDuty>(action) ||
-               std::holds_alternative<MachineHolder::ReadIntents>(action) ||
-               std::holds_alternative<MachineHolder::ReadIntent>(action);
+    static bool is_read(const Action& action) {
+        return std::holds_alternative<ReadDuty>(action) ||
+               std::holds_alternative<ReadIntents>(action) ||
+               std::holds_alternative<ReadIntent>(action);
     }
 
     // Placement is a write under the leader's condition, and only on what is not on its way back.
@@ -226,7 +226,7 @@
         }
         ++node.wishes;
         node.unusable[m] = true;
-        changed(s, n)->want_release(machine(m), true, 0);
+        changed(s, n)->queue_release(machine(m), true, 0);
         return true;
     }
 
@@ -250,13 +250,13 @@
         const auto holder = changed(s, message.node);
         const auto& action = *message.action;
         const WriteResult unknown;
-        if (const auto* write = std::get_if<MachineHolder::WriteDuty>(&action)) {
+        if (const auto* write = std::get_if<WriteDuty>(&action)) {
             holder->on_duty_written(write->duty, unknown, 0);
-        } else if (const auto* intent = std::get_if<MachineHolder::WriteIntent>(&action)) {
+        } else if (const auto* intent = std::get_if<WriteIntent>(&action)) {
             holder->on_intent_written(intent->slot, unknown, 0);
-        } else if (const auto* removal = std::get_if<MachineHolder::RemoveIntents>(&action)) {
+        } else if (const auto* removal = std::get_if<RemoveIntents>(&action)) {
             holder->on_intents_removed(removal->slots, unknown, 0);
-        } else if (const auto* release = std::get_if<MachineHolder::RequestRelease>(&action)) {
+        } else if (const auto* release = std::get_if<RequestRelease>(&action)) {
             const auto outcome = broken_.kept ? CloudOutcome::Done : CloudOutcome::NoAnswer;
             holder->on_released(release->slot, release->request.machines().size(), outcome, 0);
         } else {
@@ -290,48 +290,49 @@
         return {WriteOutcome::Written, s.revision, {}};
     }
 
-    void execute(State& s, const Message& from, const MachineHolder::WriteDuty& action) const {
+    void execute(State& s, const Message& from, const WriteDuty& action) const {
         const auto result = apply(s, action.write);
         if (listens(s, from)) changed(s, from.node)->on_duty_written(action.duty, result, 0);
     }
-    void execute(State& s, const Message& from, const MachineHolder::WriteIntent& action) const {
+    void execute(State& s, const Message& from, const WriteIntent& action) const {
         const auto result = apply(s, action.write);
         if (listens(s, from)) changed(s, from.node)->on_intent_written(action.slot, result, 0);
     }
-    void execute(State& s, const Message& from, const MachineHolder::RemoveIntents& action) const {
+    void execute(State& s, const Message& from, const RemoveIntents& action) const {
         const auto result = apply(s, action.write);
         if (listens(s, from)) changed(s, from.node)->on_intents_removed(action.slots, result, 0);
     }
-    void execute(State& s, const Message& from, const MachineHolder::ReadDuty& action) const {
+    void execute(State& s, const Message& from, const ReadDuty& action) const {
         const auto& record = s.records.at(record_key(action.duty));
         if (!listens(s, from)) return;
         changed(s, from.node)
-            ->on_duty_read(action.duty, ReadOutcome::Found, std::get<DutyRecord>(record.value),
-                           record.revision, 0);
+            ->on_duty_read(
+                action.duty,
+                {ReadOutcome::Found, std::get<DutyRecord>(record.value), record.revision}, 0);
     }
-    void execute(State& s, const Message& from, const MachineHolder::ReadIntent& action) const {
+    void execute(State& s, const Message& from, const ReadIntent& action) const {
         if (!listens(s, from)) return;
         const auto it = s.records.find(intent_key(action.slot));
-        const bool found = it != s.records.end();
-        changed(s, from.node)
-            ->on_intent_read(action.slot, found ? ReadOutcome::Found : ReadOutcome::Missing,
-                             found ? std::get<Intent>(it->second.value) : Intent{},
-                             found ? it->second.revision : 0, 0);
+        IntentReadResult result{ReadOutcome::Missing, {}, 0};
+        if (it != s.records.end()) {
+            result = {ReadOutcome::Found, std::get<Intent>(it->second.value), it->second.revision};
+        }
+        changed(s, from.node)->on_intent_read(action.slot, result, 0);
     }
-    void execute(State& s, const Message& from, const MachineHolder::ReadIntents& /*all*/) const {
+    void execute(State& s, const Message& from, const ReadIntents& /*all*/) const {
         if (!listens(s, from)) return;
-        std::vector<StoredIntent> page;
+        IntentPage page;
         for (const auto& [key, record] : s.records) {
             if (!key.starts_with(kIntentPrefix)) continue;
-            page.push_back({key, record.revision, false, std::get<Intent>(record.value)});
+            page.intents.push_back({key, record.revision, false, std::get<Intent>(record.value)});
         }
-        const auto named = changed(s, from.node)->on_intents_read(true, page, false, 0);
+        const auto named = changed(s, from.node)->on_intents_read(page, 0);
         for (std::size_t m = 0; m < kMachines; ++m) {
             const bool is = std::find(named.begin(), named.end(), machine(m)) != named.end();
             if (is) s.nodes[from.node].unusable[m] = true;
         }
     }
-    void execute(State& s, const Message& from, const MachineHolder::RequestRelease& action) const {
+    void execute(State& s, const Message& from, const RequestRelease& action) const {
         for (std::size_t m = 0; m < kMachines; ++m) {
             const auto& names = action.request.machines();
             if (std::find(names.begin(), names.end(), machine(m)) == names.end()) continue;
@@ -344,7 +345,7 @@
         changed(s, from.node)
             ->on_released(action.slot, action.request.machines().size(), CloudOutcome::Done, 0);
     }
-    void execute(State&, const Message&, const MachineHolder::RequestProvision&) const {}
+    void execute(State&, const Message&, const RequestProvision&) const {}
 
     Limits limits_;
     Broken broken_;
