--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -1,92 +1,51 @@
 #pragma once
 
+/// @file
+/// Which controller cleans up.
+
 #include <memory>
 #include <optional>
 
-#include "cloud/cloud_client.h"
-#include "control/job_watcher.h"
-#include "control/settings.h"
-#include "duty/claim.h"
-#include "duty/cleanup.h"
-#include "events/event.h"
+#include "control/cleanup_rounds.h"
+#include "control/cleanup_tenure.h"
 
 namespace lichendrift::control {
 
-// What a cleaner needs of its controller.
-class CleanerHost {
-  public:
-    virtual ~CleanerHost() = default;
-    [[nodiscard]] virtual bool leading() const = 0;
-    // Whether every controller is known to have fenced duties switched on.
-    [[nodiscard]] virtual bool peers_fence_duties() const = 0;
-    virtual void log(const events::Event& event) = 0;
-};
-
-// The duty of cleaning up: held by one controller, preferably not the leader, under a lease of its
-// own. Looks at stored records page by page and removes what is certainly of no use.
-class Cleaner {
+/// Takes part in the election for the cleanup duty, which one controller holds, preferably not the
+/// leader. Lives as long as its controller; what belongs to one tenure is in CleanupTenure and
+/// CleanupRounds.
+class Cleaner : private CleanupTenureListener {
   public:
-    Cleaner(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
-            cloud::CloudClient& cloud, JobWatcher& job_watcher, CleanerHost& host);
+    /// Does nothing before start().
+    explicit Cleaner(const CleanerServices& services) : services_(services) {}
 
+    /// Begins to poll for a vacancy, if the settings have cleaning up switched on.
     void start();
-    // Gives the duty up at once, for another controller to take.
+    /// Gives the duty up at once, for another controller to take.
     void hand_over();
-    // The process ends: hands over, and takes nothing up again.
+    /// The process ends: hands over, and does not campaign again.
     void stop();
-    [[nodiscard]] bool holds() const { return claim_ && claim_->held(); }
-    // Placement records that belong to no job: there should be none.
-    [[nodiscard]] std::uint64_t suspicious() const { return suspicious_; }
+    /// Whether this controller holds the duty.
+    [[nodiscard]] bool holds_duty() const { return tenure_ && tenure_->held(); }
+    /// Placement records seen that belong to no job: there should be none.
+    [[nodiscard]] std::uint64_t suspicious_records() const { return counters_.suspicious; }
 
   private:
-    // A page of placement records, with what is learned of their jobs.
-    struct Page {
-        std::vector<duty::PlacementEntry> entries;
-        std::vector<std::string> jobs;  // of these, the terminal states are to be read
-        std::map<std::string, duty::KnownJobState> states;
-        std::map<std::string, duty::RecordVersion> proofs;
-    };
-
-    void look();
-    [[nodiscard]] bool should_stand() const;
-    void ask_lease();
-    void take_lease(std::uint64_t lease, Millis sent);
-    void won(std::uint64_t lease, Millis sent, std::uint64_t revision);
-    void claim();
-    void read_duty();
-    void write_duty();
-    void renew();
-    void lose(events::DutyEnd how);
-    [[nodiscard]] std::optional<duty::Permit> permit();
-
-    void next_page_soon();
-    void next_page();
-    void read_placements();
-    void choose_placements(const wire::ItemPage& read);
-    void read_terminal_states(const std::shared_ptr<Page>& page, std::size_t at);
-    void check_placements(const Page& page);
-    void read_hints();
-    void check_hints(const std::vector<duty::HintEntry>& hints,
-                     const std::set<std::string>& listed);
-    void remove(duty::RemovalPlan plan);
-    void end_round();
-
-    net::Runtime& runtime_;
-    const Settings& settings_;
-    store::StoreClient& store_;
-    cloud::CloudClient& cloud_;
-    JobWatcher& job_watcher_;
-    CleanerHost& host_;
-    std::optional<duty::Claim> claim_;
-    std::uint64_t term_ = 0;  // of the lease; callbacks of earlier ones end
-    std::uint64_t lease_ = 0;
-    Millis valid_until_ = 0;
-    Millis vacant_since_ = -1;  // since when nobody was seen to hold the duty; -1: somebody does
-    std::string placements_since_;
-    bool hints_due_ = false;
-    Millis round_begins_ = 0;
-    std::uint64_t removed_ = 0;
-    std::uint64_t suspicious_ = 0;
+    void poll_for_vacancy();
+    void on_lease_key_read(store::Outcome outcome);
+    [[nodiscard]] bool should_campaign() const;
+    void create_lease();
+    void write_lease_key(std::uint64_t lease, Millis requested_at);
+    void on_lease_acquired(const CleanupTenure::Lease& lease);
+
+    // CleanupTenureListener.
+    void on_duty_acquired() override;
+    void on_duty_ended(events::DutyEnd how, duty::Epoch epoch) override;
+
+    CleanerServices services_;
+    std::shared_ptr<CleanupTenure> tenure_;  // null: another controller's turn
+    CleanupCounters counters_;
+    std::optional<Millis> vacant_since_;  // nothing: another controller was seen to hold the lease
     bool stopped_ = false;
 };
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -38,7 +38,8 @@
       cloud_(runtime, settings_.cloud, settings_.cloud_rps),
       job_watcher_(runtime, store_),
       users_(runtime, settings_, store_, job_watcher_),
-      cleaner_(runtime, settings_, store_, cloud_, job_watcher_, static_cast<CleanerHost&>(*this)) {
+      cleaner_(
+          {runtime, settings_, store_, cloud_, job_watcher_, static_cast<CleanerHost&>(*this)}) {
     store_.set_share(follower_share(settings_));
     outboxes_.resize(settings_.peers.size());
     peer_is_current_.resize(settings_.peers.size());
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -30,8 +30,8 @@
     [[nodiscard]] bool knows_machine(const std::string& name) const {
         return leader_ && leader_->knows_machine(name);
     }
-    [[nodiscard]] bool cleans_up() const { return cleaner_.holds(); }
-    [[nodiscard]] std::uint64_t suspicious_records() const { return cleaner_.suspicious(); }
+    [[nodiscard]] bool cleans_up() const { return cleaner_.holds_duty(); }
+    [[nodiscard]] std::uint64_t suspicious_records() const { return cleaner_.suspicious_records(); }
     [[nodiscard]] std::uint64_t token() const { return leader_ ? leader_->token() : 0; }
 
   private:
