--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -87,8 +87,8 @@
     }
 }
 
-// A controller's copy of the open jobs may be older than the page of records that it looks at: jobs
-// that were accepted in between were taken for none.
+// A controller's copy of the open jobs may be older than the page of records that it reads: jobs
+// that were accepted in between must not be taken for jobs that never existed.
 TEST(Cleanup, RecordsOfJobsJustAcceptedAreNotSuspicious) {
     for (std::uint64_t seed = 24; seed < 27; ++seed) {
         auto options = cleaning(seed);
@@ -99,7 +99,7 @@
             simulation.jobs().push_back(
                 plain(numbered(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
         }
-        // Users' questions would bring the copy up.
+        // Requests of users would bring the copy up to date.
         simulation.at(18'000, [&] {
             simulation.cut(node_name(*cleaner(simulation)), "user", 60'000, false);
         });
@@ -127,7 +127,7 @@
     }
 }
 
-TEST(Cleanup, HandsOverAtOnceWhenItsControllerEndsInGoodOrderOrLeads) {
+TEST(Cleanup, HandsOverAtOnceWhenItsControllerEndsInGoodOrderOrBecomesLeader) {
     Simulation simulation(cleaning(40));
     simulation.advance(30'000);
     const auto first = cleaner(simulation);
@@ -137,7 +137,7 @@
     const auto second = cleaner(simulation);
     ASSERT_TRUE(second);
     EXPECT_NE(second, first);
-    // The leader ends: now and then the one that cleans up comes to lead, and gives it up.
+    // The leader ends: now and then the controller that cleans up becomes leader, and hands over.
     for (int round = 0; round < 6; ++round) {
         simulation.crash(*simulation.leader(), 500);
         simulation.advance(simulation.now() + 45'000);
@@ -147,7 +147,7 @@
     }
 }
 
-// Frozen in the middle of a page, with the removal held up, until another controller cleans up.
+// Frozen in the middle of a page, with the removal delayed, until another controller cleans up.
 TEST(Cleanup, ARemovalOfAReplacedHolderIsRefused) {
     auto options = cleaning(50);
     options.features.cleanup_page_s = 30;
@@ -174,7 +174,7 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// The list of machines lags: what is newer than all that it shows may be missing from it.
+// The list of machines lags: a machine newer than all that it shows may be missing from it.
 TEST(Cleanup, HintsOfMachinesThatMayBeThereAreKept) {
     using duty::CleanupDecision;
     using duty::HintEntry;
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -1,10 +1,11 @@
-// Fenced duties under special conditions: an older version leads in between, limits fall, large
-// fleets, damaged records; and what fencing costs.
+// Fenced duties under special conditions: a leader of an older version in between, limits that
+// fall, large fleets, damaged records; and what fencing costs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
 #include "duty/machine_duty_holder.h"
+#include "simulation/duty_requests.h"
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -22,21 +23,23 @@
 }
 
 std::size_t machines_left(Simulation& simulation) {
-    return static_cast<std::size_t>(std::count_if(simulation.workers().begin(),
-                                                  simulation.workers().end(),
-                                                  [](const auto& w) { return !w.second.gone; }));
+    return static_cast<std::size_t>(
+        std::count_if(simulation.workers().begin(), simulation.workers().end(),
+                      [](const auto& entry) { return !entry.second.gone; }));
 }
 
 std::size_t intents_stored(Simulation& simulation) {
-    std::size_t n = 0;
-    for (const auto& [key, entry] : simulation.store()) n += key.starts_with("intent/") ? 1 : 0;
-    return n;
+    std::size_t count = 0;
+    for (const auto& [key, entry] : simulation.store()) {
+        if (key.starts_with("intent/")) ++count;
+    }
+    return count;
 }
 
 class FencedRollout : public ::testing::TestWithParam<int> {};
 
-// The version in production leads before, between and after; nothing that either leaves may harm
-// the other. Leaders end again and again in the middle of what they do.
+// Leaders are of the version in production before, between and after; nothing that either version
+// leaves may harm the other. Leaders freeze again and again in the middle of what they do.
 TEST_P(FencedRollout, KeepsTheRulesThereAndBack) {
     for (std::uint64_t i = 0; i < 8; ++i) {
         const auto seed = 70'000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
@@ -119,9 +122,7 @@
             }
         });
         simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
-            const bool writes = request.target == "/txn" &&
-                                request.body.find("\"set\":\"intent/") != std::string::npos;
-            if (ended || !writes || simulation.now() < 9000) return;
+            if (ended || !writes_intent(request) || simulation.now() < 9000) return;
             ended = true;
             simulation.slow_state(700, 12'000);
             simulation.cut(node_name(node), "cloud", 3000, false);
@@ -133,8 +134,9 @@
     }
 }
 
-// What was wanted before a trouble of ours is not rented after it: the next plan knows better.
-TEST(Fencing, RentalsNotAskedForAreWithdrawn) {
+// What was wanted before the leader lost its lease for a while is not provisioned after it: the
+// next plan knows better.
+TEST(Fencing, ProvisionsNotSentInTimeAreWithdrawn) {
     for (const bool fence : {true, false}) {
         duty::MachineDutyHolder holder({"n0", 1, {"leader", 1}, fence, true, {}});
         duty::MachineDutyHolder::Moment moment;
@@ -178,7 +180,7 @@
         Simulation simulation(options);
         bool fell = false;
         simulation.observe([&](std::size_t, const net::HttpRequest& request) {
-            if (fell || request.target != "/rentals/return") return;
+            if (fell || !is_release(request)) return;
             fell = true;
             simulation.cloud_outage(3000);
             simulation.at(simulation.now() + after, [&] { simulation.limit_state(); });
@@ -205,11 +207,8 @@
     Millis last = -1;
     std::size_t intents = 0;
     simulation.observe([&](std::size_t, const net::HttpRequest& request) {
-        intents +=
-            request.target == "/txn" && request.body.find("\"set\":\"intent/") != std::string::npos
-                ? 1
-                : 0;
-        if (request.target != "/rentals/return") return;
+        if (writes_intent(request)) ++intents;
+        if (!is_release(request)) return;
         if (first < 0) {
             first = simulation.now();
             simulation.at(first + 8000, [&] { simulation.crash(*simulation.leader(), 2000); });
@@ -244,7 +243,7 @@
 }
 
 // Without its epoch a duty is not done; jobs go on on the machines that are there.
-TEST(Fencing, NothingIsRentedUnderADamagedDutyRecordUntilItIsRepaired) {
+TEST(Fencing, NothingIsProvisionedUnderADamagedDutyRecordUntilItIsRepaired) {
     Simulation simulation(fenced(75'100, 2));
     simulation.advance(5000);
     const auto good = simulation.store()["duty/provisioning"].first;
@@ -266,7 +265,7 @@
 struct Cost {
     double writes = 0;
     double requests = 0;
-    std::size_t machines = 0;  // rented and released
+    std::size_t machines = 0;  // provisioned and released
 };
 
 Cost cost_of(bool with_fence, std::uint64_t seed) {
@@ -287,7 +286,7 @@
             static_cast<double>(simulation.state_requests()), simulation.workers().size()};
 }
 
-// Changes of the state service are the scarcest thing.
+// The rate limit on writes of the state service is the tightest one.
 TEST(Fencing, CostsFewChangesForAMachine) {
     double more_writes = 0;
     double more_requests = 0;
@@ -313,7 +312,7 @@
         Millis acted = -1;
         std::size_t holder = 0;
         simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
-            if (request.target != "/rentals/return") return;
+            if (!is_release(request)) return;
             if (ended < 0) {
                 ended = simulation.now();
                 holder = node;
--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -1,9 +1,10 @@
 // Real controllers over loopback, stopped and continued by signals again and again while machines
-// come and go: no act of a replaced holder may touch a machine in use.
+// come and go: no act of a replaced holder may affect a machine in use.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 
+#include "simulation/duty_requests.h"
 #include "simulation/loopback_environment.h"
 #include "simulation/messages.h"
 
@@ -13,7 +14,7 @@
 constexpr Millis kPatience = 60'000;  // also on a machine that is busy with other things
 constexpr Millis kDisturbEvery = 4000;
 
-Options environment(std::uint64_t seed) {
+Options settings_of(std::uint64_t seed) {
     auto options = calm(seed);
     options.report_s = 0.4;
     options.lease_s = 6;
@@ -58,28 +59,24 @@
 
 TEST_P(FencedLoopback, StoppedAndContinuedInMidAct) {
     const auto seed = static_cast<std::uint64_t>(GetParam());
-    LoopbackEnvironment environment_(environment(seed), LICHENDRIFT_DEPLOYED_FEATURES);
-    auto& simulation = environment_.simulation();
+    LoopbackEnvironment environment(settings_of(seed), LICHENDRIFT_DEPLOYED_FEATURES);
+    auto& simulation = environment.simulation();
     simulation.set_capacity(8);
     simulation.set_boot(400);
     simulation.set_never(0);
     std::mt19937_64 rng(seed);
     ASSERT_TRUE(
-        environment_.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
+        environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
 
-    // In the middle of what it asks for, the leader stops; what it asked for comes late.
+    // In the middle of an act the leader is stopped; its request arrives late.
     bool armed = false;
     bool at_release = false;  // or else at the first act of any kind
     std::optional<std::size_t> stopped;
-    environment_.delay([&](std::size_t node, const net::HttpRequest& request) -> Millis {
-        const bool asks = request.target == "/rentals/return" ||
-                          (request.target == "/rentals" && request.method == "POST");
-        const bool writes =
-            request.target == "/txn" && request.body.find("\"set\":\"intent/") != std::string::npos;
-        const bool releases = request.target == "/rentals/return";
-        const bool wanted = at_release ? releases : asks || writes;
+    environment.delay([&](std::size_t node, const net::HttpRequest& request) -> Millis {
+        const bool any_act = is_release(request) || is_provision(request) || writes_intent(request);
+        const bool wanted = at_release ? is_release(request) : any_act;
         if (!armed || stopped || !wanted) return 0;
-        environment_.stop(node);
+        environment.stop(node);
         stopped = node;
         // Mostly until after the successor has begun.
         return rng() % 4 == 0 ? 0 : 2500 + static_cast<Millis>(rng() % 3000);
@@ -102,23 +99,23 @@
         bool found = false;
         for (Millis waited = 0; !found && waited < kPatience; waited += kDisturbEvery) {
             disturb_machines(simulation, rng);
-            found = environment_.run_until(is_stopped, kDisturbEvery);
+            found = environment.run_until(is_stopped, kDisturbEvery);
         }
         ASSERT_TRUE(found);
         add_jobs();
-        ASSERT_TRUE(environment_.run_until([&] { return provisioning_epoch(simulation) > epoch; },
-                                           kPatience));
+        ASSERT_TRUE(environment.run_until([&] { return provisioning_epoch(simulation) > epoch; },
+                                          kPatience));
         armed = false;
-        environment_.run_for(static_cast<Millis>(rng() % 400));
-        environment_.resume(*stopped);
+        environment.run_for(static_cast<Millis>(rng() % 400));
+        environment.resume(*stopped);
         stopped.reset();
     }
     const auto all_done = [&] {
         return std::all_of(simulation.jobs().begin(), simulation.jobs().end(),
                            [](const Job& job) { return job.done_reported; });
     };
-    EXPECT_TRUE(environment_.run_until([&] { return all_done() || !simulation.broken().empty(); },
-                                       kPatience + 30'000));
+    EXPECT_TRUE(environment.run_until([&] { return all_done() || !simulation.broken().empty(); },
+                                      kPatience + 30'000));
     for (const auto& job : simulation.jobs()) {
         if (job.done_reported) continue;
         ADD_FAILURE() << job.id << " submitted " << job.submitted << " at " << job.submit_at
@@ -133,17 +130,17 @@
 }
 INSTANTIATE_TEST_SUITE_P(Runs, FencedLoopback, ::testing::Range(1, 5));
 
-// On a signal to end it gives up what it holds: nobody waits for its leases.
-TEST(DutiesOnLoopback, AreHandedOverByAControllerThatIsAskedToEnd) {
-    LoopbackEnvironment environment_(environment(9), LICHENDRIFT_DEPLOYED_FEATURES);
-    auto& simulation = environment_.simulation();
+// On a signal to end a controller releases its leases: nobody waits for them to expire.
+TEST(DutiesOnLoopback, AreHandedOverByAControllerThatIsTerminated) {
+    LoopbackEnvironment environment(settings_of(9), LICHENDRIFT_DEPLOYED_FEATURES);
+    auto& simulation = environment.simulation();
     ASSERT_TRUE(
-        environment_.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
+        environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
     const auto first = leading(simulation);
     ASSERT_TRUE(first);
-    EXPECT_TRUE(environment_.terminate(*first, kPatience));
+    EXPECT_TRUE(environment.terminate(*first, kPatience));
     ASSERT_TRUE(
-        environment_.run_until([&] { return provisioning_epoch(simulation) == 2; }, kPatience));
+        environment.run_until([&] { return provisioning_epoch(simulation) == 2; }, kPatience));
     EXPECT_NE(leading(simulation), first);
     EXPECT_EQ(simulation.broken(), "");
 }
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -1,9 +1,10 @@
 // Fenced duties in virtual time: controllers freeze, resume, end and are replaced in the middle of
-// rentals, releases and cleaning up. No act of a replaced holder may touch a machine in use.
+// provisioning, releases and cleaning up. No act of a replaced holder may affect a machine in use.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 
+#include "simulation/duty_requests.h"
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -25,8 +26,8 @@
     return options;
 }
 
-// The leader mostly, or any controller, stands still for less or more than its lease; at times what
-// it sends to the cloud is held up as well, as if it were in the kernel or on its way.
+// Mostly the leader, or any controller, freezes for less or more than its lease; at times its
+// requests to the cloud are delayed as well, as if they were in the kernel or on their way.
 void freeze_again_and_again(Simulation& simulation, std::mt19937_64& rng, Millis from,
                             Millis until) {
     for (Millis t = from; t < until; t += 1000 + static_cast<Millis>(rng() % 2000)) {
@@ -55,16 +56,17 @@
     }
 }
 
-// At times the leader stands still for longer than its lease just as a request leaves, and the
-// network holds that request for up to a minute, or an intent is on its way to the state service.
+// At times the leader freezes for longer than its lease just as a request leaves, and the network
+// delays that request for up to a minute, or an intent is on its way to the state service.
 void freeze_in_mid_act(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     simulation.observe(
         [&simulation, &rng, until](std::size_t node, const net::HttpRequest& request) {
-            const bool asks = request.target.starts_with("/rentals") && request.method == "POST";
-            const bool writes =
+            const bool to_cloud = is_release(request) || is_provision(request);
+            const bool concerns_intent =
                 request.target == "/txn" && request.body.find("intent/") != std::string::npos;
-            if ((!asks && !writes) || simulation.now() > until || rng() % 3 != 0) return;
-            if (asks) {
+            if ((!to_cloud && !concerns_intent) || simulation.now() > until || rng() % 3 != 0)
+                return;
+            if (to_cloud) {
                 simulation.cut(node_name(node), "cloud", 5000 + static_cast<Millis>(rng() % 40'000),
                                true);
             }
@@ -111,14 +113,14 @@
 }
 INSTANTIATE_TEST_SUITE_P(Days, FencedDay, ::testing::Range(0, 8));
 
-// Each guard is needed: without it some day shows what it guards against.
+// Each guard is needed: without it some day breaks the rule that it protects.
 struct BrokenFence {
     const char* name;
     bool core::Guards::*guard;
 };
 
-// Machines stand idle between waves of jobs and are released; just then the leader freezes, its
-// request is held up, and the next wave finds another leader.
+// Machines are idle between waves of jobs and are released; just then the leader freezes, its
+// request is delayed, and the next wave finds another leader.
 void idle_between_waves(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
@@ -131,8 +133,7 @@
     }
     simulation.observe([&simulation, &rng, until](std::size_t node,
                                                   const net::HttpRequest& request) {
-        if (request.target != "/rentals/return" || simulation.now() > until || rng() % 2 == 0)
-            return;
+        if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
         simulation.cut(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000), true);
         simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
     });
@@ -178,14 +179,14 @@
 
 // ---- hard cases ----
 
-// A fleet that stands idle until its leader releases machines. At that moment a script brings a
-// fault, and soon after a burst of jobs needs every machine that there is.
+// A fleet that is idle until its leader releases machines. At that moment a script injects a fault,
+// and soon after a burst of jobs needs every machine that there is.
 struct HardCase {
     const char* name;
     // `act`: the request that the leader is sending, to the cloud or, for an intent, to the state
     // service.
     enum class When : std::uint8_t { ReleaseRequested, IntentWritten, ProvisionRequested } when;
-    void (*bring)(Simulation& simulation, std::size_t leader);
+    void (*inject)(Simulation& simulation, std::size_t leader);
     Millis burst_after = 5000;
     bool core::Guards::*guard = nullptr;  // without it the case breaks a rule
 };
@@ -208,12 +209,11 @@
 bool matches(HardCase::When when, const net::HttpRequest& request) {
     switch (when) {
         case HardCase::When::ReleaseRequested:
-            return request.target == "/rentals/return";
+            return is_release(request);
         case HardCase::When::IntentWritten:
-            return request.target == "/txn" &&
-                   request.body.find("\"set\":\"intent/") != std::string::npos;
+            return writes_intent(request);
         case HardCase::When::ProvisionRequested:
-            return request.target == "/rentals" && request.method == "POST";
+            return is_provision(request);
     }
     return false;
 }
@@ -226,35 +226,35 @@
     }
 }
 
-// What the day breaks; `after` looks at the world at its end.
+// Which rule the day breaks; `after` inspects the simulation at its end.
 std::string play(const HardCase& hard, const Options& options,
                  const std::function<void(Simulation&)>& after = nullptr) {
     Simulation simulation(options);
     simulation.set_capacity(static_cast<int>(kFleet));
     if (options.machines > 0) simulation.jobs().push_back(plain(numbered(1), 1, 2, 1000));
-    bool brought = false;
+    bool injected = false;
     simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
-        if (brought || simulation.now() < kIdleFrom || !matches(hard.when, request)) return;
-        brought = true;
-        hard.bring(simulation, node);
+        if (injected || simulation.now() < kIdleFrom || !matches(hard.when, request)) return;
+        injected = true;
+        hard.inject(simulation, node);
         if (hard.when != HardCase::When::ProvisionRequested) {
             submit_burst(simulation, simulation.now() + hard.burst_after);
         }
     });
     if (hard.when == HardCase::When::ProvisionRequested) submit_burst(simulation, kIdleFrom + 1000);
     auto broken = simulation.run();
-    EXPECT_TRUE(brought) << hard.name << ", seed " << options.seed;
+    EXPECT_TRUE(injected) << hard.name << ", seed " << options.seed;
     if (after) after(simulation);
     return broken;
 }
 
-void hold_and_freeze(Simulation& simulation, std::size_t leader) {
+void delay_and_freeze(Simulation& simulation, std::size_t leader) {
     simulation.cut(node_name(leader), "cloud", 14'000, true);
     simulation.freeze(leader, 9000);
 }
 
 const HardCase kHardCases[] = {
-    {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseRequested, hold_and_freeze, 4500,
+    {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseRequested, delay_and_freeze, 4500,
      &core::Guards::intent_first},
     {"FrozenWhileTheIntentIsWritten", HardCase::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
@@ -265,7 +265,7 @@
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
      9000, &core::Guards::intent_kept},
-    {"HeldByTheNetworkForMinutes", HardCase::When::ReleaseRequested,
+    {"DelayedByTheNetworkForMinutes", HardCase::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cut(node_name(leader), "cloud", 75'000, true);
          simulation.freeze(leader, 9000);
@@ -273,15 +273,15 @@
      68'000},
     {"TwoHoldersReplacedOneAfterTheOther", HardCase::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         hold_and_freeze(simulation, leader);
+         delay_and_freeze(simulation, leader);
          simulation.at(simulation.now() + 5500, [&simulation] {
-             if (const auto next = simulation.leader()) hold_and_freeze(simulation, *next);
+             if (const auto next = simulation.leader()) delay_and_freeze(simulation, *next);
          });
      },
      9500},
     {"SuccessorEndsBeforeItHasFinished", HardCase::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         hold_and_freeze(simulation, leader);
+         delay_and_freeze(simulation, leader);
          const auto ended = std::make_shared<bool>(false);
          simulation.observe(
              [&simulation, ended](std::size_t node, const net::HttpRequest& request) {
@@ -318,15 +318,15 @@
          simulation.at(simulation.now() + 5000,
                        [&simulation, leader] { simulation.freeze(leader, 6000); });
      }},
-    {"RentalUnanswered", HardCase::When::ProvisionRequested, hold_and_freeze},
-    {"RentalInPartAndUnanswered", HardCase::When::ProvisionRequested,
+    {"ProvisionUnanswered", HardCase::When::ProvisionRequested, delay_and_freeze},
+    {"ProvisionedInPartAndUnanswered", HardCase::When::ProvisionRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.set_capacity(static_cast<int>(kFleet) - 3);
          simulation.lose_cloud_answers(1.0, 6000);
          simulation.at(simulation.now() + 300,
                        [&simulation, leader] { simulation.freeze(leader, 6000); });
      }},
-    {"RentalIntentOnItsWay", HardCase::When::IntentWritten,
+    {"ProvisionIntentOnItsWay", HardCase::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) {
          simulation.late_writes(1.0, 800);
          simulation.at(simulation.now() + 400,
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -20,12 +20,12 @@
 struct Limits {
     std::size_t controllers = 2;
     std::uint64_t terms = 2;
-    std::size_t wishes = 1;  // releases wanted by each leader
+    std::size_t releases = 1;  // that each leader decides on
     int depth = 13;
     bool begun = true;  // from where the first leader holds both duties
 };
 
-// What is switched off, one at a time.
+// Guards that are switched off, one at a time.
 struct Broken {
     bool conditions = false;
     bool durable_first = false;
@@ -43,11 +43,12 @@
     std::shared_ptr<const MachineDutyHolder> holder;  // copied on change
     std::uint64_t term = 0;
     std::uint64_t lease_revision = 0;
-    std::array<bool, kMachines> unusable{};  // wanted back here, or named by an inherited intent
-    std::size_t wishes = 0;
-    bool operator==(const Node& o) const {
-        return term == o.term && unusable == o.unusable && wishes == o.wishes &&
-               (holder == nullptr) == (o.holder == nullptr) && (!holder || *holder == *o.holder);
+    std::array<bool, kMachines> unusable{};  // to be released here, or named by an inherited intent
+    std::size_t releases = 0;
+    bool operator==(const Node& other) const {
+        return term == other.term && unusable == other.unusable && releases == other.releases &&
+               (holder == nullptr) == (other.holder == nullptr) &&
+               (!holder || *holder == *other.holder);
     }
 };
 
@@ -70,17 +71,17 @@
     std::vector<Message> messages;
     std::string broken;
 
-    bool operator==(const State& o) const {
-        if (revision != o.revision || leader != o.leader || terms != o.terms ||
-            used_by != o.used_by || gone != o.gone || records != o.records || nodes != o.nodes ||
-            messages.size() != o.messages.size()) {
+    bool operator==(const State& other) const {
+        if (revision != other.revision || leader != other.leader || terms != other.terms ||
+            used_by != other.used_by || gone != other.gone || records != other.records ||
+            nodes != other.nodes || messages.size() != other.messages.size()) {
             return false;
         }
         for (std::size_t i = 0; i < messages.size(); ++i) {
-            const auto& a = messages[i];
-            const auto& b = o.messages[i];
-            if (a.node != b.node || a.term != b.term || a.awaited != b.awaited ||
-                a.action->index() != b.action->index()) {
+            const auto& left = messages[i];
+            const auto& right = other.messages[i];
+            if (left.node != right.node || left.term != right.term ||
+                left.awaited != right.awaited || left.action->index() != right.action->index()) {
                 return false;
             }
         }
@@ -89,18 +90,20 @@
 };
 
 struct Hash {
-    std::size_t operator()(const State& s) const {
-        std::size_t h = s.revision * 31 + s.leader * 7 + s.terms;
-        const auto mix = [&h](std::size_t v) { h = h * 1'000'003 + v; };
-        for (const auto& m : s.messages)
-            mix(m.node * 64 + m.action->index() * 2 + (m.awaited ? 1 : 0));
-        for (std::size_t i = 0; i < kMachines; ++i) mix(s.used_by[i] * 2 + (s.gone[i] ? 1 : 0));
-        for (const auto& n : s.nodes) mix(n.term * 8 + n.wishes * 4 + (n.unusable[0] ? 1 : 0));
-        return h;
+    std::size_t operator()(const State& state) const {
+        std::size_t hash = state.revision * 31 + state.leader * 7 + state.terms;
+        const auto mix = [&hash](std::size_t value) { hash = hash * 1'000'003 + value; };
+        for (const auto& message : state.messages)
+            mix(message.node * 64 + message.action->index() * 2 + (message.awaited ? 1 : 0));
+        for (std::size_t i = 0; i < kMachines; ++i)
+            mix(state.used_by[i] * 2 + (state.gone[i] ? 1 : 0));
+        for (const auto& node : state.nodes)
+            mix(node.term * 8 + node.releases * 4 + (node.unusable[0] ? 1 : 0));
+        return hash;
     }
 };
 
-std::string machine(std::size_t i) { return "host-" + std::to_string(i); }
+std::string machine(std::size_t index) { return "host-" + std::to_string(index); }
 
 class Explorer {
   public:
@@ -131,75 +134,76 @@
     [[nodiscard]] std::size_t states() const { return seen_.size(); }
 
   private:
-    void begin(State& s) const {
-        elect(s, 0);
-        while (!s.nodes[0].holder->fenced()) {
-            step(s, 0);
-            while (!s.messages.empty()) deliver(s, 0);
+    void begin(State& state) const {
+        elect(state, 0);
+        while (!state.nodes[0].holder->fenced()) {
+            step(state, 0);
+            while (!state.messages.empty()) deliver(state, 0);
         }
     }
 
-    std::vector<State> successors(const State& s) {
+    std::vector<State> successors(const State& state) {
         std::vector<State> out;
         // The lease ends: its holder does not learn of it.
-        if (s.leader != 0) out.emplace_back(s).leader = 0;
-        for (std::size_t n = 0; n < s.nodes.size(); ++n) {
-            if (!s.nodes[n].holder) {
-                if (s.leader == 0 && s.terms < limits_.terms) elect(out.emplace_back(s), n);
+        if (state.leader != 0) out.emplace_back(state).leader = 0;
+        for (std::size_t n = 0; n < state.nodes.size(); ++n) {
+            if (!state.nodes[n].holder) {
+                if (state.leader == 0 && state.terms < limits_.terms)
+                    elect(out.emplace_back(state), n);
                 continue;
             }
-            crash(out.emplace_back(s), n);
-            if (!step(out.emplace_back(s), n)) out.pop_back();
+            crash(out.emplace_back(state), n);
+            if (!step(out.emplace_back(state), n)) out.pop_back();
             for (std::size_t m = 0; m < kMachines; ++m) {
-                if (!place(out.emplace_back(s), n, m)) out.pop_back();
-                if (!wish(out.emplace_back(s), n, m)) out.pop_back();
+                if (!place(out.emplace_back(state), n, m)) out.pop_back();
+                if (!decide_release(out.emplace_back(state), n, m)) out.pop_back();
             }
         }
-        for (std::size_t i = 0; i < s.messages.size(); ++i) {
-            deliver(out.emplace_back(s), i);
-            if (s.messages[i].awaited && !time_out(out.emplace_back(s), i)) out.pop_back();
+        for (std::size_t i = 0; i < state.messages.size(); ++i) {
+            deliver(out.emplace_back(state), i);
+            if (state.messages[i].awaited && !time_out(out.emplace_back(state), i)) out.pop_back();
         }
         return out;
     }
 
-    void elect(State& s, std::size_t n) const {
-        s.leader = ++s.revision;
+    void elect(State& state, std::size_t node_index) const {
+        state.leader = ++state.revision;
         Node node;
-        node.term = ++s.terms;
-        node.lease_revision = s.leader;
+        node.term = ++state.terms;
+        node.lease_revision = state.leader;
         MachineDutyHolder::Setup setup;
-        setup.member = "n" + std::to_string(n);
+        setup.member = "n" + std::to_string(node_index);
         setup.term = 100 + node.term;
-        setup.lease = {"leader", s.leader};
+        setup.lease = {"leader", state.leader};
         setup.fencing = true;
         setup.conditions = !broken_.conditions;
         setup.guards = {!broken_.durable_first, !broken_.inherit};
         node.holder = std::make_shared<MachineDutyHolder>(setup);
-        s.nodes[n] = node;
+        state.nodes[node_index] = node;
     }
 
-    static void crash(State& s, std::size_t n) { s.nodes[n] = {}; }
+    static void crash(State& state, std::size_t node_index) { state.nodes[node_index] = {}; }
 
-    static std::shared_ptr<MachineDutyHolder> changed(State& s, std::size_t n) {
-        auto holder = std::make_shared<MachineDutyHolder>(*s.nodes[n].holder);
-        s.nodes[n].holder = holder;
+    static std::shared_ptr<MachineDutyHolder> changed(State& state, std::size_t node_index) {
+        auto holder = std::make_shared<MachineDutyHolder>(*state.nodes[node_index].holder);
+        state.nodes[node_index].holder = holder;
         return holder;
     }
 
     // Carries out what is due. Reads are answered at once: what they find may be old by the time at
     // which it is acted on, as other events come in between.
-    bool step(State& s, std::size_t n) const {
+    bool step(State& state, std::size_t node_index) const {
         MachineDutyHolder::Moment moment;
         moment.now = kActsAt;
         moment.lease_valid = true;
         moment.records_known = true;
         moment.may_activate = true;
         moment.room_for_writes = true;
-        auto actions = changed(s, n)->due(moment);
+        auto actions = changed(state, node_index)->due(moment);
         for (auto& action : actions) {
-            s.messages.push_back(
-                {n, s.nodes[n].term, true, std::make_shared<Action>(std::move(action))});
-            if (is_read(*s.messages.back().action)) deliver(s, s.messages.size() - 1);
+            state.messages.push_back({node_index, state.nodes[node_index].term, true,
+                                      std::make_shared<Action>(std::move(action))});
+            if (is_read(*state.messages.back().action)) deliver(state, state.messages.size() - 1);
         }
         return !actions.empty();
     }
@@ -210,44 +214,48 @@
                std::holds_alternative<ReadIntent>(action);
     }
 
-    // Placement is a write under the leader's condition, and only on what is not on its way back.
-    static bool place(State& s, std::size_t n, std::size_t m) {
-        const auto& node = s.nodes[n];
-        const bool may = node.holder->inherited_known() && s.leader == node.lease_revision &&
-                         !node.unusable[m] && !s.gone[m] && s.used_by[m] != node.term;
-        if (may) s.used_by[m] = node.term;
+    // Placement is a write under the leader's condition, and only on machines that are not to be
+    // released.
+    static bool place(State& state, std::size_t node_index, std::size_t machine_index) {
+        const auto& node = state.nodes[node_index];
+        const bool may = node.holder->inherited_known() && state.leader == node.lease_revision &&
+                         !node.unusable[machine_index] && !state.gone[machine_index] &&
+                         state.used_by[machine_index] != node.term;
+        if (may) state.used_by[machine_index] = node.term;
         return may;
     }
 
-    bool wish(State& s, std::size_t n, std::size_t m) const {
-        auto& node = s.nodes[n];
-        if (!node.holder->inherited_known() || node.unusable[m] || node.wishes >= limits_.wishes) {
+    bool decide_release(State& state, std::size_t node_index, std::size_t machine_index) const {
+        auto& node = state.nodes[node_index];
+        if (!node.holder->inherited_known() || node.unusable[machine_index] ||
+            node.releases >= limits_.releases) {
             return false;
         }
-        ++node.wishes;
-        node.unusable[m] = true;
-        changed(s, n)->queue_release(machine(m), true, 0);
+        ++node.releases;
+        node.unusable[machine_index] = true;
+        changed(state, node_index)->queue_release(machine(machine_index), true, 0);
         return true;
     }
 
-    [[nodiscard]] bool listens(const State& s, const Message& message) const {
-        return message.awaited && s.nodes[message.node].holder &&
-               s.nodes[message.node].term == message.term;
+    [[nodiscard]] bool listens(const State& state, const Message& message) const {
+        return message.awaited && state.nodes[message.node].holder &&
+               state.nodes[message.node].term == message.term;
     }
 
     // It takes effect now, however long ago it was sent.
-    void deliver(State& s, std::size_t i) const {
-        const auto message = s.messages[i];
-        s.messages.erase(s.messages.begin() + static_cast<std::ptrdiff_t>(i));
-        std::visit([&](const auto& action) { this->execute(s, message, action); }, *message.action);
+    void deliver(State& state, std::size_t index) const {
+        const auto message = state.messages[index];
+        state.messages.erase(state.messages.begin() + static_cast<std::ptrdiff_t>(index));
+        std::visit([&](const auto& action) { this->execute(state, message, action); },
+                   *message.action);
     }
 
     // Its sender gives up, and the request stays under way.
-    bool time_out(State& s, std::size_t i) const {
-        const auto message = s.messages[i];
-        if (!listens(s, message)) return false;
-        s.messages[i].awaited = false;
-        const auto holder = changed(s, message.node);
+    bool time_out(State& state, std::size_t index) const {
+        const auto message = state.messages[index];
+        if (!listens(state, message)) return false;
+        state.messages[index].awaited = false;
+        const auto holder = changed(state, message.node);
         const auto& action = *message.action;
         const WriteResult unknown;
         if (const auto* write = std::get_if<WriteDuty>(&action)) {
@@ -265,84 +273,87 @@
         return true;
     }
 
-    static WriteResult apply(State& s, const FencedWrite& write) {
+    static WriteResult apply(State& state, const FencedWrite& write) {
         WriteResult result{WriteOutcome::Conflict, 0, {}};
         for (const auto& condition : write.conditions()) {
-            std::uint64_t revision = condition.key == "leader" ? s.leader : 0;
-            if (const auto it = s.records.find(condition.key); it != s.records.end()) {
+            std::uint64_t revision = condition.key == "leader" ? state.leader : 0;
+            if (const auto it = state.records.find(condition.key); it != state.records.end()) {
                 revision = it->second.revision;
             }
             if (revision != condition.revision) result.failed.push_back(condition.key);
         }
         if (!result.failed.empty()) return result;
-        ++s.revision;
+        ++state.revision;
         for (const auto& change : write.changes()) {
             if (const auto* record = std::get_if<DutyRecord>(&change.value)) {
-                const auto before = std::get<DutyRecord>(s.records[change.key].value).epoch;
-                if (record->epoch <= before) s.broken = "an epoch went back";
+                const auto before = std::get<DutyRecord>(state.records[change.key].value).epoch;
+                if (record->epoch <= before) state.broken = "an epoch went back";
             }
             if (std::holds_alternative<std::monostate>(change.value)) {
-                s.records.erase(change.key);
+                state.records.erase(change.key);
             } else {
-                s.records[change.key] = {change.value, s.revision};
+                state.records[change.key] = {change.value, state.revision};
             }
         }
-        return {WriteOutcome::Written, s.revision, {}};
+        return {WriteOutcome::Written, state.revision, {}};
     }
 
-    void execute(State& s, const Message& from, const WriteDuty& action) const {
-        const auto result = apply(s, action.write);
-        if (listens(s, from)) changed(s, from.node)->on_duty_written(action.duty, result, 0);
+    void execute(State& state, const Message& from, const WriteDuty& action) const {
+        const auto result = apply(state, action.write);
+        if (listens(state, from))
+            changed(state, from.node)->on_duty_written(action.duty, result, 0);
     }
-    void execute(State& s, const Message& from, const WriteIntent& action) const {
-        const auto result = apply(s, action.write);
-        if (listens(s, from)) changed(s, from.node)->on_intent_written(action.slot, result, 0);
+    void execute(State& state, const Message& from, const WriteIntent& action) const {
+        const auto result = apply(state, action.write);
+        if (listens(state, from))
+            changed(state, from.node)->on_intent_written(action.slot, result, 0);
     }
-    void execute(State& s, const Message& from, const RemoveIntents& action) const {
-        const auto result = apply(s, action.write);
-        if (listens(s, from)) changed(s, from.node)->on_intents_removed(action.slots, result, 0);
+    void execute(State& state, const Message& from, const RemoveIntents& action) const {
+        const auto result = apply(state, action.write);
+        if (listens(state, from))
+            changed(state, from.node)->on_intents_removed(action.slots, result, 0);
     }
-    void execute(State& s, const Message& from, const ReadDuty& action) const {
-        const auto& record = s.records.at(record_key(action.duty));
-        if (!listens(s, from)) return;
-        changed(s, from.node)
+    void execute(State& state, const Message& from, const ReadDuty& action) const {
+        const auto& record = state.records.at(record_key(action.duty));
+        if (!listens(state, from)) return;
+        changed(state, from.node)
             ->on_duty_read(
                 action.duty,
                 {ReadOutcome::Found, std::get<DutyRecord>(record.value), record.revision}, 0);
     }
-    void execute(State& s, const Message& from, const ReadIntent& action) const {
-        if (!listens(s, from)) return;
-        const auto it = s.records.find(intent_key(action.slot));
+    void execute(State& state, const Message& from, const ReadIntent& action) const {
+        if (!listens(state, from)) return;
+        const auto it = state.records.find(intent_key(action.slot));
         IntentReadResult result{ReadOutcome::Missing, {}, 0};
-        if (it != s.records.end()) {
+        if (it != state.records.end()) {
             result = {ReadOutcome::Found, std::get<Intent>(it->second.value), it->second.revision};
         }
-        changed(s, from.node)->on_intent_read(action.slot, result, 0);
+        changed(state, from.node)->on_intent_read(action.slot, result, 0);
     }
-    void execute(State& s, const Message& from, const ReadIntents& /*all*/) const {
-        if (!listens(s, from)) return;
+    void execute(State& state, const Message& from, const ReadIntents& /*all*/) const {
+        if (!listens(state, from)) return;
         IntentPage page;
-        for (const auto& [key, record] : s.records) {
+        for (const auto& [key, record] : state.records) {
             if (!key.starts_with(kIntentPrefix)) continue;
             page.intents.push_back({key, record.revision, false, std::get<Intent>(record.value)});
         }
-        const auto named = changed(s, from.node)->on_intents_read(page, 0);
+        const auto named = changed(state, from.node)->on_intents_read(page, 0);
         for (std::size_t m = 0; m < kMachines; ++m) {
             const bool is = std::find(named.begin(), named.end(), machine(m)) != named.end();
-            if (is) s.nodes[from.node].unusable[m] = true;
+            if (is) state.nodes[from.node].unusable[m] = true;
         }
     }
-    void execute(State& s, const Message& from, const RequestRelease& action) const {
+    void execute(State& state, const Message& from, const RequestRelease& action) const {
         for (std::size_t m = 0; m < kMachines; ++m) {
             const auto& names = action.request.machines();
             if (std::find(names.begin(), names.end(), machine(m)) == names.end()) continue;
-            if (!s.gone[m] && s.used_by[m] > from.term) {
-                s.broken = "a replaced holder releases a machine in use";
+            if (!state.gone[m] && state.used_by[m] > from.term) {
+                state.broken = "a replaced holder releases a machine in use";
             }
-            s.gone[m] = true;
+            state.gone[m] = true;
         }
-        if (!listens(s, from)) return;
-        changed(s, from.node)
+        if (!listens(state, from)) return;
+        changed(state, from.node)
             ->on_released(action.slot, action.request.machines().size(), CloudOutcome::Done, 0);
     }
     void execute(State&, const Message&, const RequestProvision&) const {}
--- a/tests/simulation/duties.cpp
+++ b/tests/simulation/duties.cpp
@@ -1,4 +1,4 @@
-// What the simulation knows of duties: whose requests the cloud carries out, and on what.
+// Checks of fenced duties: whose requests the cloud executes, and on which machines.
 #include <algorithm>
 
 #include "simulation/messages.h"
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// A cloud that understands the field refuses what a replaced holder asks for.
+// A cloud that understands the field refuses requests of a replaced holder.
 bool Simulation::refuses_epoch(const rapidjson::Value& request) {
     const auto epoch = epoch_in(request);
     if (epoch == 0) return false;
@@ -70,7 +70,7 @@
     }
 }
 
-// With all troubles over no intent is left undone, and no machine is unknown to the leader.
+// With all faults over no intent is left unfinished, and no machine is unknown to the leader.
 void Simulation::check_duties_at_end() {
     const bool fenced =
         std::all_of(nodes_.begin(), nodes_.end(), [](const Node& node) { return node.current; });
@@ -86,10 +86,10 @@
             }
         }
     }
-    const auto leading = leader();
-    for (const auto& [name, w] : workers_) {
-        if (w.gone || !leading || now_ - w.provisioned_at < 30'000) continue;
-        if (!nodes_[*leading].controller->knows_machine(name)) fail("unknown_rental", name);
+    const auto leader_index = leader();
+    for (const auto& [name, worker] : workers_) {
+        if (worker.gone || !leader_index || now_ - worker.provisioned_at < 30'000) continue;
+        if (!nodes_[*leader_index].controller->knows_machine(name)) fail("unknown_rental", name);
     }
 }
 
