--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -4,23 +4,23 @@
 #include <algorithm>
 
 #include "control/fenced_store.h"
+#include "core/state_keys.h"
 
 namespace lichendrift::control {
 
+namespace keys = core::keys;
+
 namespace {
 
 constexpr Millis kRoundPauseMs = 300'000;
 constexpr std::size_t kMaxJobsOfPage = 20;  // whose terminal states are read
 constexpr std::size_t kWritesOfPage = 2;    // room that the rate limit must leave
-constexpr std::string_view kPlacementPrefix = "place/";
-constexpr std::string_view kTerminalStatePrefix = "over/";
-constexpr std::string_view kHintPrefix = "images/";
 
 // The job in a key `place/ID/K`.
 std::string job_of(const std::string& key) {
     const auto slash = key.rfind('/');
-    if (slash == std::string::npos || slash < kPlacementPrefix.size()) return "";
-    return key.substr(kPlacementPrefix.size(), slash - kPlacementPrefix.size());
+    if (slash == std::string::npos || slash < keys::kPlacementRecords.size()) return "";
+    return key.substr(keys::kPlacementRecords.size(), slash - keys::kPlacementRecords.size());
 }
 
 duty::PlacementContent placement_content(const wire::Item& item) {
@@ -73,7 +73,7 @@
 
 void CleanupRounds::read_placements() {
     services_.store.list(
-        store::RequestPriority::Read, std::string(kPlacementPrefix), last_placement_key_,
+        store::RequestPriority::Read, std::string(keys::kPlacementRecords), last_placement_key_,
         [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& read) {
             if (!self->active()) return;
             if (outcome != store::Outcome::Ok) return self->schedule_next_page();
@@ -124,7 +124,7 @@
         return schedule_next_page();
     }
     services_.store.get(
-        store::RequestPriority::Read, std::string(kTerminalStatePrefix) + page_.jobs[job_index].id,
+        store::RequestPriority::Read, keys::terminal_state(page_.jobs[job_index].id),
         [self = shared_from_this(), job_index](store::Outcome outcome, const wire::Item& item) {
             if (!self->active()) return;
             self->on_terminal_state_read(job_index, outcome, item);
@@ -169,7 +169,7 @@
 
 void CleanupRounds::read_hints() {
     services_.store.list(
-        store::RequestPriority::Read, std::string(kHintPrefix), "",
+        store::RequestPriority::Read, std::string(keys::kImageHints), "",
         [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& read) {
             if (!self->active()) return;
             if (outcome != store::Outcome::Ok || read.items.empty()) return self->end_round();
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -3,6 +3,7 @@
 
 #include "control/fenced_store.h"
 #include "control/leader_host.h"
+#include "core/state_keys.h"
 
 namespace lichendrift::control {
 
@@ -31,7 +32,7 @@
     duty::MachineDutyHolder::Setup setup;
     setup.member = settings.member;
     setup.term = term;
-    setup.lease = {"leader", leader_revision};
+    setup.lease = {std::string(core::keys::kLeader), leader_revision};
     setup.fencing = settings.features.fenced_duties;
     setup.conditions = settings.guards.leader_condition;
     setup.guards = {settings.guards.intent_first, settings.guards.intents_inherited};
