--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -1,31 +1,58 @@
-// One controller: requests of users and health checks, logging.
+// One controller: its parts connected, and the requests that come in.
 #include "control/controller.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <string_view>
+#include <utility>
 
 #include "control/limits.h"
 #include "events/format.h"
+#include "net/http_status.h"
 
 namespace lichendrift::control {
 
 namespace {
 
-constexpr int kMaxForwardedRequests = 100;
-constexpr Millis kPassDeadline = 1800;
-constexpr Millis kAloneFor = 2500;
-std::size_t bytes_of(double kilobytes) { return static_cast<std::size_t>(kilobytes * 1024); }
+namespace http_status = net::http_status;
+
+constexpr const char* kHealthPath = "/healthz";
+constexpr const char* kHeartbeatPath = "/agent/beat";
+constexpr const char* kUserPathPrefix = "/v2/";
+
+constexpr double kBytesPerKilobyte = 1024;
+constexpr double kMsPerSecond = 1000;
+// Of the cloud's limit on requests.
+constexpr double kLeaderCloudShare = 0.8;
+constexpr double kFollowerCloudShare = 0.1;
+// A follower that reaches neither the state service for so long nor the leader is unhealthy.
+constexpr Millis kMaxIsolatedMs = 2500;
+constexpr Millis kTypesRetryMs = 1000;
+constexpr std::uint64_t kTypesRetrySpreadMs = 1000;
+
+std::size_t bytes_of(double kilobytes) {
+    return static_cast<std::size_t>(kilobytes * kBytesPerKilobyte);
+}
+
 // Smaller rates and transactions are always allowed, so those to come are kept from the start.
-store::StoreSettings store_settings(const Settings& s) {
-    const auto next = s.guards.current_version ? s.state_next : NextStateLimits{};
-    return {s.state,
-            std::min(s.state_rps, next.rps.value_or(s.state_rps)),
-            std::min(s.state_write_rps, next.write_rps.value_or(s.state_write_rps)),
-            std::min(s.state_transaction_operations,
-                     next.transaction_operations.value_or(s.state_transaction_operations)),
-            bytes_of(s.state_value_kb),
-            bytes_of(next.value_kb.value_or(s.state_value_kb))};
+store::StoreSettings store_settings(const Settings& settings) {
+    const auto next = settings.guards.current_version ? settings.state_next : NextStateLimits{};
+    store::StoreSettings result;
+    result.address = settings.state;
+    result.max_requests_per_s = std::min(settings.state_rps, next.rps.value_or(settings.state_rps));
+    result.max_writes_per_s =
+        std::min(settings.state_write_rps, next.write_rps.value_or(settings.state_write_rps));
+    result.max_transaction_operations =
+        std::min(settings.state_transaction_operations,
+                 next.transaction_operations.value_or(settings.state_transaction_operations));
+    result.max_value_bytes = bytes_of(settings.state_value_kb);
+    result.next_max_value_bytes = bytes_of(next.value_kb.value_or(settings.state_value_kb));
+    return result;
+}
+
+net::HttpResponse error(int status, const char* reason) {
+    return {status, wire::error_body(reason)};
 }
 
 }  // namespace
@@ -38,14 +65,20 @@
       cloud_(runtime, settings_.cloud, settings_.cloud_rps),
       job_watcher_(runtime, store_),
       users_(runtime, settings_, store_, job_watcher_),
+      peers_(runtime, settings_),
+      capabilities_(runtime, settings_, peers_, event_log()),
+      cancellations_(runtime, settings_, job_watcher_, peers_, event_log()),
+      election_(runtime, settings_, store_, static_cast<ElectionListener&>(*this), event_log()),
+      announcements_(store_, peers_, election_, users_,
+                     [this](std::uint64_t token) {
+                         step_down(events::StepDownReason::HigherTokenAnnounced, token);
+                     }),
+      heartbeats_(HeartbeatRouter::Dependencies{runtime, settings_, store_, peers_, election_,
+                                                [this] { return leader_.get(); }}),
+      user_requests_(store_, peers_, election_, users_),
       cleaner_(
           {runtime, settings_, store_, cloud_, job_watcher_, static_cast<CleanerHost&>(*this)}) {
     store_.set_share(follower_share(settings_));
-    outboxes_.resize(settings_.peers.size());
-    peer_is_current_.resize(settings_.peers.size());
-    peer_fences_.resize(settings_.peers.size());
-    job_watcher_.set_cancellation_listener(
-        [this](const wire::Cancellation& cancellation) { announce_cancelled(cancellation); });
 }
 
 Controller::~Controller() {
@@ -54,122 +87,158 @@
 
 void Controller::start() {
     log(events::ControllerStarted{});
-    if (settings_.lease_s * 1000 + kCancellationMargin + kMinRenewalTime >=
-        settings_.cancel_s * 1000) {
+    if (settings_.lease_s * kMsPerSecond + kCancellationMarginMs + kMinRenewalTimeMs >=
+        settings_.cancel_s * kMsPerSecond) {
         log(events::LeaseMarginTooSmall{settings_.lease_s, settings_.cancel_s});
     }
     job_watcher_.start();
-    look();
-    fetch_types();
-    if (settings_.guards.current_version) ask_versions();
-    if (has_features()) ask_features();
+    election_.follow();
+    fetch_machine_types();
+    capabilities_.start();
     cleaner_.start();
 }
 
 void Controller::hand_over() {
-    ending_ = true;
-    ++election_;
+    election_.stop();
     cleaner_.stop();
     step_down(events::StepDownReason::Shutdown);
 }
 
-std::string Controller::prefix() const {
-    return fmt::format("member={} role={} token={}", settings_.member,
-                       leader_ ? (leader_->ready() ? "leader" : "taking-over") : "follower",
-                       leader_ ? leader_->token() : known_.token);
-}
-
-void Controller::log(const events::Event& event) {
-    if (!events::is_logged(event)) return;
-    runtime_.log_context(prefix());
-    events::log(event);
-}
+// ---- requests ----
 
 bool Controller::can_wait(const net::HttpRequest& request) {
-    return request.target.starts_with("/v2/") || request.target == "/peer/user";
+    return request.target.starts_with(kUserPathPrefix) || request.target == peer_path::kUserRequest;
 }
 
 void Controller::handle(const net::HttpRequest& request, net::Respond respond) {
-    const std::string_view target =
+    const std::string_view path =
         std::string_view(request.target).substr(0, request.target.find('?'));
-    if (target == "/healthz") {
-        if (request.method != "GET") return respond({405, wire::error_body("use GET")});
-        // A node that can pass requests on serves users as well as any other: being taken out of
-        // turn would cost them more. One that reaches neither state service nor leader must go,
-        // or users would be refused here for as long as the cut lasts.
-        if (!job_watcher_.ever_loaded() && !leader_is_good()) {
-            return respond({503, wire::error_body("not ready")});
+    if (path == kHealthPath) {
+        if (request.method != "GET") {
+            return respond(error(http_status::kMethodNotAllowed, "use GET"));
         }
-        const bool leader_silent = known_.last_announcement_at > 0 &&
-                                   runtime_.now() - known_.last_announcement_at > kLeaderFresh;
-        if (!leader_ && store_.failing_for() > kAloneFor && leader_silent) {
-            return respond({503, wire::error_body("cut off")});
+        return respond(check_health());
+    }
+    if (path == kHeartbeatPath) {
+        if (request.method != "POST") {
+            return respond(error(http_status::kMethodNotAllowed, "use POST"));
         }
-        return respond({200, "{}"});
+        return heartbeats_.on_worker_heartbeat(request.body, std::move(respond));
     }
-    if (target == "/agent/beat") {
-        if (request.method != "POST") return respond({405, wire::error_body("use POST")});
-        return on_heartbeat(request.body, std::move(respond));
+    if (user_requests_.should_forward()) {
+        return user_requests_.forward(request, std::move(respond));
     }
-    if (!store_.responsive() && leader_is_good()) return pass_on(request, std::move(respond));
     users_.handle(request, std::move(respond));
 }
 
-void Controller::pass_on(const net::HttpRequest& request, net::Respond respond) {
-    const auto* leader = peer(known_.member);
-    if (leader == nullptr || passing_ >= kMaxForwardedRequests) {
-        return respond({503, wire::error_body("the state service does not answer"), 1});
+void Controller::handle_peer(const net::HttpRequest& request, net::Respond respond) {
+    if (request.method != "POST") return respond(peer_response(http_status::kMethodNotAllowed));
+    const auto& path = request.target;
+    const auto& body = request.body;
+    if (path == peer_path::kHeartbeat) return heartbeats_.on_forwarded_heartbeat(body, respond);
+    if (path == peer_path::kRelay) return heartbeats_.on_relay_request(body, respond);
+    if (path == peer_path::kUserRequest) {
+        return user_requests_.on_forwarded_request(body, std::move(respond));
     }
-    ++passing_;
-    runtime_.call(
-        leader->address,
-        {"POST", "/peer/user",
-         wire::encode_forwarded_request({request.method, request.target, request.body})},
-        kPassDeadline, [this, respond = std::move(respond)](const net::HttpReply& reply) {
-            --passing_;
-            auto answer =
-                reply.status == 200 ? wire::decode_forwarded_answer(reply.body) : std::nullopt;
-            if (!answer) {
-                return respond({503, wire::error_body("the state service does not answer"), 1});
-            }
-            respond({answer->status, answer->body, answer->retry_after_s});
-        });
+    if (path == peer_path::kCancelled) return cancellations_.on_announced(body, respond);
+    if (path == peer_path::kQuery) return cancellations_.on_query(body, respond);
+    if (path == peer_path::kAnnouncement) return announcements_.on_announcement(body, respond);
+    if (path == peer_path::kVersion && capabilities_.answers_version()) {
+        return capabilities_.on_version_query(body, respond);
+    }
+    if (path == peer_path::kFeatures && capabilities_.answers_features()) {
+        return capabilities_.on_features_query(body, respond);
+    }
+    respond(peer_response(http_status::kNotFound));
+}
+
+// A controller that can forward requests serves users as well as any other: being taken out of
+// rotation would cost them more. One that reaches neither state service nor leader must go, or
+// users would be refused here for as long as the cut lasts.
+net::HttpResponse Controller::check_health() const {
+    if (!job_watcher_.ever_loaded() && !election_.leader_reaches_store()) {
+        return error(http_status::kUnavailable, "not ready");
+    }
+    if (!leader_ && store_.failing_for() > kMaxIsolatedMs && election_.announcements_ceased()) {
+        return error(http_status::kUnavailable, "cut off");
+    }
+    return {http_status::kOk, "{}"};
 }
 
-bool Controller::leader_is_good() const {
-    return !leader_ && known_.store_good &&
-           runtime_.now() - known_.last_announcement_at < kLeaderFresh;
+// ---- the term of this controller as leader ----
+
+void Controller::on_elected(const ElectedTerm& term) {
+    store_.set_share(kLeaderShare);
+    cloud_.set_share(kLeaderCloudShare);
+    leader_ =
+        std::make_shared<Leader>(runtime_, planner_, settings_, store_, cloud_, job_watcher_,
+                                 static_cast<LeaderHost&>(*this), term.token, term.leader_revision);
+    log(events::LeaderElected{});
+    leader_->start(users_.types());
+    announcements_.announce({}, false);
+    election_.keep_leader_lease();
+    cancellations_.begin_term();
 }
 
-const Peer* Controller::peer(const std::string& member) const {
-    for (const auto& s : settings_.peers) {
-        if (s.member == member) return &s;
-    }
-    return nullptr;
+void Controller::on_leader_lease_expired() {
+    step_down(events::StepDownReason::LeaderLeaseExpired);
+}
+
+void Controller::step_down(events::StepDownReason reason, std::uint64_t seen_token) {
+    if (!leader_) return;
+    log(events::LeaderSteppedDown{reason, seen_token});
+    leader_->stop();
+    // The leader may be the caller: it must live until its own call is over.
+    runtime_.after(0, [ended = std::move(leader_)] {});
+    leader_.reset();
+    cancellations_.end_term();
+    election_.resign();
+    store_.set_share(follower_share(settings_));
+    cloud_.set_share(kFollowerCloudShare);
+    election_.follow();
 }
 
 void Controller::on_job_counts(std::vector<wire::JobCounts> counts, bool all) {
     users_.set_counts(counts, all);
-    announce(counts, all);
+    announcements_.announce(counts, all);
 }
 
 void Controller::on_machine_types(const std::vector<core::MachineType>& types) {
     users_.set_types(types);
 }
 
-void Controller::fetch_types() {
-    if (asking_types_) return;
-    asking_types_ = true;
-    cloud_.types([this](cloud::Result answer, std::vector<core::MachineType> types) {
-        asking_types_ = false;
-        if (answer == cloud::Result::Ok && !types.empty()) {
-            users_.set_types(std::move(types));
-            return;
+// Users' submissions are checked against the machine types, also before a leader has read them.
+void Controller::fetch_machine_types() {
+    cloud_.types([this](cloud::Result result, std::vector<core::MachineType> types) {
+        if (result == cloud::Result::Ok && !types.empty()) {
+            return users_.set_types(std::move(types));
         }
-        runtime_.after(1000 + static_cast<Millis>(runtime_.random() % 1000), [this] {
-            if (!users_.types_known()) fetch_types();
+        const auto spread = static_cast<Millis>(runtime_.random() % kTypesRetrySpreadMs);
+        runtime_.after(kTypesRetryMs + spread, [this] {
+            if (!users_.types_known()) fetch_machine_types();
         });
     });
 }
 
+// ---- logging ----
+
+EventLog Controller::event_log() {
+    return [this](const events::Event& event) { log(event); };
+}
+
+std::string Controller::log_context() const {
+    if (!leader_) {
+        return fmt::format("member={} role=follower token={}", settings_.member,
+                           election_.observed().token);
+    }
+    return fmt::format("member={} role={} token={}", settings_.member,
+                       leader_->ready() ? "leader" : "taking-over", leader_->token());
+}
+
+void Controller::log(const events::Event& event) {
+    if (!events::is_logged(event)) return;
+    runtime_.log_context(log_context());
+    events::log(event);
+}
+
 }  // namespace lichendrift::control
--- a/src/control/features.h
+++ b/src/control/features.h
@@ -4,19 +4,24 @@
 
 namespace lichendrift::control {
 
-// What the cleanup duty does with records that are of no use any more.
+/// What the cleanup duty does with records that are of no use any more.
 enum class CleanupMode : std::uint8_t {
-    Off,
-    Report,  // says what it would remove
-    Remove,
+    Off,     ///< the duty is not taken
+    Report,  ///< logs what it would remove
+    Remove,  ///< removes them
 };
 
-// What the operators switch on with a features file. All of it is off without one.
+/// Default of Features::cleanup_page_s.
+inline constexpr double kDefaultCleanupPageS = 20;
+
+/// What the operators switch on with a features file. Without one all of it is off.
 struct Features {
-    // Rentals and releases of machines are fenced; see docs/duties.md.
+    /// Requests to provision and to release machines are fenced; see docs/duties.md.
     bool fenced_duties = false;
+    /// The duty of removing useless records; see docs/duties.md.
     CleanupMode cleanup = CleanupMode::Off;
-    double cleanup_page_s = 20;  // between two pages that are looked at
+    /// Between two pages of records that the cleanup duty looks at, in seconds.
+    double cleanup_page_s = kDefaultCleanupPageS;
 };
 
 }  // namespace lichendrift::control
--- /dev/null
+++ b/src/control/heartbeat_router.cpp
@@ -0,0 +1,207 @@
+// How the heartbeats of workers find the leader.
+#include "control/heartbeat_router.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "control/leader.h"
+#include "control/limits.h"
+#include "wire/json_messages.h"
+
+namespace lichendrift::control {
+
+namespace {
+
+namespace http_status = net::http_status;
+
+constexpr Millis kForwardDeadlineMs = 2500;
+// While the leader is silent it is tried with one heartbeat in this time.
+constexpr Millis kSilentLeaderRetryMs = 1000;
+constexpr Millis kRelayDeadlineMs = 1200;
+constexpr Millis kRelayRetryMs = 700;
+constexpr std::size_t kMaxRelays = 2;
+// One in so many sockets may carry a heartbeat to the leader. Each machine has one heartbeat in
+// flight, and an answer takes milliseconds, so this is enough for thousands of machines unless
+// nobody answers.
+constexpr std::size_t kSocketsPerForward = 5;
+constexpr std::size_t kMinForwards = 100;
+// How much longer than its lease the leader has to be silent to be named to a worker.
+constexpr Millis kRedirectMarginMs = 1000;
+constexpr Millis kLongAgo = -100'000;
+constexpr int kRetryAfterS = 1;
+
+net::HttpResponse commands_response(const wire::HeartbeatAnswer& answer) {
+    return {http_status::kOk, wire::commands_body(answer.token, answer.commands)};
+}
+
+net::HttpResponse unavailable(const char* reason) {
+    return {http_status::kUnavailable, wire::error_body(reason), kRetryAfterS};
+}
+
+net::HttpResponse redirect_to(const std::string& member) {
+    return {http_status::kMisdirectedRequest, wire::redirect_body(member), kRetryAfterS};
+}
+
+net::HttpResponse forwarded_response(const wire::HeartbeatAnswer& answer) {
+    return peer_response(http_status::kOk, wire::encode_heartbeat_answer(answer));
+}
+
+void answer_peer(Leader& leader, const core::Report& report, const net::Respond& respond) {
+    const auto answer = leader.on_heartbeat(report);
+    if (!answer) return respond(peer_response(http_status::kUnavailable));
+    respond(forwarded_response(*answer));
+}
+
+}  // namespace
+
+HeartbeatRouter::HeartbeatRouter(Dependencies dependencies)
+    : parts_(std::move(dependencies)), forwarded_at_(kLongAgo), relays_failed_at_(kLongAgo) {}
+
+// ---- a worker's heartbeat ----
+
+void HeartbeatRouter::on_worker_heartbeat(const std::string& body, net::Respond respond) {
+    const auto report = wire::parse_report(body);
+    if (!report) {
+        malformed_.note(parts_.runtime.now());
+        return respond({http_status::kBadRequest, wire::error_body("malformed report")});
+    }
+    parts_.election.observe_token(report->token);
+    route(*report, std::move(respond), Attempt::First);
+}
+
+void HeartbeatRouter::route(const core::Report& report, net::Respond respond, Attempt attempt) {
+    auto* leader = parts_.local_leader();
+    if (leader == nullptr) return forward(report, std::move(respond), attempt);
+    const auto answer = leader->on_heartbeat(report);
+    if (!answer) return respond(unavailable("not the leader"));
+    respond(commands_response(*answer));
+}
+
+void HeartbeatRouter::forward(const core::Report& report, net::Respond respond, Attempt attempt) {
+    const auto& observed = parts_.election.observed();
+    const auto* leader = parts_.peers.find(observed.member);
+    if (leader == nullptr) return respond(unavailable("no leader is known"));
+    if (requests_in_flight_ >= max_requests_in_flight()) {
+        return respond(unavailable("too many reports under way"));
+    }
+    // A leader that has fallen silent is not worth waiting for at each heartbeat: its answer would
+    // come after the deadline, and a worker that waits loses time of its lease.
+    const bool silent = parts_.election.leader_is_silent();
+    const auto now = parts_.runtime.now();
+    if (silent && now - forwarded_at_ < kSilentLeaderRetryMs) {
+        return relay(report, std::move(respond), 0);
+    }
+    forwarded_at_ = now;
+    const bool short_of_time = silent || attempt == Attempt::Last;
+    send(*leader, peer_path::kHeartbeat, report,
+         short_of_time ? kRelayDeadlineMs : kForwardDeadlineMs,
+         [this, report, respond = std::move(respond), forwarded_to = observed.token,
+          attempt](const Answer& answer) mutable {
+             if (answer) return respond(commands_response(*answer));
+             // After a second try the worker's own deadline leaves no time for more.
+             if (attempt == Attempt::Last) return refuse_or_redirect(respond);
+             const bool leader_changed =
+                 parts_.election.leading() || parts_.election.observed().token != forwarded_to;
+             if (leader_changed) return route(report, std::move(respond), Attempt::Last);
+             relay(report, std::move(respond), 0);
+         });
+}
+
+// The leader may be out of reach from here and within reach of another controller, as when two
+// zones can't reach each other.
+void HeartbeatRouter::relay(const core::Report& report, net::Respond respond, std::size_t tries) {
+    const auto others = parts_.peers.others_than(parts_.election.observed().member);
+    // While nobody leads, each heartbeat would otherwise ask all the others.
+    const bool failed_lately = parts_.runtime.now() - relays_failed_at_ < kRelayRetryMs;
+    // A leader that gave a sign just now has rather ended: little time is spent on relays.
+    const bool silent = parts_.election.leader_is_silent();
+    const auto limit = std::min(silent ? kMaxRelays : 1, others.size());
+    if (tries >= limit || failed_lately) {
+        if (!failed_lately) relays_failed_at_ = parts_.runtime.now();
+        return refuse_or_redirect(respond);
+    }
+    const auto at = (last_good_relay_ + tries) % others.size();
+    send(*others[at], peer_path::kRelay, report, silent ? kRelayDeadlineMs : kRelayDeadlineMs / 2,
+         [this, report, respond = std::move(respond), tries, at](const Answer& answer) mutable {
+             if (!answer) return relay(report, std::move(respond), tries + 1);
+             last_good_relay_ = at;
+             respond(commands_response(*answer));
+         });
+}
+
+void HeartbeatRouter::send(const Peer& to, const char* path, const core::Report& report,
+                           Millis deadline_ms, OnAnswer on_answer) {
+    ++requests_in_flight_;
+    parts_.peers.call(to, path, wire::encode_report(report), deadline_ms,
+                      [this, token = report.token,
+                       on_answer = std::move(on_answer)](const net::HttpReply& reply) {
+                          --requests_in_flight_;
+                          auto answer =
+                              parts_.peers.decode_reply(reply, wire::decode_heartbeat_answer);
+                          // The worker would drop an answer with a lower token and come here again.
+                          if (answer && answer->token < token) answer.reset();
+                          on_answer(std::move(answer));
+                      });
+}
+
+int HeartbeatRouter::max_requests_in_flight() const {
+    return static_cast<int>(
+        std::max(kMinForwards, parts_.settings.max_connections / kSocketsPerForward));
+}
+
+void HeartbeatRouter::refuse_or_redirect(const net::Respond& respond) const {
+    // Where the controllers can't reach each other the worker may still reach the leader itself. A
+    // leader that has ended must not be named, as its worker would lose seconds of its lease there:
+    // one that is silent for longer than its lease lasts, while the state service still shows its
+    // record, is up.
+    const auto& leader = parts_.election.observed().member;
+    const bool outlives_lease =
+        parts_.election.leader_silent_for() > kLeaderLeaseMs + kRedirectMarginMs;
+    if (parts_.store.responsive() && outlives_lease && parts_.peers.find(leader) != nullptr) {
+        return respond(redirect_to(leader));
+    }
+    if (const auto* next = controller_behind_silent_leader()) {
+        return respond(redirect_to(next->member));
+    }
+    respond(unavailable("no leader answers"));
+}
+
+// After a 503 a worker tries the next controller. If that is the silent leader, it waits there
+// until its deadline, and with the time spent here its lease ends just after the next leader has
+// come. So it is redirected to the controller behind; null: the next one is another.
+const Peer* HeartbeatRouter::controller_behind_silent_leader() const {
+    const auto next = parts_.peers.in_order_after_self();
+    if (next.size() < 2 || !parts_.election.leader_is_silent()) return nullptr;
+    return next[0]->member == parts_.election.observed().member ? next[1] : nullptr;
+}
+
+// ---- a peer's request ----
+
+void HeartbeatRouter::on_forwarded_heartbeat(const std::string& body, const net::Respond& respond) {
+    const auto report = wire::decode_report(body);
+    if (!report) return parts_.peers.refuse_malformed(respond);
+    auto* leader = parts_.local_leader();
+    if (leader == nullptr) return respond(peer_response(http_status::kUnavailable));
+    answer_peer(*leader, *report, respond);
+}
+
+void HeartbeatRouter::on_relay_request(const std::string& body, const net::Respond& respond) {
+    const auto report = wire::decode_report(body);
+    if (!report) return parts_.peers.refuse_malformed(respond);
+    if (auto* leader = parts_.local_leader()) return answer_peer(*leader, *report, respond);
+    forward_for_peer(*report, respond);
+}
+
+void HeartbeatRouter::forward_for_peer(const core::Report& report, const net::Respond& respond) {
+    const auto* leader = parts_.peers.find(parts_.election.observed().member);
+    if (leader == nullptr || parts_.election.leader_is_silent() ||
+        requests_in_flight_ >= max_requests_in_flight()) {
+        return respond(peer_response(http_status::kUnavailable));
+    }
+    send(*leader, peer_path::kHeartbeat, report, kRelayDeadlineMs, [respond](const Answer& answer) {
+        if (!answer) return respond(peer_response(http_status::kUnavailable));
+        respond(forwarded_response(*answer));
+    });
+}
+
+}  // namespace lichendrift::control
--- a/src/control/limits.h
+++ b/src/control/limits.h
@@ -5,35 +5,40 @@
 #include "control/settings.h"
 #include "store/store_client.h"
 
-// Times and shares that several parts of a controller have to agree on.
+/// Times and shares that several parts of a controller have to agree on.
 namespace lichendrift::control {
 
-// The leader's lease in the state service. Longer, a crash costs more time without a leader;
-// shorter, a slow answer of the state service costs the lead.
-inline constexpr core::Millis kLeaderLease = 3000;
+/// Duration of the leader lease in the state service, in milliseconds. Longer, a crash costs more
+/// time without a leader; shorter, a slow answer of the state service costs the leader its term.
+inline constexpr core::Millis kLeaderLeaseMs = 3000;
 
-// A leader that was heard within this time counts as there.
-inline constexpr core::Millis kLeaderFresh = 2500;
+/// A leader from which nothing came for longer than these milliseconds counts as silent.
+inline constexpr core::Millis kLeaderSilenceMs = 2500;
 
-// How long before the bound on unknown cancellations leases are no longer renewed, and the least
-// time for which they are, where the settings leave none.
-inline constexpr core::Millis kCancellationMargin = 1000;
-inline constexpr core::Millis kMinRenewalTime = 3000;
+/// Workers' leases are renewed until so many milliseconds before the bound on cancellations that
+/// may not be known here (docs/design.md, "A cancellation that the acting leader cannot see").
+inline constexpr core::Millis kCancellationMarginMs = 1000;
+/// For how many milliseconds without such knowledge leases are renewed at least, where the settings
+/// leave less.
+inline constexpr core::Millis kMinRenewalTimeMs = 3000;
 
-// Parts of the state service's limits. Most changes are the leader's; followers only write what
-// users ask of them. Together all keep below the limits, as clocks and bursts differ.
+/// The leader's part of the state service's rate limits: most writes are the leader's, followers
+/// only write what users ask of them.
 inline constexpr store::RateShare kLeaderShare = {0.5, 0.65};
-inline constexpr store::RateShare kSharedOut = {0.92, 0.95};
+/// The parts of all controllers together: below the limits, as clocks and bursts differ.
+inline constexpr store::RateShare kAllControllersShare = {0.92, 0.95};
+/// The greatest part of a follower, 0 to 1.
 inline constexpr double kMaxFollowerShare = 0.2;
 
+/// A follower's part of the state service's rate limits.
 [[nodiscard]] inline store::RateShare follower_share(const Settings& settings) {
     if (settings.size <= 1) return kLeaderShare;
     const auto followers = static_cast<double>(settings.size - 1);
-    const auto part = [&](double all, double leader) {
+    const auto part = [followers](double all, double leader) {
         return std::min(kMaxFollowerShare, (all - leader) / followers);
     };
-    return {part(kSharedOut.requests, kLeaderShare.requests),
-            part(kSharedOut.writes, kLeaderShare.writes)};
+    return {part(kAllControllersShare.requests, kLeaderShare.requests),
+            part(kAllControllersShare.writes, kLeaderShare.writes)};
 }
 
 }  // namespace lichendrift::control
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <vector>
@@ -9,61 +10,88 @@
 
 namespace lichendrift::control {
 
+/// Another controller (a `sibling` in the settings file).
 struct Peer {
-    std::string member;
-    std::string location;
-    std::string address;
+    std::string member;    ///< its name, unique among the controllers
+    std::string location;  ///< where it runs; not used
+    std::string address;   ///< host:port that it takes requests of controllers on
 };
 
+/// One of the operators' service-level objectives.
 struct Objective {
-    std::string kind;
-    std::string cls;
-    double within_s = 0;
-    double share = 0;
-    double times = 0;
+    std::string kind;     ///< `wait`, `finished`, `deadline` or `guarantee`
+    std::string cls;      ///< class of jobs that it holds for; empty: all
+    double within_s = 0;  ///< bound on the time that `kind` names, in seconds
+    double share = 0;     ///< of all cases that have to meet it, 0 to 1
+    double times = 0;     ///< factor on the time that `kind` names
 };
 
-// Limits of the state service that come into force later, without notice. What is not set stays as
-// it is.
+/// Limits of the state service that come into force later, without notice. What is not set stays as
+/// it is.
 struct NextStateLimits {
-    std::optional<double> rps;
-    std::optional<double> write_rps;
-    std::optional<double> value_kb;
-    std::optional<std::size_t> transaction_operations;
+    std::optional<double> rps;                          ///< requests per second
+    std::optional<double> write_rps;                    ///< written keys per second
+    std::optional<double> value_kb;                     ///< size of a value, kilobytes
+    std::optional<std::size_t> transaction_operations;  ///< writes in one transaction
 };
 
-// The platform's settings file, checked.
+/// Defaults of Settings, for files without these fields and for tests.
+namespace default_settings {
+
+inline constexpr double kGangWaitS = 40;                       ///< Settings::gang_wait_s
+inline constexpr double kCancelS = 40;                         ///< Settings::cancel_s
+inline constexpr double kStateWriteRps = 30;                   ///< Settings::state_write_rps
+inline constexpr double kStateValueKb = 8;                     ///< Settings::state_value_kb
+inline constexpr std::size_t kStateTransactionOperations = 8;  ///< of one transaction
+inline constexpr double kMemMb = 64;                           ///< Settings::mem_mb
+
+}  // namespace default_settings
+
+/// The platform's settings file, checked. All controllers have the same, but for their own name,
+/// location, addresses and peers.
 struct Settings {
-    std::string member;
-    std::string location;
-    std::string listen;
-    std::string peer_bind;
-    std::vector<Peer> peers;
-    std::string cloud;
-    std::string state;
-    std::size_t size = 1;
-    std::vector<std::string> zones;
-    double skew_ms = 0;
-    std::vector<core::Team> teams;
-    std::vector<Objective> objectives;
-    double report_s = 2;
-    double lease_s = 10;
-    double gang_wait_s = 40;
-    double gang_peer_s = 4;
-    double cancel_s = 40;
-    double state_rps = 100;
-    double state_write_rps = 30;
-    double state_value_kb = 8;
-    std::size_t state_transaction_operations = 8;
-    NextStateLimits state_next;
-    double cloud_rps = 4;
-    double cloud_list_lag_s = 3;
-    double core_share = 1;
-    double mem_mb = 64;
-    std::size_t max_connections = 1000;
-    core::Guards guards;  // not in the file
-    Features features;    // of the operators' features file
-    std::string policy;   // the operators' policy, checked; empty: the built-in one
+    std::string member;                 ///< name of this controller
+    std::string location;               ///< where it runs; not used
+    std::string listen;                 ///< host:port for users, workers and health checks
+    std::string peer_bind;              ///< host:port for the other controllers
+    std::vector<Peer> peers;            ///< the other controllers
+    std::string cloud;                  ///< host:port of the cloud
+    std::string state;                  ///< host:port of the state service
+    std::size_t size = 1;               ///< number of controllers, this one included
+    std::vector<std::string> zones;     ///< names of the zones that machines are in
+    double skew_ms = 0;                 ///< bound on the error of the time of day, milliseconds
+    std::vector<core::Team> teams;      ///< teams with their guarantees and limits
+    std::vector<Objective> objectives;  ///< service-level objectives
+
+    double report_s = 2;  ///< between two heartbeats of a worker, seconds
+    double lease_s = 10;  ///< how long a worker's tasks outlive its last answer, seconds
+    /// A task exits if its gang is not complete after so many seconds.
+    double gang_wait_s = default_settings::kGangWaitS;
+    double gang_peer_s = 4;  ///< within which a gang notices a lost task, seconds
+    /// After which no task of a cancelled job runs, seconds.
+    double cancel_s = default_settings::kCancelS;
+
+    // The state service's limits, for all controllers together.
+    double state_rps = 100;                                     ///< requests per second
+    double state_write_rps = default_settings::kStateWriteRps;  ///< written keys per second
+    double state_value_kb = default_settings::kStateValueKb;    ///< size of a value, kilobytes
+    /// Keys that one transaction may write.
+    std::size_t state_transaction_operations = default_settings::kStateTransactionOperations;
+    NextStateLimits state_next;  ///< limits to come
+
+    double cloud_rps = 4;         ///< the cloud's limit: requests per second
+    double cloud_list_lag_s = 3;  ///< usual age of the cloud's list of machines, seconds
+
+    double core_share = 1;                     ///< of one core, that this process may use
+    double mem_mb = default_settings::kMemMb;  ///< memory that this process may use, megabytes
+    std::size_t max_connections = 1000;        ///< sockets that this process may use
+
+    /// Fault injection of the tests; not in the file.
+    core::Guards guards;
+    /// Of the operators' features file.
+    Features features;
+    /// Text of the operators' policy, checked; empty: the built-in one.
+    std::string policy;
 };
 
 }  // namespace lichendrift::control
