--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -5,13 +5,14 @@
 #include <utility>
 
 #include "control/limits.h"
+#include "core/state_keys.h"
 
 namespace lichendrift::control {
 
 namespace {
 
-constexpr const char* kLeaderKey = "leader";
-constexpr const char* kTokenKey = "token";
+const std::string kLeaderKey(core::keys::kLeader);
+const std::string kTokenKey("token");
 
 constexpr Millis kRenewalIntervalMs = 800;
 // The lease is counted from when its renewal was sent; drift and rounding are taken off.
