--- /dev/null
+++ b/src/control/command_dispatcher.cpp
@@ -0,0 +1,92 @@
+// Commands that the leader sends directly to workers.
+#include "control/command_dispatcher.h"
+
+#include <optional>
+
+#include "net/http_status.h"
+
+namespace lichendrift::control {
+
+namespace {
+
+namespace status = net::http_status;
+using DirectResult = core::Cluster::DirectResult;
+
+constexpr Millis kCallTimeoutMs = 1500;
+constexpr std::size_t kMaxCallsInFlight = 24;
+
+DirectResult direct_result(const net::HttpReply& reply) {
+    if (reply.status == status::kOk) return DirectResult::Executed;
+    const bool never_left = reply.status == 0 && !reply.sent;
+    if (reply.status == status::kConflict || reply.status == status::kBadRequest || never_left) {
+        return DirectResult::NotExecuted;
+    }
+    return DirectResult::NoAnswer;
+}
+
+}  // namespace
+
+void CommandDispatcher::raise_tokens() {
+    if (calls_in_flight_ >= kMaxCallsInFlight) return;
+    const auto now = term_.runtime.now();
+    const auto limit = kMaxCallsInFlight - calls_in_flight_;
+    const auto machines = term_.cluster->with_lock(
+        [&](core::Cluster& cluster) { return cluster.machines_to_ask(limit, now); });
+    for (const auto& machine : machines) call(machine);
+}
+
+void CommandDispatcher::dispatch() {
+    if (calls_in_flight_ >= kMaxCallsInFlight) return;
+    const bool may_start = term_.host.may_start_tasks();
+    const auto now = term_.runtime.now();
+    const auto limit = kMaxCallsInFlight - calls_in_flight_;
+    const auto machines = term_.cluster->with_lock([&](core::Cluster& cluster) {
+        return cluster.machines_with_commands(may_start, limit, now);
+    });
+    for (const auto& machine : machines) call(machine);
+}
+
+void CommandDispatcher::call(const std::string& machine) {
+    const auto now = term_.runtime.now();
+    const bool may_start = term_.host.may_start_tasks();
+    auto commands = term_.cluster->with_lock(
+        [&](core::Cluster& cluster) { return cluster.direct_commands(machine, may_start, now); });
+    if (commands.endpoint.empty()) return;
+    // A machine without a report yet is in its first session, or says otherwise in its answer.
+    if (commands.session == 0) commands.session = 1;
+    ++calls_in_flight_;
+    term_.runtime.call(
+        commands.endpoint,
+        {"POST", "/do", wire::direct_body(commands.token, commands.session, commands.commands)},
+        kCallTimeoutMs, term_.callbacks.bind([this, commands](const net::HttpReply& reply) {
+            on_answer(commands, reply);
+        }));
+}
+
+void CommandDispatcher::on_answer(const core::Cluster::Direct& commands,
+                                  const net::HttpReply& reply) {
+    --calls_in_flight_;
+    const auto now = term_.runtime.now();
+    std::optional<core::Report> report;
+    if (reply.status == status::kOk || reply.status == status::kConflict) {
+        report = wire::parse_report(reply.body);
+    }
+    if (reply.status == status::kOk && !report) malformed_.note(now);
+    if (report && report->machine != commands.machine) report.reset();
+    core::ReportOutcome outcome;
+    term_.cluster->with_lock([&](core::Cluster& cluster) {
+        cluster.direct_result(commands, direct_result(reply), now);
+        if (report) outcome = cluster.on_report(*report, false, now);
+    });
+    if (outcome.superseded) {
+        return term_.host.step_down(events::StepDownReason::HigherTokenAtWorker);
+    }
+    if (outcome.changed) on_cluster_changed_();
+    // The bound on calls in flight was reached: others may be waiting for this one to end.
+    if (calls_in_flight_ + 1 == kMaxCallsInFlight) {
+        dispatch();
+        raise_tokens();
+    }
+}
+
+}  // namespace lichendrift::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -171,8 +171,9 @@
     store_.set_share(kLeaderShare);
     cloud_.set_share(kLeaderCloudShare);
     leader_ =
-        std::make_shared<Leader>(runtime_, planner_, settings_, store_, cloud_, job_watcher_,
-                                 static_cast<LeaderHost&>(*this), term.token, term.leader_revision);
+        std::make_shared<Leader>(LeaderDependencies{runtime_, planner_, settings_, store_, cloud_,
+                                                    job_watcher_, static_cast<LeaderHost&>(*this)},
+                                 term.token, term.leader_revision);
     log(events::LeaderElected{});
     leader_->start(users_.types());
     announcements_.announce({}, false);
--- /dev/null
+++ b/src/control/failover_reader.h
@@ -0,0 +1,65 @@
+#pragma once
+
+#include <functional>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "control/job_watcher.h"
+#include "control/term.h"
+
+namespace lichendrift::control {
+
+/// Reads what the leaders of earlier terms left in the state service: the open jobs, the placement
+/// records, and the terminal states of jobs that have records but are not open any more. Until all
+/// of it is read nothing may be concluded about machines. Reads that fail are repeated until the
+/// term ends.
+class FailoverReader {
+  public:
+    /// Called once each, in this order.
+    struct Steps {
+        std::function<void()> on_open_jobs_read;  ///< the cluster has all jobs that were open
+        std::function<void()> on_state_read;      ///< load_placement_records() may be called
+    };
+
+    FailoverReader(Term& term, JobWatcher& job_watcher, Steps steps)
+        : term_(term), job_watcher_(job_watcher), steps_(std::move(steps)) {}
+
+    /// Begins to read.
+    void start() { read_open_jobs(); }
+
+    /// Whether this controller knows every job that was open when the term began.
+    [[nodiscard]] bool open_jobs_read() const { return open_jobs_read_; }
+
+    /// Gives the placement records that were read to the cluster, once. Returns how many there
+    /// were.
+    std::size_t load_placement_records();
+
+  private:
+    struct StoredRecord {
+        std::string job_id;
+        std::uint32_t record_number = 0;
+        core::PlacementRecord record;
+        std::uint64_t revision = 0;
+    };
+    [[nodiscard]] static std::optional<StoredRecord> parse_stored_record(const wire::Item& item);
+    template <typename F>
+    void retry_later(F read);
+    void read_open_jobs();
+    void on_open_jobs(bool ok);
+    void read_placement_records(const std::string& since);
+    void on_placement_records(const std::string& since, store::Outcome outcome,
+                              const wire::ItemPage& page);
+    void find_closed_jobs();
+    void read_terminal_state(std::size_t index);
+    void on_terminal_state(std::size_t index, store::Outcome outcome, const wire::Item& item);
+
+    Term& term_;
+    JobWatcher& job_watcher_;
+    Steps steps_;
+    bool open_jobs_read_ = false;
+    std::vector<StoredRecord> records_;
+    std::vector<std::string> closed_jobs_;  // with records, and not open any more
+};
+
+}  // namespace lichendrift::control
--- /dev/null
+++ b/src/control/fleet_sync.cpp
@@ -0,0 +1,201 @@
+// The leader and the cloud: machine types, the list of machines, provision requests and releases.
+#include "control/fleet_sync.h"
+
+#include <algorithm>
+
+namespace lichendrift::control {
+
+namespace {
+
+constexpr Millis kTypesIntervalMs = 20'000;
+constexpr Millis kUnknownTypesIntervalMs = 1000;  // as long as the types are not known
+constexpr Millis kMinListIntervalMs = 3000;
+constexpr double kMsPerSecond = 1000;
+constexpr Millis kMaxListWaitMs = 6000;  // of the first provision request for the first list
+constexpr Millis kProvisionIntervalMs = 700;
+constexpr Millis kUnavailablePauseMs = 1500;
+constexpr std::uint32_t kMaxProvisionCount = 50;  // the protocol's limit for one request
+constexpr std::size_t kMaxReleases = 500;         // looked at in one go
+
+}  // namespace
+
+FleetSync::FleetSync(Term& term, cloud::CloudClient& cloud, Events events)
+    : term_(term),
+      cloud_(cloud),
+      events_(std::move(events)),
+      duties_(std::make_shared<MachineDuties>(
+          MachineDuties::Services{term.runtime, term.settings, term.store, cloud, term.host,
+                                  static_cast<MachineDutiesListener&>(*this)},
+          term.token, term.leader_revision)) {}
+
+void FleetSync::start(const std::vector<core::MachineType>& known_types) {
+    if (!known_types.empty()) {
+        term_.cluster->with_lock([&](core::Cluster& cluster) { cluster.set_types(known_types); });
+        types_known_ = true;
+    }
+    duties_->pump();
+}
+
+void FleetSync::on_failover_complete() {
+    duties_->records_known();
+    failover_complete_at_ = term_.runtime.now();
+}
+
+bool FleetSync::inherited_releases_known() {
+    if (duties_->inherited_known()) return true;
+    duties_->pump();
+    return false;
+}
+
+void FleetSync::poll_due() {
+    const auto now = term_.runtime.now();
+    const auto types_interval = types_known_ ? kTypesIntervalMs : kUnknownTypesIntervalMs;
+    if (now - types_requested_at_ > types_interval) read_types();
+    const auto list_lag_ms = static_cast<Millis>(term_.settings.cloud_list_lag_s * kMsPerSecond);
+    if (now - list_requested_at_ > std::max(kMinListIntervalMs, list_lag_ms)) read_machine_list();
+}
+
+void FleetSync::read_types() {
+    if (reading_types_) return;
+    reading_types_ = true;
+    types_requested_at_ = term_.runtime.now();
+    cloud_.types(term_.callbacks.bind(
+        [this](cloud::Result result, const std::vector<core::MachineType>& types) {
+            on_types(result, types);
+        }));
+}
+
+void FleetSync::on_types(cloud::Result result, const std::vector<core::MachineType>& types) {
+    reading_types_ = false;
+    if (result != cloud::Result::Ok) return;
+    term_.cluster->with_lock([&](core::Cluster& cluster) { cluster.set_types(types); });
+    types_known_ = true;
+    term_.host.on_machine_types(types);
+}
+
+void FleetSync::read_machine_list() {
+    if (reading_list_) return;
+    reading_list_ = true;
+    list_requested_at_ = term_.runtime.now();
+    cloud_.list(term_.callbacks.bind(
+        [this](cloud::Result result, const std::vector<core::ListedMachine>& machines,
+               const std::set<std::string>& names) { on_machine_list(result, machines, names); }));
+}
+
+void FleetSync::on_machine_list(cloud::Result result,
+                                const std::vector<core::ListedMachine>& machines,
+                                const std::set<std::string>& names) {
+    reading_list_ = false;
+    const auto now = term_.runtime.now();
+    const bool complete = result == cloud::Result::Ok;
+    term_.cluster->with_lock([&](core::Cluster& cluster) {
+        cluster.on_list(machines, now);
+        if (complete) cluster.on_list_complete(names, now);
+    });
+    if (complete && !listed_) {
+        // Plans made before know neither these machines nor which zone is cut off.
+        fleet_known_at_ = now;
+        listed_ = true;
+    }
+    events_.on_machines_listed();
+}
+
+void FleetSync::release_machines() {
+    struct Release {
+        std::string machine;
+        bool has_tasks = false;
+    };
+    const auto now = term_.runtime.now();
+    const auto releases = term_.cluster->with_lock([&](core::Cluster& cluster) {
+        std::vector<Release> due;
+        for (auto& machine : cluster.next_releases(kMaxReleases, now)) {
+            const bool has_tasks = cluster.has_tasks(machine);
+            due.push_back({std::move(machine), has_tasks});
+        }
+        return due;
+    });
+    // The tasks of a machine wait for its release; one without tasks only costs money.
+    for (const auto& release : releases) duties_->queue_release(release.machine, release.has_tasks);
+    duties_->pump();
+}
+
+void FleetSync::provision(const std::vector<core::Provision>& provisions, Millis snapshot_at) {
+    const auto now = term_.runtime.now();
+    // Before the first list most machines are not known yet, and provisioning would double them.
+    if (!listed_ && now - failover_complete_at_ < kMaxListWaitMs) return;
+    if (provisions.empty() || duties_->provisioning_in_flight()) return;
+    // Demand comes in bits; a request for every plan would use up the cloud's rate limit.
+    if (now < no_provision_before_) return;
+    // A plan made before the last result does not know the machines that came with it.
+    if (snapshot_at < fleet_known_at_) return;
+    no_provision_before_ = now + kProvisionIntervalMs;
+    for (auto remaining : provisions) {
+        while (remaining.count > kMaxProvisionCount) {
+            auto part = remaining;
+            part.count = kMaxProvisionCount;
+            request_provision(part);
+            remaining.count -= kMaxProvisionCount;
+        }
+        request_provision(remaining);
+    }
+    duties_->pump();
+}
+
+void FleetSync::request_provision(const core::Provision& provision) {
+    // Token and counter: no request name is ever used twice, by any controller.
+    duty::ProvisionRequest request;
+    request.request =
+        "r-" + std::to_string(term_.token) + "-" + std::to_string(++provision_requests_);
+    request.spot = provision.spot;
+    request.number = provision.count;
+    request.type = term_.cluster->type_name(provision.type);
+    request.zone = term_.cluster->zone_name(provision.zone);
+    term_.host.log(events::ProvisionRequested{request.request, request.number, request.type,
+                                              request.zone, request.spot});
+    duties_->queue_provision(std::move(request));
+}
+
+void FleetSync::on_releases_inherited(const std::vector<std::string>& machines) {
+    const auto now = term_.runtime.now();
+    term_.cluster->with_lock(
+        [&](core::Cluster& cluster) { cluster.release_pending(machines, now); });
+    term_.host.log(events::ReleasesInherited{machines.size(), machines.front()});
+}
+
+void FleetSync::on_released(const std::vector<std::string>& machines) {
+    const auto now = term_.runtime.now();
+    term_.cluster->with_lock(
+        [&](core::Cluster& cluster) { cluster.on_released(machines, true, now); });
+    term_.host.log(events::MachinesReleased{machines.size(), machines.front()});
+    events_.on_cluster_changed();
+}
+
+void FleetSync::on_provisioned(const duty::ProvisionRequest& request,
+                               const std::vector<std::string>& machines, bool refused,
+                               cloud::Result result) {
+    const auto now = term_.runtime.now();
+    // Without a response it is sent again; the next plan waits for the result.
+    if (result == cloud::Result::NoResponse && duties_->provisioning_in_flight()) return;
+    fleet_known_at_ = now;
+    if (result == cloud::Result::Unavailable) no_provision_before_ = now + kUnavailablePauseMs;
+    if (result == cloud::Result::Ok) {
+        term_.cluster->with_lock([&](core::Cluster& cluster) {
+            cluster.on_provisioned(request.type, request.zone, request.spot, machines, now);
+        });
+    }
+    if (refused) {
+        const auto type = term_.cluster->type_index(request.type);
+        const auto zone = term_.cluster->zone_index(request.zone);
+        term_.cluster->with_lock(
+            [&](core::Cluster& cluster) { cluster.on_refused(type, zone, request.spot, now); });
+    }
+    term_.host.log(events::ProvisionCompleted{request.request, machines.size(),
+                                              result == cloud::Result::NoCapacity});
+    events_.on_provision_completed();
+}
+
+void FleetSync::on_lease_lost() {
+    term_.host.step_down(events::StepDownReason::AnotherLeaderElected);
+}
+
+}  // namespace lichendrift::control
--- /dev/null
+++ b/src/control/image_hint_store.cpp
@@ -0,0 +1,63 @@
+// Image hints in the state service.
+#include "control/image_hint_store.h"
+
+#include <algorithm>
+
+#include "core/state_keys.h"
+
+namespace lichendrift::control {
+
+namespace {
+
+constexpr Millis kPartIntervalMs = 8000;     // between two checks of the same part
+constexpr Millis kMinCheckIntervalMs = 500;  // between checks of any two parts
+constexpr std::size_t kMachineBytes = 90;    // of a machine in a part
+
+}  // namespace
+
+void ImageHintStore::read() {
+    part_checked_at_ = term_.runtime.now();
+    term_.store.list(
+        store::RequestPriority::Place, std::string(core::keys::kImageHints), "",
+        term_.callbacks.bind([this](store::Outcome outcome, const wire::ItemPage& page) {
+            on_hints_read(outcome, page);
+        }));
+}
+
+void ImageHintStore::on_hints_read(store::Outcome outcome, const wire::ItemPage& page) {
+    if (outcome != store::Outcome::Ok) return;
+    const auto now = term_.runtime.now();
+    for (const auto& item : page.items) {
+        const auto hints = wire::parse_image_hints_value(item.value);
+        if (!hints) continue;
+        term_.cluster->with_lock(
+            [&](core::Cluster& cluster) { cluster.load_image_hints(*hints, now); });
+    }
+}
+
+void ImageHintStore::write_due() {
+    if (!term_.host.has_leader_lease()) return;
+    // In several parts, as one value would hold no more than a hundred machines; one at a time.
+    const auto value_bytes = term_.store.max_value_bytes_from_now_on() * 3 / 4;
+    const auto machines_per_part = std::max<std::size_t>(1, value_bytes / kMachineBytes);
+    const auto parts = term_.cluster->with_lock(
+        [&](core::Cluster& cluster) { return 1 + cluster.machine_count() / machines_per_part; });
+    const auto now = term_.runtime.now();
+    const auto interval =
+        std::max(kMinCheckIntervalMs, kPartIntervalMs / static_cast<Millis>(parts));
+    if (now - part_checked_at_ < interval || !term_.store.can_write_at_once(1)) return;
+    part_checked_at_ = now;
+    part_ = (part_ + 1) % parts;
+    const auto hints = term_.cluster->with_lock(
+        [&](core::Cluster& cluster) { return cluster.image_hints(part_, parts); });
+    auto value = wire::image_hints_value(hints, value_bytes);
+    if (value == values_[part_]) return;
+    values_[part_] = value;
+    term_.store.transact(store::RequestPriority::Read, {term_.leadership_condition()},
+                         {{core::keys::image_hints(part_), std::move(value), 0}},
+                         term_.callbacks.bind([this](const store::TransactionResult& result) {
+                             term_.step_down_if_replaced(result);
+                         }));
+}
+
+}  // namespace lichendrift::control
