--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -60,6 +60,7 @@
 
 std::vector<std::string> names_of(const std::vector<const Peer*>& peers) {
     std::vector<std::string> names;
+    names.reserve(peers.size());
     for (const auto* peer : peers) names.push_back(peer->member);
     return names;
 }
