--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -8,6 +8,27 @@
 
 namespace lichendrift::core {
 
+/// Default of JobSpec::starvation_threshold_ms.
+inline constexpr Millis kStarvationThresholdMs = 60'000;
+/// Default of PlannerTuning::warm_capacity_s.
+inline constexpr double kWarmCapacityS = 20;
+/// Default of PlannerTuning::max_starved_jobs.
+inline constexpr std::size_t kMaxStarvedJobs = 8;
+/// Default of PlannerTuning::max_reserved_share.
+inline constexpr double kMaxReservedShare = 0.3;
+/// Default of PlannerTuning::min_run_before_drain_ms.
+inline constexpr Millis kMinRunBeforeDrainMs = 30'000;
+/// Default of PlannerTuning::drain_interval_ms.
+inline constexpr Millis kDrainIntervalMs = 6'000;
+/// Default of PlannerTuning::max_drained_share.
+inline constexpr double kMaxDrainedShare = 0.025;
+/// Default of PlannerTuning::guarantee_retention_ms.
+inline constexpr Millis kGuaranteeRetentionMs = 300'000;
+/// Default of WaitingJob::provision_patience_s.
+inline constexpr double kProvisionPatienceS = 20;
+/// Default of WaitingJob::on_demand_patience_s.
+inline constexpr double kOnDemandPatienceS = 60;
+
 /// What placement looks at of a job, with names as indices.
 struct JobSpec {
     ClassIndex cls = kInvalidIndex;        ///< class
@@ -32,22 +53,26 @@
     bool has_start_objective = false;      ///< its class has an objective on starting; services too
     Weights weights;                       ///< of the terms of its score
     /// Waiting longer than this makes it go first among its equals and get a reservation.
-    Millis starvation_threshold_ms = 60000;
+    Millis starvation_threshold_ms = kStarvationThresholdMs;
 };
 
 /// The planner's settings; the policy may replace some of them.
 struct PlannerTuning {
-    double warm_capacity_s = 20;  ///< warm capacity is kept for the arrivals of so many seconds
-    bool reservations = true;     ///< off in tests only
-    std::size_t max_starved_jobs = 8;        ///< that go first, of each rank; the longest waiting
-    std::uint32_t starved_array_tasks = 4;   ///< of a starved array, placed by one plan
-    double max_reserved_share = 0.3;         ///< of the machines, for all reservations together
-    std::uint32_t spare_machines = 1;        ///< idle machines that are not released
-    Millis min_run_before_drain_ms = 30000;  ///< tasks that ran less are not moved for a drain
-    Millis drain_interval_ms = 6000;         ///< between plans that drain machines
-    double max_drained_share = 0.025;        ///< of the machines at work, drained by one plan
+    double warm_capacity_s =
+        kWarmCapacityS;        ///< warm capacity is kept for the arrivals of so many seconds
+    bool reservations = true;  ///< off in tests only
+    std::size_t max_starved_jobs =
+        kMaxStarvedJobs;                    ///< that go first, of each rank; the longest waiting
+    std::uint32_t starved_array_tasks = 4;  ///< of a starved array, placed by one plan
+    double max_reserved_share =
+        kMaxReservedShare;             ///< of the machines, for all reservations together
+    std::uint32_t spare_machines = 1;  ///< idle machines that are not released
+    Millis min_run_before_drain_ms =
+        kMinRunBeforeDrainMs;                     ///< tasks that ran less are not moved for a drain
+    Millis drain_interval_ms = kDrainIntervalMs;  ///< between plans that drain machines
+    double max_drained_share = kMaxDrainedShare;  ///< of the machines at work, drained by one plan
     /// How long after a team's last work capacity for its guarantee is retained.
-    Millis guarantee_retention_ms = 300000;
+    Millis guarantee_retention_ms = kGuaranteeRetentionMs;
 };
 
 /// A machine as the planner sees it.
@@ -81,17 +106,19 @@
 
 /// A job with tasks that wait for a machine.
 struct WaitingJob {
-    JobIndex job = kInvalidIndex;      ///< key into Snapshot::jobs
-    std::uint32_t waiting_tasks = 0;   ///< number of its tasks that wait
-    bool in_guarantee = false;         ///< within its team's guarantee
-    bool backing_off = false;          ///< waits after a failure: not placed by this plan
-    bool has_started = false;          ///< a task of it was placed before
-    Millis waited_ms = 0;              ///< since its submission or its last start
-    double slack_s = 0;                ///< seconds until an objective is missed
-    double order_s = 0;                ///< sort key among equals, smaller first
-    double provision_patience_s = 20;  ///< capacity free within so long needs no new machine
-    double on_demand_patience_s = 60;  ///< the same before an on-demand machine is provisioned
-    ZoneIndex zone = kInvalidIndex;    ///< with one_zone: the zone of its other tasks
+    JobIndex job = kInvalidIndex;     ///< key into Snapshot::jobs
+    std::uint32_t waiting_tasks = 0;  ///< number of its tasks that wait
+    bool in_guarantee = false;        ///< within its team's guarantee
+    bool backing_off = false;         ///< waits after a failure: not placed by this plan
+    bool has_started = false;         ///< a task of it was placed before
+    Millis waited_ms = 0;             ///< since its submission or its last start
+    double slack_s = 0;               ///< seconds until an objective is missed
+    double order_s = 0;               ///< sort key among equals, smaller first
+    double provision_patience_s =
+        kProvisionPatienceS;  ///< capacity free within so long needs no new machine
+    double on_demand_patience_s =
+        kOnDemandPatienceS;          ///< the same before an on-demand machine is provisioned
+    ZoneIndex zone = kInvalidIndex;  ///< with one_zone: the zone of its other tasks
     /// Number of its tasks by zone, for `apart` and services; may be shorter than the zones.
     std::vector<std::uint32_t> zone_counts;
     std::vector<MachineIndex> replica_machines;  ///< of a service: machines of its other replicas
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -48,14 +48,22 @@
     double lease_s = 0;   ///< seconds that a worker's lease lasts
 };
 
+inline constexpr double kImageWeight = 4.0;            ///< default of Weights::image
+inline constexpr double kFetchingWeight = 2.0;         ///< default of Weights::fetching
+inline constexpr double kFetchWeightPerSecond = 0.15;  ///< default of Weights::fetch
+inline constexpr double kWarmWeight = 1.5;             ///< default of Weights::warm
+inline constexpr double kFitWeight = 3.0;              ///< default of Weights::fit
+inline constexpr double kPriceWeight = 1.5;            ///< default of Weights::price
+
 /// Weights of the terms of a machine's score (core/plan_score.h), in points.
 struct Weights {
-    double image = 4.0;     ///< added if the machine has the image
-    double fetching = 2.0;  ///< added if the machine fetches the image now
-    double fetch = 0.15;  ///< taken off per second of fetching, for classes with a start objective
-    double warm = 1.5;    ///< taken off where a class with a start objective has its image
-    double fit = 3.0;     ///< taken off for the share of the machine that would stay free
-    double price = 1.5;   ///< taken off for the price, as a share of the highest one
+    double image = kImageWeight;        ///< added if the machine has the image
+    double fetching = kFetchingWeight;  ///< added if the machine fetches the image now
+    /// Taken off per second of fetching, for classes with a start objective.
+    double fetch = kFetchWeightPerSecond;
+    double warm = kWarmWeight;    ///< taken off where a class with a start objective has its image
+    double fit = kFitWeight;      ///< taken off for the share of the machine that would stay free
+    double price = kPriceWeight;  ///< taken off for the price, as a share of the highest one
     /// Member by member.
     auto operator<=>(const Weights&) const = default;
 };
