--- a/src/core/plan_cycle.cpp
+++ b/src/core/plan_cycle.cpp
@@ -49,9 +49,9 @@
     }
     const PlacementRequest whole{job, spec.count, false};
     if (start_gang(whole)) return;
-    if (hold(whole, CapacitySource::Releasing) > 0) return;
+    if (nominate(whole, CapacitySource::Releasing) > 0) return;
     if (preemption_.has_victims(job) && preempt(whole) > 0) return;
-    if (hold(whole, CapacitySource::Booting) > 0) return;
+    if (nominate(whole, CapacitySource::Booting) > 0) return;
     provisioning_.request(job, spec.count);
     if (job.starved) reservation_.reserve(job, spec.count);
 }
@@ -85,7 +85,7 @@
     auto left = wanted;
     left -= start({job, left, true});
     if (left > 0 && preemption_.has_victims(job)) {
-        left -= hold({job, left, true}, CapacitySource::Releasing);
+        left -= nominate({job, left, true}, CapacitySource::Releasing);
         if (left > 0) left -= preempt({job, left, true});
     }
     const auto later = startable - wanted;
@@ -101,10 +101,10 @@
     return placement.tasks();
 }
 
-// Holds capacity of the source until tasks can start there; returns for how many.
-std::uint32_t PlanCycle::hold(const PlacementRequest& request, CapacitySource source) {
+// Nominates machines for tasks that can start there later; returns for how many.
+std::uint32_t PlanCycle::nominate(const PlacementRequest& request, CapacitySource source) {
     const auto placement = placement_.find(request, source);
-    if (placement.found()) state_.hold(request.job.spec, placement);
+    if (placement.found()) state_.nominate(request.job.spec, placement);
     return placement.tasks();
 }
 
--- a/src/core/plan_cycle.h
+++ b/src/core/plan_cycle.h
@@ -27,7 +27,7 @@
     void place_array(const QueuedJob& job);
     bool start_gang(const PlacementRequest& request);
     std::uint32_t start(const PlacementRequest& request);
-    std::uint32_t hold(const PlacementRequest& request, CapacitySource source);
+    std::uint32_t nominate(const PlacementRequest& request, CapacitySource source);
     std::uint32_t preempt(const PlacementRequest& request);
     void add_start(const QueuedJob& job, const Placement& placement);
     [[nodiscard]] bool image_too_late(const QueuedJob& job, const Placement& placement) const;
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -187,7 +187,7 @@
         if (!state_.allocations.is_victim(victim)) mark_victim(victim);
         if (state_.allocations.job(victim).spec.gang) mark_rest_of_gang(victim);
     }
-    state_.hold(job.spec, placement);
+    state_.nominate(job.spec, placement);
     state_.failed_fits.forget_releasing();
 }
 
--- a/src/core/plan_preemption.h
+++ b/src/core/plan_preemption.h
@@ -18,7 +18,7 @@
     Placement find(const PlacementRequest& request);
     /// The same, on machines that have the image only (docs/design.md, exception 2).
     Placement find_where_image_is(const PlacementRequest& request);
-    /// Preempts the victims of the placement and holds their resources for the job.
+    /// Preempts the victims of the placement and nominates its machines for the job.
     void preempt(const QueuedJob& job, const Placement& placement);
 
   private:
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -32,7 +32,7 @@
     auto left = std::min(demand.count, kMaxTasksOfDemand);
     if (!spec.gang) {
         const auto booting = placement_.find({job, left, true}, CapacitySource::Booting);
-        if (booting.found()) state_.hold(spec, booting);
+        if (booting.found()) state_.nominate(spec, booting);
         left -= booting.tasks();
     }
     if (spec.gang && !kept_for_gang_) keep_provisioned(job);
--- a/src/core/plan_state.h
+++ b/src/core/plan_state.h
@@ -24,10 +24,10 @@
     /// Uses capacity and quota for tasks that start now.
     void assume(const JobSpec& spec, const Placement& placement) {
         for (const auto machine : placement.machines) fetches.plan_fetch(machine, spec.image);
-        hold(spec, placement);
+        nominate(spec, placement);
     }
-    /// Holds capacity and quota for tasks that can't start yet.
-    void hold(const JobSpec& spec, const Placement& placement) {
+    /// Takes capacity and quota for tasks that can't start yet, as KEP-5732 nominates nodes.
+    void nominate(const JobSpec& spec, const Placement& placement) {
         for (const auto machine : placement.machines) capacity.take(machine, spec.need);
         quota.use(spec, placement.tasks());
         capacity.thin_out();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,5 @@
-// Work has to grow with what changed, not with the fleet. Operations are counted, not time.
+// The cost of heartbeats, plans and a failover grows with what changed, not with the fleet. Steps
+// are counted, not time.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -9,23 +10,31 @@
 namespace lichendrift::core {
 namespace {
 
+constexpr double kSlowHeartbeatsS = 5;
+constexpr double kFastHeartbeatsS = 1.5;
+
+MachineType machine_type(std::vector<std::string> zones) {
+    MachineType type;
+    type.name = "box";
+    type.room = {24000, 2000, 192000};
+    type.zones = std::move(zones);
+    return type;
+}
+
 // A fleet whose machines all run two tasks.
 class Fleet {
   public:
     Fleet(std::size_t machines, double report_s) : cluster_(settings(report_s), types_, zones_) {
-        MachineType type;
-        type.name = "box";
-        type.room = {24000, 2000, 192000};
+        auto type = machine_type({"a", "b"});
         type.hourly = 6;
         type.spot_hourly = 2;
-        type.zones = {"a", "b"};
         cluster_.set_types({type});
-        for (std::size_t m = 0; m < machines; ++m) heartbeat(m, {});
-        // Arrays that fill the fleet.
+        for (std::size_t machine = 0; machine < machines; ++machine) heartbeat(machine, {});
+        // An array that fills the fleet.
         JobText job = text(1, static_cast<std::uint32_t>(machines * 2));
         cluster_.add_job(job, 1, now_);
         place();
-        for (std::size_t m = 0; m < machines; ++m) heartbeat(m, tasks_[m]);
+        heartbeat_of_each();
     }
     static JobText text(std::size_t number, std::uint32_t count) {
         JobText job;
@@ -40,25 +49,25 @@
         job.estimate_s = 500;
         return job;
     }
-    void heartbeat(std::size_t m, const std::vector<TaskReport>& tasks) {
-        Report r;
-        r.machine = name(m);
-        r.endpoint = "10.0.0.1:1";
-        r.type = "box";
-        r.zone = m % 2 == 0 ? "a" : "b";
-        r.session = 1;
-        r.seq = ++seq_;
-        r.token = 3;
-        r.tasks = tasks;
-        if (cluster_.on_report(r, true, now_).changed) ++changed_;
-        const auto commands = cluster_.heartbeat_commands(r.machine, r.seq, true, now_);
-        for (const auto& order : commands) {
-            if (order.kind != Command::Kind::Run) continue;
-            TaskReport t;
-            t.job = order.job;
-            t.task = order.task;
-            t.attempt = order.attempt;
-            tasks_[m].push_back(t);
+    void heartbeat(std::size_t machine, const std::vector<TaskReport>& tasks) {
+        Report report;
+        report.machine = name(machine);
+        report.endpoint = "10.0.0.1:1";
+        report.type = "box";
+        report.zone = zone(machine);
+        report.session = 1;
+        report.seq = ++seq_;
+        report.token = 3;
+        report.tasks = tasks;
+        if (cluster_.on_report(report, true, now_).changed) ++changed_;
+        const auto commands = cluster_.heartbeat_commands(report.machine, report.seq, true, now_);
+        for (const auto& command : commands) {
+            if (command.kind != Command::Kind::Run) continue;
+            TaskReport task;
+            task.job = command.job;
+            task.task = command.task;
+            task.attempt = command.attempt;
+            tasks_[machine].push_back(task);
         }
         cluster_.machines_with_commands(true, 24, now_);
     }
@@ -69,26 +78,33 @@
             for (;;) {
                 const auto writes = cluster_.next_record_writes({}, true, now_);
                 if (writes.empty()) break;
-                for (const auto& w : writes) cluster_.on_record_written(w, true, ++revision_, now_);
+                for (const auto& write : writes) {
+                    cluster_.on_record_written(write, true, ++revision_, now_);
+                }
             }
-            const auto n = cluster_.machine_count();
-            for (std::size_t m = 0; m < n; ++m) heartbeat(m, tasks_[m]);
+            heartbeat_of_each();
             now_ += 1000;
         }
     }
-    static std::string name(std::size_t m) { return "host-" + std::to_string(100000 + m); }
+    static std::string name(std::size_t machine) {
+        return "host-" + std::to_string(100000 + machine);
+    }
+    static std::string zone(std::size_t machine) { return machine % 2 == 0 ? "a" : "b"; }
 
     std::uint64_t work_of_heartbeats(std::size_t heartbeats) {
         const auto before = cluster_.work();
-        const auto n = cluster_.machine_count();
-        for (std::size_t i = 0; i < heartbeats; ++i) heartbeat(i * 7 % n, tasks_[i * 7 % n]);
+        const auto machines = cluster_.machine_count();
+        for (std::size_t k = 0; k < heartbeats; ++k) {
+            const auto machine = k * 7 % machines;
+            heartbeat(machine, tasks_[machine]);
+        }
         return cluster_.work() - before;
     }
     std::uint64_t steps_with_waiting_jobs(std::size_t jobs) {
-        for (std::size_t j = 0; j < jobs; ++j) {
-            auto job = text(10 + j, 4);
-            job.gang = j % 2 == 0;
-            job.one_zone = j % 4 == 0;
+        for (std::size_t k = 0; k < jobs; ++k) {
+            auto job = text(10 + k, 4);
+            job.gang = k % 2 == 0;
+            job.one_zone = k % 4 == 0;
             cluster_.add_job(job, 1, now_);
         }
         return plan().steps;
@@ -98,12 +114,19 @@
 
   private:
     static ClusterSettings settings(double report_s) {
-        ClusterSettings s;
-        s.teams = {{"core", {}, {}}};
-        s.token = 3;
-        s.report_ms = static_cast<Millis>(report_s * 1000);
-        return s;
+        ClusterSettings result;
+        result.teams = {{"core", {}, {}}};
+        result.token = 3;
+        result.report_ms = static_cast<Millis>(report_s * 1000);
+        return result;
+    }
+    void heartbeat_of_each() {
+        const auto machines = cluster_.machine_count();
+        for (std::size_t machine = 0; machine < machines; ++machine) {
+            heartbeat(machine, tasks_[machine]);
+        }
     }
+
     Names types_;
     Names zones_;
     Cluster cluster_;
@@ -113,40 +136,40 @@
     std::map<std::size_t, std::vector<TaskReport>> tasks_;
 };
 
-TEST(Scale, BeatThatChangesNothingCostsTheSameInAnyFleet) {
-    Fleet small(32, 1.5);
-    Fleet fast(328, 1.5);
-    Fleet large(1200, 5);
-    Fleet largest(4000, 5);
+TEST(Scale, HeartbeatThatChangesNothingCostsTheSameInAnyFleet) {
+    Fleet small(32, kFastHeartbeatsS);
+    Fleet fast(328, kFastHeartbeatsS);
+    Fleet large(1200, kSlowHeartbeatsS);
+    Fleet largest(4000, kSlowHeartbeatsS);
     const auto base = small.work_of_heartbeats(2000);
     EXPECT_LE(fast.work_of_heartbeats(2000), base + base / 10);
     EXPECT_LE(large.work_of_heartbeats(2000), base + base / 10);
     EXPECT_LE(largest.work_of_heartbeats(2000), base + base / 10);
-    // Five looks for each: itself, two tasks as held and two as reported.
+    // Five steps for each: the machine, its two allocations and the two tasks reported.
     EXPECT_LE(base, 2000U * 5);
     large.changed_ = 0;
     large.work_of_heartbeats(100);
     EXPECT_EQ(large.changed_, 0U);
 }
 
-TEST(Scale, PlanForAFullFleetCostsByWhatWaitsNotByTheFleet) {
-    Fleet small(120, 5);
-    Fleet large(1200, 5);
+TEST(Scale, PlanForAFullFleetCostsByTheWaitingJobsNotByTheFleet) {
+    Fleet small(120, kSlowHeartbeatsS);
+    Fleet large(1200, kSlowHeartbeatsS);
     const auto base = small.steps_with_waiting_jobs(100);
     const auto grown = large.steps_with_waiting_jobs(100);
     EXPECT_LE(grown, base + base / 4 + 200) << base;
-    Fleet largest(4000, 5);
+    Fleet largest(4000, kSlowHeartbeatsS);
     EXPECT_LE(largest.steps_with_waiting_jobs(100), base + base / 4 + 200) << base;
-    // Twice as much that waits costs at most about twice as much.
-    Fleet more(1200, 5);
+    // Twice as many waiting jobs cost at most about twice as much.
+    Fleet more(1200, kSlowHeartbeatsS);
     EXPECT_LE(more.steps_with_waiting_jobs(200), grown * 5 / 2);
 }
 
-// Each change asks whether a job can get its final word: among those with all tasks done, not among
-// all that are open.
+// Each change asks whether a job can get its terminal state: among those with all tasks done, not
+// among all that are open.
 TEST(Scale, ChangedJobCostsTheSameHoweverManyAreOpen) {
     const auto work = [](std::size_t jobs) {
-        Fleet fleet(4000, 5);
+        Fleet fleet(4000, kSlowHeartbeatsS);
         fleet.steps_with_waiting_jobs(jobs);
         const auto before = fleet.cluster().work();
         for (int i = 0; i < 500; ++i) {
@@ -159,7 +182,7 @@
 }
 
 // A new leader asks each machine once, a few at a time.
-TEST(Scale, TakeOverGrowsInProportionToTheFleet) {
+TEST(Scale, FailoverGrowsInProportionToTheFleet) {
     const auto work = [](std::size_t machines) {
         Names types;
         Names zones;
@@ -167,12 +190,12 @@
         settings.token = 2 * kTokensOfALead;
         Cluster cluster(settings, types, zones);
         std::vector<ListedMachine> list(machines);
-        for (std::size_t m = 0; m < machines; ++m) {
-            list[m].name = Fleet::name(m);
-            list[m].endpoint = "10.0.0.1:1";
-            list[m].type = "box";
-            list[m].zone = m % 2 == 0 ? "a" : "b";
-            list[m].state = ListedMachine::State::Running;
+        for (std::size_t machine = 0; machine < machines; ++machine) {
+            list[machine].name = Fleet::name(machine);
+            list[machine].endpoint = "10.0.0.1:1";
+            list[machine].type = "box";
+            list[machine].zone = Fleet::zone(machine);
+            list[machine].state = ListedMachine::State::Running;
         }
         Millis now = 1000;
         cluster.on_list(list, now);
@@ -188,15 +211,15 @@
             under_way.pop_front();
             ++requested;
             cluster.direct_result(direct, Cluster::DirectResult::Executed, now);
-            Report r;
-            r.machine = direct.machine;
-            r.endpoint = direct.endpoint;
-            r.type = "box";
-            r.zone = "a";
-            r.session = 1;
-            r.seq = 1;
-            r.token = direct.token;
-            cluster.on_report(r, false, now);
+            Report report;
+            report.machine = direct.machine;
+            report.endpoint = direct.endpoint;
+            report.type = "box";
+            report.zone = "a";
+            report.session = 1;
+            report.seq = 1;
+            report.token = direct.token;
+            cluster.on_report(report, false, now);
         }
         EXPECT_EQ(requested, machines);
         return cluster.work();
@@ -205,8 +228,9 @@
     EXPECT_LE(work(4000), base * 24);
 }
 
-// After an end of all controllers 4,000 machines report to a leader that knows records of them all.
-TEST(Scale, TakeOverOfFullRecordsCostsTheSameForEachMachine) {
+// After the loss of all controllers 4,000 machines report to a leader that has placement records of
+// them all.
+TEST(Scale, FailoverWithFullRecordsCostsTheSameForEachMachine) {
     const auto work = [](std::size_t machines) {
         Names types;
         Names zones;
@@ -225,16 +249,16 @@
             cluster.load_record("job-100001", first / settings.tasks_per_record, record, 5, 1000);
         }
         cluster.records_loaded();
-        for (std::size_t m = 0; m < machines; ++m) {
+        for (std::size_t machine = 0; machine < machines; ++machine) {
             Report report;
-            report.machine = Fleet::name(m);
+            report.machine = Fleet::name(machine);
             report.endpoint = "10.0.0.1:1";
             report.type = "box";
             report.zone = "a";
             report.session = 1;
             report.seq = 9;
             report.token = settings.token;
-            report.tasks = {{"job-100001", static_cast<std::uint32_t>(m), 77}};
+            report.tasks = {{"job-100001", static_cast<std::uint32_t>(machine), 77}};
             EXPECT_TRUE(cluster.on_report(report, true, 2000).fresh);
         }
         return cluster.work();
@@ -244,61 +268,59 @@
 }
 
 TEST(Scale, PlanForAnEmptyFleetScoresEachMachineOnceForAJob) {
-    // Resources everywhere and jobs of many tasks: a trial walks the machines once, not for each
-    // task.
-    Snapshot s;
-    MachineType type;
-    type.name = "box";
-    type.room = {24000, 2000, 192000};
-    type.zones = {"a"};
-    s.types = {type};
-    s.type_zones = {{0}};
-    s.zone_count = 1;
-    s.teams = {{"core", {}, {}}};
-    s.team_used.resize(1);
-    for (MachineIndex m = 0; m < 1200; ++m) {
-        MachineView view;
-        view.index = m;
-        view.type = 0;
-        view.zone = 0;
-        view.usable = true;
-        view.capacity = view.free = type.room;
-        s.machines.push_back(view);
+    // Free capacity everywhere and jobs of many tasks: a trial looks at the machines once, not for
+    // each task.
+    const auto type = machine_type({"a"});
+    Snapshot snapshot;
+    snapshot.types = {type};
+    snapshot.type_zones = {{0}};
+    snapshot.zone_count = 1;
+    snapshot.teams = {{"core", {}, {}}};
+    snapshot.team_used.resize(1);
+    for (MachineIndex index = 0; index < 1200; ++index) {
+        MachineView machine;
+        machine.index = index;
+        machine.type = 0;
+        machine.zone = 0;
+        machine.usable = true;
+        machine.capacity = machine.free = type.room;
+        snapshot.machines.push_back(machine);
     }
-    for (JobIndex j = 0; j < 20; ++j) {
+    for (JobIndex index = 0; index < 20; ++index) {
         JobSpec spec;
         spec.team = 0;
         spec.count = 50;
         spec.need = {10000, 1000, 70000};
         spec.spot = true;
-        spec.image = j;
-        s.jobs[j] = {spec, false};
-        WaitingJob item;
-        item.job = j;
-        item.waiting_tasks = 50;
-        s.waiting_jobs.push_back(item);
+        spec.image = index;
+        snapshot.jobs[index] = {spec, false};
+        WaitingJob waiting;
+        waiting.job = index;
+        waiting.waiting_tasks = 50;
+        snapshot.waiting_jobs.push_back(waiting);
     }
-    const auto plan = make_plan(s);
+    const auto plan = make_plan(snapshot);
     EXPECT_EQ(plan.starts.size(), 20U);
     EXPECT_LE(plan.steps, 20U * (1200 + 50) + 5000);
 }
 
-// The state service allows few changes for all nodes together: a job may cost only so many.
+// The state service allows few writes of all controllers together: a job may cost only so many.
 TEST(Scale, ChangesOfTheStateServiceForAJobAreBounded) {
     auto options = simulation::calm(41);
     options.machines = 40;
     options.teams = {{"core", {}, {}}};
     simulation::Simulation simulation(options);
     simulation.set_capacity(40);
-    for (std::size_t n = 0; n < 60; ++n) {
-        auto j = simulation::plain(simulation::numbered(n), n % 2 == 0 ? 2 : 12, 20,
-                                   static_cast<Millis>(n) * 700);
-        j.kind = n % 2 == 0 ? "ensemble" : "sweep";
-        simulation.jobs().push_back(j);
+    for (std::size_t number = 0; number < 60; ++number) {
+        const bool gang = number % 2 == 0;
+        auto job = simulation::plain(simulation::numbered(number), gang ? 2 : 12, 20,
+                                     static_cast<Millis>(number) * 700);
+        job.kind = gang ? "ensemble" : "sweep";
+        simulation.jobs().push_back(job);
     }
     const auto before = simulation.writes();
     EXPECT_EQ(simulation.run(), "");
-    // Open, one record, final word with two removals; arrays a few records more.
+    // Open, one placement record, terminal state with two removals; arrays a few records more.
     EXPECT_LE(simulation.writes() - before, 60U * 8);
     // Direct commands go where something is placed or stopped, a few for each start.
     EXPECT_LE(simulation.direct_calls(), simulation.total_starts() * 3 + 200);
