--- a/src/control/failover_reader.h
+++ b/src/control/failover_reader.h
@@ -22,6 +22,7 @@
         std::function<void()> on_state_read;      ///< load_placement_records() may be called
     };
 
+    /// `term` and `job_watcher` outlive the reader.
     FailoverReader(Term& term, JobWatcher& job_watcher, Steps steps)
         : term_(term), job_watcher_(job_watcher), steps_(std::move(steps)) {}
 
--- a/src/control/fleet_sync.h
+++ b/src/control/fleet_sync.h
@@ -23,6 +23,7 @@
         std::function<void()> on_provision_completed;  ///< a provision request has its result
     };
 
+    /// `term` and `cloud` outlive it.
     FleetSync(Term& term, cloud::CloudClient& cloud, Events events);
     ~FleetSync() override { stop(); }
     FleetSync(const FleetSync&) = delete;
@@ -56,6 +57,8 @@
     void provision(const std::vector<core::Provision>& provisions, Millis snapshot_at);
 
   private:
+    static constexpr Millis kLongAgo = -100'000;  // before any time of the runtime's clock
+
     void read_types();
     void on_types(cloud::Result result, const std::vector<core::MachineType>& types);
     void read_machine_list();
@@ -76,13 +79,13 @@
     std::shared_ptr<MachineDuties> duties_;
     bool types_known_ = false;
     bool reading_types_ = false;
-    Millis types_requested_at_ = -100'000;
+    Millis types_requested_at_ = kLongAgo;
     bool listed_ = false;  // completely, at least once
     bool reading_list_ = false;
-    Millis list_requested_at_ = -100'000;
+    Millis list_requested_at_ = kLongAgo;
     Millis failover_complete_at_ = 0;
     Millis no_provision_before_ = 0;
-    Millis fleet_known_at_ = -10'000;  // the last provision's result, or the first complete list
+    Millis fleet_known_at_ = kLongAgo;  // the last provision's result, or the first complete list
     std::uint64_t provision_requests_ = 0;
 };
 
--- a/src/control/image_hint_store.h
+++ b/src/control/image_hint_store.h
@@ -12,6 +12,7 @@
 /// leader places tasks where their images are. They are hints only: losing some costs late starts.
 class ImageHintStore {
   public:
+    /// `term` outlives the store.
     explicit ImageHintStore(Term& term) : term_(term) {}
 
     /// Reads the hints of earlier terms into the cluster, as far as that succeeds at once.
--- a/src/control/job_count_publisher.h
+++ b/src/control/job_count_publisher.h
@@ -8,6 +8,7 @@
 /// them to users.
 class JobCountPublisher {
   public:
+    /// `term` outlives the publisher.
     explicit JobCountPublisher(Term& term) : term_(term) {}
 
     /// Publishes what changed if the last time is long enough ago; all counts once in a while.
--- a/src/control/plan_loop.h
+++ b/src/control/plan_loop.h
@@ -24,6 +24,8 @@
     [[nodiscard]] bool overdue() const;
 
   private:
+    static constexpr Millis kLongAgo = -10'000;  // so that the first plan is due at once
+
     void start_plan();
     void on_plan(const core::Plan& plan);
 
@@ -31,9 +33,9 @@
     PlanExecutor& planner_;
     std::function<void(const core::Plan&)> on_plan_ready_;
     bool planning_ = false;
-    bool requested_again_ = false;   // while planning
-    bool timer_set_ = false;         // for the end of the spacing
-    Millis last_plan_at_ = -10'000;  // its start; once it is ready, that moment
+    bool requested_again_ = false;    // while planning
+    bool timer_set_ = false;          // for the end of the spacing
+    Millis last_plan_at_ = kLongAgo;  // its start; once it is ready, that moment
     Millis last_duration_ms_ = 0;
 };
 
