--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -189,13 +189,13 @@
     campaign.lease_sent_at = sent_at;
     // The term's block of tokens begins after the highest token seen.
     const auto highest = std::max(campaign.stored_token, highest_token_);
-    campaign.token = (highest / core::kTokensOfALead + 1) * core::kTokensOfALead;
+    campaign.token = (highest / core::kFencingTokensPerTerm + 1) * core::kFencingTokensPerTerm;
     write_leader_record(campaign);
 }
 
 void LeaderElection::write_leader_record(const Campaign& campaign) {
     // The key `token` keeps the last token of the term's block.
-    const auto last_token = campaign.token + core::kTokensOfALead - 1;
+    const auto last_token = campaign.token + core::kFencingTokensPerTerm - 1;
     store_.transact(
         store::RequestPriority::Leadership,
         {{kLeaderKey, campaign.leader_revision}, {kTokenKey, campaign.token_revision}},
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -148,7 +148,7 @@
 
 tl::expected<wire::HeartbeatAnswer, HeartbeatRefusal> Leader::on_heartbeat(
     const core::Report& report) {
-    if (report.token >= term_.token + core::kTokensOfALead) {
+    if (report.token >= term_.token + core::kFencingTokensPerTerm) {
         term_.host.step_down(events::StepDownReason::HigherTokenAtWorker, report.token);
         return tl::unexpected(HeartbeatRefusal::HigherTokenSeen);
     }
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -87,7 +87,7 @@
     std::size_t max_connections = 1000;        ///< sockets that this process may use
 
     /// Fault injection of the tests; not in the file.
-    core::Guards guards;
+    core::SafetyGuards guards;
     /// Of the operators' features file.
     Features features;
     /// Text of the operators' policy, checked; empty: the built-in one.
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -19,7 +19,7 @@
     std::uint32_t tasks_per_record = 100;  // tasks of an array in one place record
     std::vector<Objective> objectives;
     PlannerTuning tuning;
-    Guards guards;
+    SafetyGuards guards;
     std::shared_ptr<Policy> policy;  // none: the tuning as it is
 };
 
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -13,7 +13,7 @@
 
 ReportOutcome Cluster::on_report(const Report& report, bool is_heartbeat, Millis now) {
     ReportOutcome outcome;
-    if (report.token >= settings_.token + kTokensOfALead) {
+    if (report.token >= settings_.token + kFencingTokensPerTerm) {
         outcome.superseded = true;
         return outcome;
     }
@@ -334,7 +334,7 @@
 // has no token left for it.
 bool Cluster::raise(Machine& machine) const {
     if (!machine.ran_direct || !settings_.guards.reap_raises) return true;
-    if (machine.token + 1 >= settings_.token + kTokensOfALead) return false;
+    if (machine.token + 1 >= settings_.token + kFencingTokensPerTerm) return false;
     ++machine.token;
     machine.ran_direct = false;
     return true;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -10,6 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "core/safety_guards.h"
+
 namespace lichendrift::core {
 
 // Dense indices stand for names everywhere inside; names are mapped at the door.
@@ -23,9 +25,9 @@
 using ClassIndex = std::uint32_t;
 inline constexpr std::uint32_t kInvalidIndex = std::numeric_limits<std::uint32_t>::max();
 
-// Each lead owns a block of tokens. It raises the token of a single machine inside its block, which
-// ends every command sent there before, without asking the state service.
-inline constexpr std::uint64_t kTokensOfALead = 1'000'000;
+/// Fencing tokens that each term owns, one block. The leader raises the token of a single machine
+/// inside its block, which ends every command sent there before, without asking the state service.
+inline constexpr std::uint64_t kFencingTokensPerTerm = 1'000'000;
 
 // Steady time in milliseconds since an arbitrary start.
 using Millis = std::int64_t;
@@ -148,33 +150,6 @@
     bool stored = false;
 };
 
-// The central guards of the safety argument. All are on; the tests switch one off at a time to
-// prove that their checker would see its loss.
-struct Guards {
-    bool record_first = true;           // no run before its record is durable
-    bool trusted_reports = true;        // only reports under the leader's own token free tasks
-    bool unconfirmed_allocated = true;  // a direct run without an answer may still come
-    bool silence_is_no_proof = true;    // a silent machine's tasks stay on it until it is returned
-    bool leader_condition = true;       // writes of a leader that has lost fail
-    bool fresh_reads = true;            // users get no answer older than one given before
-    bool claims = true;                 // what waited too long goes first and claims room
-    bool command_effect_check = true;   // a machine that nothing reaches gets no work
-    bool reap_raises = true;            // copies of a run can't act once its attempt is forgotten
-    bool cancellations_announced = true;  // peers tell each other of cancellations
-    bool kept_until_loaded = true;   // what ends amid a take-over is kept until records are read
-    bool record_of_open = true;      // no record becomes durable under a job that is over
-    bool runs_on_fresh_copy = true;  // no run is sent on an old copy of what is open
-    bool cancellations_bound_leases =
-        true;                       // no lease is renewed past a cancellation that may be unknown
-    bool intent_first = true;       // nothing is asked of the cloud before its intent is durable
-    bool intents_inherited = true;  // intents of earlier holders are read and finished
-    bool intent_kept = true;        // an intent to release stays until the cloud has confirmed
-    // Off: a controller that keeps to what the version before standing services knows of formats
-    // and messages, for the tests of upgrades.
-    bool current_version = true;
-    bool stable_layout = true;  // the division of records does not follow the limits to come
-};
-
 // What a worker says of its machine, in a beat or in the answer to a direct command.
 struct Report {
     std::string machine;
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -116,7 +116,7 @@
 // Each guard is needed: without it some day breaks the rule that it protects.
 struct BrokenFence {
     const char* name;
-    bool core::Guards::*guard;
+    bool core::SafetyGuards::*guard;
 };
 
 // Machines are idle between waves of jobs and are released; just then the leader freezes, its
@@ -171,11 +171,11 @@
     }
     FAIL() << "no day shows that " << GetParam().name << " is off";
 }
-INSTANTIATE_TEST_SUITE_P(Guards, BrokenFenceDay,
-                         ::testing::Values(BrokenFence{"intent_first", &core::Guards::intent_first},
-                                           BrokenFence{"intents_inherited",
-                                                       &core::Guards::intents_inherited}),
-                         [](const auto& param) { return std::string(param.param.name); });
+INSTANTIATE_TEST_SUITE_P(
+    Guards, BrokenFenceDay,
+    ::testing::Values(BrokenFence{"intent_first", &core::SafetyGuards::intent_first},
+                      BrokenFence{"intents_inherited", &core::SafetyGuards::intents_inherited}),
+    [](const auto& param) { return std::string(param.param.name); });
 
 // ---- hard cases ----
 
@@ -188,7 +188,7 @@
     enum class When : std::uint8_t { ReleaseRequested, IntentWritten, ProvisionRequested } when;
     void (*inject)(Simulation& simulation, std::size_t leader);
     Millis burst_after = 5000;
-    bool core::Guards::*guard = nullptr;  // without it the case breaks a rule
+    bool core::SafetyGuards::*guard = nullptr;  // without it the case breaks a rule
 };
 
 constexpr Millis kIdleFrom = 14'000;
@@ -255,7 +255,7 @@
 
 const HardCase kHardCases[] = {
     {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseRequested, delay_and_freeze, 4500,
-     &core::Guards::intent_first},
+     &core::SafetyGuards::intent_first},
     {"FrozenWhileTheIntentIsWritten", HardCase::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
     {"EndsAfterItHasWaitedInVain", HardCase::When::ReleaseRequested,
@@ -264,7 +264,7 @@
          simulation.at(simulation.now() + 8000,
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
-     9000, &core::Guards::intent_kept},
+     9000, &core::SafetyGuards::intent_kept},
     {"DelayedByTheNetworkForMinutes", HardCase::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cut(node_name(leader), "cloud", 75'000, true);
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -27,7 +27,7 @@
 // and the leader went on renewing the leases of machines with cancelled tasks.
 class CancelledBehindTheLeader : public ::testing::TestWithParam<Gap> {
   public:
-    static std::string day(const Gap& gap, core::Guards guards, std::uint64_t seed) {
+    static std::string day(const Gap& gap, core::SafetyGuards guards, std::uint64_t seed) {
         auto options = calm(seed);
         options.nodes = gap.nodes;
         options.old_peers = gap.old;
@@ -71,15 +71,15 @@
         EXPECT_EQ(day(GetParam(), {}, seed), "");
         if (GetParam().apart || GetParam().back || GetParam().old) {
             // Announcements alone are not enough where nobody can send them.
-            auto unbound = core::Guards{};
+            auto unbound = core::SafetyGuards{};
             unbound.cancellations_bound_leases = false;
             EXPECT_TRUE(day(GetParam(), unbound, seed).starts_with("ran_cancelled"));
         }
-        auto neither = core::Guards{};
+        auto neither = core::SafetyGuards{};
         neither.cancellations_announced = neither.cancellations_bound_leases = false;
         EXPECT_TRUE(day(GetParam(), neither, seed).starts_with("ran_cancelled"));
         // The bound on lease renewals is enough by itself.
-        auto untold = core::Guards{};
+        auto untold = core::SafetyGuards{};
         untold.cancellations_announced = false;
         EXPECT_EQ(day(GetParam(), untold, seed), "");
     }
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -58,7 +58,7 @@
 // The checker has to see the loss of each central guard on some seed.
 struct Broken {
     const char* name;
-    bool core::Guards::*guard;
+    bool core::SafetyGuards::*guard;
     void (*bring)(Simulation&) =
         nullptr;  // what the guard is there for, where chance brings it too seldom
 };
@@ -104,15 +104,15 @@
 }
 INSTANTIATE_TEST_SUITE_P(
     Guards, BrokenGuard,
-    ::testing::Values(Broken{"record_first", &core::Guards::record_first},
-                      Broken{"trusted_reports", &core::Guards::trusted_reports},
-                      Broken{"unconfirmed_allocated", &core::Guards::unconfirmed_allocated},
-                      Broken{"record_of_open", &core::Guards::record_of_open},
-                      Broken{"reap_raises", &core::Guards::reap_raises},
-                      Broken{"silence_is_no_proof", &core::Guards::silence_is_no_proof,
+    ::testing::Values(Broken{"record_first", &core::SafetyGuards::record_first},
+                      Broken{"trusted_reports", &core::SafetyGuards::trusted_reports},
+                      Broken{"unconfirmed_allocated", &core::SafetyGuards::unconfirmed_allocated},
+                      Broken{"record_of_open", &core::SafetyGuards::record_of_open},
+                      Broken{"reap_raises", &core::SafetyGuards::reap_raises},
+                      Broken{"silence_is_no_proof", &core::SafetyGuards::silence_is_no_proof,
                              hang_machines_while_the_cloud_is_out},
-                      Broken{"leader_condition", &core::Guards::leader_condition},
-                      Broken{"fresh_reads", &core::Guards::fresh_reads}),
+                      Broken{"leader_condition", &core::SafetyGuards::leader_condition},
+                      Broken{"fresh_reads", &core::SafetyGuards::fresh_reads}),
     [](const auto& param) { return std::string(param.param.name); });
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -187,7 +187,7 @@
         Names types;
         Names zones;
         ClusterSettings settings;
-        settings.token = 2 * kTokensOfALead;
+        settings.token = 2 * kFencingTokensPerTerm;
         Cluster cluster(settings, types, zones);
         std::vector<ListedMachine> list(machines);
         for (std::size_t machine = 0; machine < machines; ++machine) {
@@ -236,7 +236,7 @@
         Names zones;
         ClusterSettings settings;
         settings.teams = {{"core", {}, {}}};
-        settings.token = 2 * kTokensOfALead;
+        settings.token = 2 * kFencingTokensPerTerm;
         Cluster cluster(settings, types, zones);
         cluster.records_to_come();
         cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
--- a/tests/simulation/duties.cpp
+++ b/tests/simulation/duties.cpp
@@ -30,8 +30,9 @@
 // A request of a leader that was replaced must name no machine that a later one has given work.
 void Simulation::release_machines(const rapidjson::Value& request) {
     const auto term = terms_[epoch_in(request)];
-    const auto newest = parsed(store_["token"].first)["t"].GetUint64() / core::kTokensOfALead;
-    const bool replaced = term != 0 && term / core::kTokensOfALead < newest;
+    const auto newest =
+        parsed(store_["token"].first)["t"].GetUint64() / core::kFencingTokensPerTerm;
+    const bool replaced = term != 0 && term / core::kFencingTokensPerTerm < newest;
     if (replaced) ++releases_.late;
     std::size_t there = 0;
     for (const auto& name : request["banchi"].GetArray()) {
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -136,7 +136,7 @@
     bool old_peers = false;    // none knows the messages about cancellations
     bool old_version = false;  // controllers begin as the version before services, see upgrade()
     control::NextStateLimits next;  // in the settings; in force from limit_state() on
-    core::Guards guards;            // tests of a guard switch it off
+    core::SafetyGuards guards;      // tests of a guard switch it off
     std::string policy;             // the operators'
     control::Features features;     // the operators'
     // Set if the controllers are real processes: passes them a request. The simulation then has
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -15,7 +15,7 @@
 void Simulation::apply(const std::string& key, const std::string& value, std::uint64_t lease) {
     if (key.starts_with("place/") && !value.empty()) {
         const auto term_of = [](const std::string& text) {
-            return parsed(text)["t"].GetUint64() / core::kTokensOfALead;
+            return parsed(text)["t"].GetUint64() / core::kFencingTokensPerTerm;
         };
         if (term_of(value) < term_of(store_["token"].first)) {
             fail("late_write", key + " is written by a leader that has lost");
