--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -1,5 +1,6 @@
 // The attempts that count as being on machines: how they come, are stopped and let go.
 #include "core/cluster.h"
+#include "core/state_keys.h"
 
 namespace lichendrift::core {
 
@@ -13,21 +14,21 @@
 
 }  // namespace
 
-AllocationIndex Cluster::add_allocation(const Allocation& h) {
+AllocationIndex Cluster::add_allocation(const Allocation& allocation) {
     AllocationIndex index;
     if (free_allocations_.empty()) {
         index = static_cast<AllocationIndex>(allocations_.size());
-        allocations_.push_back(h);
+        allocations_.push_back(allocation);
     } else {
         index = free_allocations_.back();
         free_allocations_.pop_back();
-        allocations_[index] = h;
+        allocations_[index] = allocation;
     }
-    Job& job = jobs_[h.job];
-    job.allocations.emplace(h.task, index);
-    machines_[h.machine].allocations.push_back(index);
-    machines_[h.machine].used += job.spec.need;
-    attention_.insert(h.machine);
+    Job& job = jobs_[allocation.job];
+    job.allocations.emplace(allocation.task, index);
+    machines_[allocation.machine].allocations.push_back(index);
+    machines_[allocation.machine].used += job.spec.need;
+    attention_.insert(allocation.machine);
     if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] += job.spec.need;
     return index;
 }
@@ -78,6 +79,13 @@
     }
 }
 
+// A task that was placed does not wait any more; those before it were not tried yet, and go on
+// waiting.
+void Cluster::take_from_waiting(Job& job, std::uint32_t task) {
+    while (job.next_fresh <= task) job.again.insert(job.next_fresh++);
+    job.again.erase(task);
+}
+
 void Cluster::drop_if_gone(JobIndex index) {
     auto it = jobs_.find(index);
     if (it == jobs_.end() || !it->second.over || !it->second.allocations.empty()) return;
@@ -85,7 +93,7 @@
     for (auto& [number, record_number] : it->second.record_numbers) {
         // A write in flight may still create the record: removing it later is harmless.
         if (record_number.revision != 0 || record_number.writing || record_number.dirty) {
-            orphans_.push_back("place/" + it->second.id + "/" + std::to_string(number));
+            orphans_.push_back(keys::placement_record(it->second.id, number));
         }
     }
     job_ids_.erase(it->second.id);
@@ -96,19 +104,18 @@
     Job& job = jobs_[index];
     // A replica of a service that has ended runs again.
     if (job.spec.service) return;
-    auto one = [&](std::uint32_t t) {
-        if (job.done_flags[t] != 0) return;
-        job.done_flags[t] = 1;
+    const auto mark_one = [&](std::uint32_t number) {
+        if (job.done_flags[number] != 0) return;
+        job.done_flags[number] = 1;
         ++job.done;
-        while (job.next_fresh <= t) job.again.insert(job.next_fresh++);
-        job.again.erase(t);
-        mark_lazy(job, t, now);
+        take_from_waiting(job, number);
+        mark_lazy(job, number, now);
     };
     if (job.spec.gang) {
         // A gang completes together: if one task is done, all are.
-        for (std::uint32_t t = 0; t < job.spec.count; ++t) one(t);
+        for (std::uint32_t number = 0; number < job.spec.count; ++number) mark_one(number);
     } else {
-        one(task);
+        mark_one(task);
     }
     if (job.done == job.spec.count) all_done_.insert(index);
 }
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -1,3 +1,4 @@
+// Jobs as they come and go, and the plans of the planner as they are checked and applied.
 #include "core/cluster.h"
 
 #include <cmath>
@@ -6,7 +7,12 @@
 
 namespace {
 
-constexpr std::size_t kMaxWarm = 16;
+constexpr Millis kStarvingGang = 60'000;
+constexpr Millis kStarvingArray = 120'000;
+constexpr std::size_t kMaxWarm = 16;   // images
+constexpr std::size_t kMaxTypes = 64;  // machine types that a job's constraint can name
+constexpr std::uint64_t kAttemptsPerToken = 10'000'000;
+constexpr double kMinRestToMoveMs = 60'000;  // what ends sooner is not moved off a drained machine
 
 std::int64_t need_thousandths(double amount) {
     return static_cast<std::int64_t>(std::ceil(amount * 1000.0 - 1e-6));
@@ -52,7 +58,23 @@
     // have waited long enough to go first.
     job.waiting_since = now - std::max<Millis>(age_ms, 0);
     job.done_flags.resize(text.count);
+    job.spec = make_spec(text);
     JobSpec& spec = job.spec;
+    const ClassObjectives& objectives = objectives_of(spec.cls, text.cls);
+    // A replica that is not up is a loss for as long as it is not.
+    spec.has_start_objective = spec.service || !objectives.start_within_s.empty();
+    spec.starvation_threshold_ms = spec.gang ? kStarvingGang : kStarvingArray;
+    if (settings_.policy) {
+        const auto about = facts(job);
+        spec.weights = settings_.policy->weights(about);
+        spec.starvation_threshold_ms =
+            static_cast<Millis>(settings_.policy->starvation_threshold_s(about) * 1000);
+    }
+    if (spec.has_start_objective) note_arrival(spec, now);
+}
+
+JobSpec Cluster::make_spec(const JobText& text) {
+    JobSpec spec;
     spec.cls = classes_.intern(text.cls);
     spec.team = teams_.find(text.team);
     spec.gang = text.gang;
@@ -66,7 +88,8 @@
     if (text.types) {
         spec.types = 0;
         for (const auto& type : *text.types) {
-            if (const auto t = types_.intern(type); t < 64) spec.types |= 1ULL << t;
+            const auto index = types_.intern(type);
+            if (index < kMaxTypes) spec.types |= 1ULL << index;
         }
     }
     spec.zone = text.zone ? zones_.intern(*text.zone) : kInvalidIndex;
@@ -78,38 +101,38 @@
     spec.save_s = text.save_s;
     spec.deadline_s = text.deadline_s;
     spec.submitted_ms = text.submitted_ms;
-    if (class_objectives_.size() <= spec.cls) {
-        class_objectives_.resize(spec.cls + 1);
-        for (const auto& objective : settings_.objectives) {
-            if (objective.cls != text.cls) continue;
-            auto& objectives = class_objectives_[spec.cls];
-            if (objective.kind == Objective::Kind::Start)
-                objectives.start_within_s.push_back(objective.within_s);
-            if (objective.kind == Objective::Kind::Finish)
-                objectives.finish_within_s.push_back(objective.within_s);
+    return spec;
+}
+
+// The objectives of a class are collected when the first job of it comes.
+const ClassObjectives& Cluster::objectives_of(ClassIndex index, const std::string& name) {
+    if (class_objectives_.size() > index) return class_objectives_[index];
+    class_objectives_.resize(index + 1);
+    auto& objectives = class_objectives_[index];
+    for (const auto& objective : settings_.objectives) {
+        if (objective.cls != name) continue;
+        if (objective.kind == Objective::Kind::Start) {
+            objectives.start_within_s.push_back(objective.within_s);
         }
-    }
-    // A replica that is not up is a loss for as long as it is not.
-    spec.has_start_objective = spec.service || !class_objectives_[spec.cls].start_within_s.empty();
-    spec.starvation_threshold_ms = spec.gang ? 60000 : 120000;
-    if (settings_.policy) {
-        const auto about = facts(job);
-        spec.weights = settings_.policy->weights(about);
-        spec.starvation_threshold_ms =
-            static_cast<Millis>(settings_.policy->starvation_threshold_s(about) * 1000);
-    }
-    if (spec.has_start_objective) {
-        warm_[spec.image] = now;
-        Arrivals& arrivals = arrivals_[spec.cls];
-        const double passed = static_cast<double>(now - arrivals.at) / kRateFor;
-        arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kRateFor;
-        arrivals.at = now;
-        arrivals.spec = spec;
-        if (warm_.size() > kMaxWarm) {
-            warm_.erase(std::min_element(warm_.begin(), warm_.end(),
-                                         [](auto& a, auto& b) { return a.second < b.second; }));
+        if (objective.kind == Objective::Kind::Finish) {
+            objectives.finish_within_s.push_back(objective.within_s);
         }
     }
+    return objectives;
+}
+
+// What keeps capacity warm for the next jobs of the class.
+void Cluster::note_arrival(const JobSpec& spec, Millis now) {
+    warm_[spec.image] = now;
+    Arrivals& arrivals = arrivals_[spec.cls];
+    const double passed = static_cast<double>(now - arrivals.at) / kRateFor;
+    arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kRateFor;
+    arrivals.at = now;
+    arrivals.spec = spec;
+    if (warm_.size() <= kMaxWarm) return;
+    warm_.erase(std::min_element(
+        warm_.begin(), warm_.end(),
+        [](const auto& one, const auto& other) { return one.second < other.second; }));
 }
 
 void Cluster::job_over(const std::string& job_id, bool aborted, Millis now) {
@@ -121,11 +144,14 @@
     job.over = true;
     job.aborted = aborted;
     job.finishing = false;
-    std::vector<AllocationIndex> held;
-    for (auto& [task, allocation_index] : job.allocations) held.push_back(allocation_index);
-    for (auto allocation_index : held) {
-        Allocation& h = allocation(allocation_index);
-        if (h.state == Allocation::State::Planned || h.state == Allocation::State::Ready) {
+    std::vector<AllocationIndex> allocated;
+    for (const auto& [task, allocation_index] : job.allocations) {
+        allocated.push_back(allocation_index);
+    }
+    for (const auto allocation_index : allocated) {
+        const Allocation& allocation = allocations_[allocation_index];
+        if (allocation.state == Allocation::State::Planned ||
+            allocation.state == Allocation::State::Ready) {
             release(allocation_index, false, now);
         } else if (aborted) {
             stop_allocation(allocation_index, 0, now);
@@ -139,148 +165,176 @@
     return settings_.policy->take_rejected_values();
 }
 
-bool Cluster::start_allowed(const Job& job,
-                            const std::vector<std::pair<std::uint32_t, MachineIndex>>& on,
+bool Cluster::start_allowed(const Job& job, const std::vector<TaskPlacement>& placements,
                             Millis now) const {
     const JobSpec& spec = job.spec;
     if (job.over || job.finishing || spec.team == kInvalidIndex) return false;
     std::map<MachineIndex, Resources> free;
     std::map<ZoneIndex, std::uint32_t> zones;
-    for (const auto& [task, allocation_index] : job.allocations)
-        ++zones[machines_[allocations_[allocation_index].machine].zone];
+    for (const auto& [task, index] : job.allocations) {
+        ++zones[machines_[allocations_[index].machine].zone];
+    }
     Resources team = team_used_[spec.team];
-    for (auto [task, mix] : on) {
-        const Machine& machine = machines_[mix];
+    for (const auto [task, index] : placements) {
+        const Machine& machine = machines_[index];
         if (job.allocations.contains(task) || job.done_flags[task] != 0) return false;
-        if (!usable(machine, now)) return false;
-        if (machine.type >= 64 || (spec.types >> machine.type & 1) == 0) return false;
-        if (spec.zone != kInvalidIndex && machine.zone != spec.zone) return false;
-        if (machine.spot && !spec.spot) return false;
-        auto [it, fresh] = free.try_emplace(mix, type_info_[machine.type].room);
+        if (!usable(machine, now) || !meets_constraints(spec, machine)) return false;
+        const auto [it, fresh] = free.try_emplace(index, type_info_[machine.type].room);
         if (fresh) it->second -= machine.used;
         if (!it->second.covers(spec.need)) return false;
         it->second -= spec.need;
         ++zones[machine.zone];
         team += spec.need;
     }
+    return zones_allowed(spec, zones) && !exceeds(team, team_list_[spec.team].limit);
+}
+
+bool Cluster::meets_constraints(const JobSpec& spec, const Machine& machine) {
+    if (machine.type >= kMaxTypes || (spec.types >> machine.type & 1) == 0) return false;
+    if (spec.zone != kInvalidIndex && machine.zone != spec.zone) return false;
+    return spec.spot || !machine.spot;
+}
+
+// `zones`: how many tasks of the job would be in each.
+bool Cluster::zones_allowed(const JobSpec& spec, const std::map<ZoneIndex, std::uint32_t>& zones) {
+    if (!spec.one_zone && !spec.apart) return true;
     // Tasks on machines whose zone is not known could be anywhere.
-    if ((spec.one_zone || spec.apart) && zones.contains(kInvalidIndex)) return false;
+    if (zones.contains(kInvalidIndex)) return false;
     if (spec.one_zone && zones.size() > 1) return false;
-    if (spec.apart) {
-        for (auto [zone, count] : zones) {
-            if (count > (spec.count + 1) / 2) return false;
-        }
-    }
-    return !exceeds(team, team_list_[spec.team].limit);
+    if (!spec.apart) return true;
+    return std::all_of(zones.begin(), zones.end(),
+                       [&](const auto& zone) { return zone.second <= (spec.count + 1) / 2; });
 }
 
 Cluster::Applied Cluster::apply(const Plan& plan, Millis now) {
     Applied applied;
-    for (const auto& start : plan.starts) {
-        auto it = jobs_.find(start.job);
-        if (it == jobs_.end()) continue;
-        Job& job = it->second;
-        const auto limit = static_cast<std::uint32_t>(start.machines.size());
-        if (waiting(job) < limit || job.retry_at > now) continue;
-        const auto tasks = take_waiting(job, limit);
-        if (job.spec.gang && tasks.size() != job.spec.count) continue;
-        std::vector<std::pair<std::uint32_t, MachineIndex>> on;
-        for (std::size_t i = 0; i < tasks.size(); ++i) on.emplace_back(tasks[i], start.machines[i]);
-        if (!start_allowed(job, on, now)) {
-            ++applied.refused;
-            continue;
-        }
-        const auto attempt = settings_.token * 10'000'000 + ++attempts_;
-        const auto& images = machines_[on.front().second].images;
-        const bool there = std::find(images.begin(), images.end(), job.spec.image) != images.end();
-        events::JobPlaced event;
-        event.job = job.id;
-        event.job_class = job.text.cls;
-        event.attempt = attempt;
-        event.waited_s = (now - job.waiting_since) / 1000;
-        event.image_present = there;
-        event.score_percent = std::lround(start.score * 100);
-        event.tasks = on.size();
-        for (auto zone : start.rejected_zones) event.rejected_zones.push_back(zones_.name(zone));
-        for (auto [task, mix] : on) {
-            Allocation h;
-            h.job = start.job;
-            h.task = task;
-            h.attempt = attempt;
-            h.machine = mix;
-            h.session = machines_[mix].session;
-            h.since = now;
-            if (!settings_.guards.record_first) h.state = Allocation::State::Ready;
-            while (job.next_fresh <= task) job.again.insert(job.next_fresh++);
-            job.again.erase(task);
-            add_allocation(h);
-            mark_dirty(job, task);
-            if (event.machines.size() < events::JobPlaced::kMaxMachines) {
-                event.machines.push_back(machines_[mix].name);
-            }
-        }
-        job.started_at = now;
-        applied.events.emplace_back(std::move(event));
-        ++applied.starts;
+    for (const auto& start : plan.starts) apply_start(start, applied, now);
+    for (const auto& preemption : plan.preemptions) apply_preemption(preemption, applied, now);
+    for (const auto index : plan.releases) apply_release(machines_[index], applied);
+    if (plan.capacity_short) cancel_consolidation(applied);
+    const bool may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
+    for (const auto index : plan.drains) {
+        Machine& machine = machines_[index];
+        if (machine.life != Machine::Life::Up || machine.drain || !may_drain) continue;
+        drained_at_ = now;
+        machine.drain = true;
+        machine.consolidating = true;
+        applied.events.emplace_back(events::MachineDrainStarted{machine.name});
+        move_work_off(index, now);
     }
-    for (const auto& [allocation_index, attempt, preemptor] : plan.preemptions) {
-        if (allocation_index >= allocations_.size() ||
-            allocations_[allocation_index].attempt != attempt ||
-            allocations_[allocation_index].stop)
-            continue;
-        const Allocation& h = allocations_[allocation_index];
-        const JobSpec& spec = jobs_[h.job].spec;
-        // Saving is worth its time only if more than that would be lost.
-        const bool save = spec.checkpoint_s > 0 && h.phase == TaskPhase::Running &&
-                          spec.checkpoint_s / 2 > spec.save_s;
-        const auto mine = jobs_.find(preemptor);
-        applied.events.emplace_back(
-            events::TaskPreempted{jobs_[h.job].id, h.task, machines_[h.machine].name,
-                                  mine == jobs_.end() ? std::string() : mine->second.id});
-        stop_with_gang(allocation_index, save ? spec.save_s : 0, now);
-        ++applied.stops;
+    applied.provisions = plan.provisions;
+    return applied;
+}
+
+void Cluster::apply_start(const Start& start, Applied& applied, Millis now) {
+    const auto it = jobs_.find(start.job);
+    if (it == jobs_.end()) return;
+    Job& job = it->second;
+    const auto limit = static_cast<std::uint32_t>(start.machines.size());
+    if (waiting(job) < limit || job.retry_at > now) return;
+    const auto tasks = take_waiting(job, limit);
+    if (job.spec.gang && tasks.size() != job.spec.count) return;
+    std::vector<TaskPlacement> placements;
+    placements.reserve(tasks.size());
+    for (std::size_t i = 0; i < tasks.size(); ++i) {
+        placements.push_back({tasks[i], start.machines[i]});
+    }
+    if (!start_allowed(job, placements, now)) {
+        ++applied.refused;
+        return;
     }
-    for (auto mix : plan.releases) {
-        Machine& machine = machines_[mix];
-        if (machine.life != Machine::Life::Up || !machine.allocations.empty()) continue;
-        machine.life = Machine::Life::Releasing;
-        applied.events.emplace_back(
-            events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
+    const auto attempt = settings_.token * kAttemptsPerToken + ++attempts_;
+    auto event = placed_event(job, start, placements, now);
+    event.attempt = attempt;
+    applied.events.emplace_back(std::move(event));
+    for (const auto [task, machine] : placements) {
+        Allocation allocation;
+        allocation.job = start.job;
+        allocation.task = task;
+        allocation.attempt = attempt;
+        allocation.machine = machine;
+        allocation.session = machines_[machine].session;
+        allocation.since = now;
+        if (!settings_.guards.record_first) allocation.state = Allocation::State::Ready;
+        take_from_waiting(job, task);
+        add_allocation(allocation);
+        mark_dirty(job, task);
+    }
+    job.started_at = now;
+    ++applied.starts;
+}
+
+events::JobPlaced Cluster::placed_event(const Job& job, const Start& start,
+                                        const std::vector<TaskPlacement>& placements,
+                                        Millis now) const {
+    const auto& images = machines_[placements.front().machine].images;
+    events::JobPlaced event;
+    event.job = job.id;
+    event.job_class = job.text.cls;
+    event.waited_s = (now - job.waiting_since) / 1000;
+    event.image_present = std::find(images.begin(), images.end(), job.spec.image) != images.end();
+    event.score_percent = std::lround(start.score * 100);
+    event.tasks = placements.size();
+    for (const auto zone : start.rejected_zones) event.rejected_zones.push_back(zones_.name(zone));
+    for (const auto& placement : placements) {
+        if (event.machines.size() >= events::JobPlaced::kMaxMachines) break;
+        event.machines.push_back(machines_[placement.machine].name);
     }
-    // Emptying several machines in a row left jobs waiting beside half-empty machines that took
-    // nothing any more: one in a while, and all are taken back as soon as room is short.
+    return event;
+}
+
+void Cluster::apply_preemption(const Preemption& preemption, Applied& applied, Millis now) {
+    const auto index = preemption.allocation;
+    if (index >= allocations_.size()) return;
+    const Allocation& allocation = allocations_[index];
+    if (allocation.attempt != preemption.attempt || allocation.stop) return;
+    const Job& job = jobs_.at(allocation.job);
+    // Saving is worth its time only if more than that would be lost.
+    const bool save = job.spec.checkpoint_s > 0 && allocation.phase == TaskPhase::Running &&
+                      job.spec.checkpoint_s / 2 > job.spec.save_s;
+    const auto winner = jobs_.find(preemption.preemptor);
+    applied.events.emplace_back(
+        events::TaskPreempted{job.id, allocation.task, machines_[allocation.machine].name,
+                              winner == jobs_.end() ? std::string() : winner->second.id});
+    stop_with_gang(index, save ? job.spec.save_s : 0, now);
+    ++applied.stops;
+}
+
+void Cluster::apply_release(Machine& machine, Applied& applied) {
+    if (machine.life != Machine::Life::Up || !machine.allocations.empty()) return;
+    machine.life = Machine::Life::Releasing;
+    applied.events.emplace_back(
+        events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
+}
+
+// Draining several machines in a row left jobs waiting beside half-empty machines that took nothing
+// any more: one in a while, and all are kept as soon as resources are short.
+void Cluster::cancel_consolidation(Applied& applied) {
     for (auto& machine : machines_) {
-        if (!plan.capacity_short || !machine.consolidating || machine.life != Machine::Life::Up)
-            continue;
+        if (!machine.consolidating || machine.life != Machine::Life::Up) continue;
         machine.consolidating = false;
         machine.drain = machine.faulty;
         applied.events.emplace_back(events::MachineDrainCancelled{machine.name});
     }
-    const bool may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
-    for (auto mix : plan.drains) {
-        Machine& machine = machines_[mix];
-        if (machine.life != Machine::Life::Up || machine.drain || !may_drain) continue;
-        drained_at_ = now;
-        machine.drain = true;
-        machine.consolidating = true;
-        applied.events.emplace_back(events::MachineDrainStarted{machine.name});
-        const auto held = machine.allocations;
-        for (auto allocation_index : held) {
-            const Allocation& h = allocations_[allocation_index];
-            if (h.job == kInvalidIndex) continue;
-            const JobSpec& spec = jobs_[h.job].spec;
-            if (spec.service) {
-                stop_allocation(allocation_index, 0, now);
-                continue;
-            }
-            if (spec.checkpoint_s <= 0 || h.phase != TaskPhase::Running) continue;
-            if (spec.estimate_s * 1000 - static_cast<double>(now - h.running_since) < 60000)
-                continue;
-            stop_with_gang(allocation_index, spec.save_s, now);
+}
+
+// From a machine that is drained to save its price, what saves its progress and would run for long
+// is moved. The rest ends there.
+void Cluster::move_work_off(MachineIndex index, Millis now) {
+    const auto allocated = machines_[index].allocations;
+    for (const auto allocation_index : allocated) {
+        const Allocation& allocation = allocations_[allocation_index];
+        if (allocation.job == kInvalidIndex) continue;
+        const JobSpec& spec = jobs_.at(allocation.job).spec;
+        if (spec.service) {
+            stop_allocation(allocation_index, 0, now);
+            continue;
         }
+        if (spec.checkpoint_s <= 0 || allocation.phase != TaskPhase::Running) continue;
+        const auto ran_ms = static_cast<double>(now - allocation.running_since);
+        if (spec.estimate_s * 1000 - ran_ms < kMinRestToMoveMs) continue;
+        stop_with_gang(allocation_index, spec.save_s, now);
     }
-    applied.provisions = plan.provisions;
-    return applied;
 }
 
 std::vector<std::pair<std::string, Cluster::Counts>> Cluster::job_counts(bool all) {
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -285,6 +285,25 @@
     static constexpr double kRateFor = 120'000;   // ms over which arrivals are counted
     static constexpr int kUnreachableMisses = 2;  // a single answer may be lost or late
 
+    struct Reconciliation;  // a report on its way through on_report(), see heartbeats.cpp
+    struct FleetHealth;     // what holds for all machines in one round of tick()
+    // A task and the machine that a plan has for it.
+    struct TaskPlacement {
+        std::uint32_t task = 0;
+        MachineIndex machine = kInvalidIndex;
+    };
+    // The message that commands go into: an answer to a heartbeat, or a direct command.
+    struct CommandMessage {
+        bool direct = false;
+        std::uint64_t heartbeat_seq = 0;  // of the heartbeat that is answered
+        bool may_start = false;           // the leader is sure that it still leads
+        Millis now = 0;
+    };
+    struct PendingCommands {
+        bool due = false;    // a command could be sent now
+        bool later = false;  // the machine has to be looked at again
+    };
+
     MachineIndex machine_for(const std::string& name, const std::string& type,
                              const std::string& zone, bool spot, Millis now);
     AllocationIndex add_allocation(const Allocation& allocation);
@@ -325,19 +344,90 @@
     [[nodiscard]] JobFacts facts(const Job& job) const;
     [[nodiscard]] FleetFacts fleet_facts() const;
     [[nodiscard]] bool raise(Machine& machine) const;
-    void note_effect(MachineIndex machine, bool reached, int weight, Millis now);
+    void on_command_effect(MachineIndex index);
+    void on_commands_missed(MachineIndex index, int count, Millis now);
     void note_image(Machine& machine, ImageIndex image);
     void drop_if_gone(JobIndex index);
     void notice(MachineIndex index, double notice_s, Millis now);
-    bool start_allowed(const Job& job,
-                       const std::vector<std::pair<std::uint32_t, MachineIndex>>& on,
-                       Millis now) const;
+    JobSpec make_spec(const JobText& text);
+    const ClassObjectives& objectives_of(ClassIndex index, const std::string& name);
+    void note_arrival(const JobSpec& spec, Millis now);
+
+    // Reports, see heartbeats.cpp.
+    void update_machine(Reconciliation& step);
+    void on_new_session(Reconciliation& step);
+    void update_sync(Reconciliation& step);
+    void release_earlier_sessions(Reconciliation& step);
+    void group_reported_tasks(Reconciliation& step) const;
+    void reconcile_allocations(Reconciliation& step);
+    void reconcile_alive(Reconciliation& step, AllocationIndex index, const TaskReport& task);
+    void reconcile_absent(Reconciliation& step, AllocationIndex index);
+    void reconcile_unmatched(Reconciliation& step);
+    [[nodiscard]] bool is_allocated(MachineIndex machine, JobIndex job,
+                                    const TaskReport& task) const;
+    void add_stray(Reconciliation& step, JobIndex index, const TaskReport& task);
+    void collect_exited(Reconciliation& step);
+
+    // Commands, see commands.cpp.
+    std::vector<Command> commands_for(MachineIndex index, const CommandMessage& message);
+    void append_reaps(Machine& machine, const CommandMessage& message, std::vector<Command>& out);
+    [[nodiscard]] bool awaits_durable_result(const TaskReport& task) const;
+    void append_command(Allocation& allocation, const CommandMessage& message,
+                        std::vector<Command>& out);
+    PendingCommands pending_commands(const Machine& machine, bool may_start);
+    void on_run_result(MachineIndex index, const Command& run, DirectResult result, Millis now);
+
+    // Failure detection, see failure_detection.cpp.
+    [[nodiscard]] Millis heartbeat_due_ms() const;
+    FleetHealth fleet_health(Millis now);
+    void forget_released(Machine& machine, Millis now);
+    void check_up(Machine& machine, const FleetHealth& fleet, std::vector<events::Event>& events);
+    [[nodiscard]] std::optional<events::MachineReleaseStarted> detect_silent(
+        const Machine& machine, const FleetHealth& fleet) const;
+    [[nodiscard]] Millis silence_bound(const Machine& machine, const FleetHealth& fleet) const;
+    [[nodiscard]] std::optional<events::MachineReleaseStarted> detect_unreachable(
+        const Machine& machine, const FleetHealth& fleet) const;
+    [[nodiscard]] std::optional<events::MachineReleaseStarted> detect_lost_leases(
+        const Machine& machine, const FleetHealth& fleet) const;
+    [[nodiscard]] static std::optional<events::MachineReleaseStarted> detect_expired_notice(
+        const Machine& machine, Millis now);
+    [[nodiscard]] std::optional<events::MachineReleaseStarted> detect_unconfirmed_run(
+        const Machine& machine, Millis now) const;
+    void check_booting(Machine& machine, const FleetHealth& fleet,
+                       std::vector<events::Event>& events) const;
+    [[nodiscard]] Millis registration_bound(const Machine& machine, const FleetHealth& fleet) const;
+    [[nodiscard]] Millis boot_patience(const Machine& machine) const;
+
+    // Plans, see cluster.cpp.
+    [[nodiscard]] bool start_allowed(const Job& job, const std::vector<TaskPlacement>& placements,
+                                     Millis now) const;
+    [[nodiscard]] static bool meets_constraints(const JobSpec& spec, const Machine& machine);
+    [[nodiscard]] static bool zones_allowed(const JobSpec& spec,
+                                            const std::map<ZoneIndex, std::uint32_t>& zones);
+    void apply_start(const Start& start, Applied& applied, Millis now);
+    [[nodiscard]] events::JobPlaced placed_event(const Job& job, const Start& start,
+                                                 const std::vector<TaskPlacement>& placements,
+                                                 Millis now) const;
+    void apply_preemption(const Preemption& preemption, Applied& applied, Millis now);
+    static void apply_release(Machine& machine, Applied& applied);
+    void cancel_consolidation(Applied& applied);
+    void move_work_off(MachineIndex index, Millis now);
+
+    // The planner's snapshot, see snapshot.cpp.
+    void add_teams(Snapshot& out) const;
+    void add_warm_capacity(Snapshot& out) const;
+    void add_refused(Snapshot& out) const;
+    [[nodiscard]] MachineView machine_view(MachineIndex index, const FleetFacts& fleet,
+                                           Millis now) const;
+    [[nodiscard]] Millis idle_keep_ms(const Machine& machine, Millis age_ms,
+                                      const FleetFacts& fleet) const;
+    void add_allocations(MachineIndex machine, Snapshot& out) const;
+    void fill_item(const Job& job, double age_s, Millis now, WaitingJob& item) const;
+    void add_zones(const Job& job, WaitingJob& item) const;
     [[nodiscard]] bool usable(const Machine& machine, Millis now) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
     std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t limit) const;
-    [[nodiscard]] Allocation& allocation(AllocationIndex index) { return allocations_[index]; }
-    void append_commands(MachineIndex index, bool direct, std::uint64_t heartbeat_seq,
-                         bool may_start, std::vector<Command>& out, Millis now);
+    static void take_from_waiting(Job& job, std::uint32_t task);
     void fill_guarantees(Millis now);
     void note_cut_zones(Millis now);
     [[nodiscard]] bool has_cancelled_work(const Machine& machine) const;
--- /dev/null
+++ b/src/core/commands.cpp
@@ -0,0 +1,244 @@
+// Commands for workers, in the answers to heartbeats and sent directly, and the tokens they carry.
+#include "core/cluster.h"
+
+namespace lichendrift::core {
+
+namespace {
+
+constexpr Millis kCallPause = 150;         // after a direct command that was carried out
+constexpr Millis kRefusedPause = 400;      // after one that was refused
+constexpr Millis kUnansweredPause = 3000;  // after one without an answer
+constexpr std::size_t kMaxReaps = 200;     // in one message, with the halts by name
+constexpr std::size_t kMaxCommands = 400;  // in one message
+constexpr Millis kSilentMargin = 500;      // beyond one and a half intervals between heartbeats
+
+// Nothing was sent for it so far.
+bool is_unsent(const Allocation& allocation) {
+    return allocation.state == Allocation::State::Planned ||
+           allocation.state == Allocation::State::Ready;
+}
+
+Millis pause_after(Cluster::DirectResult result) {
+    switch (result) {
+        case Cluster::DirectResult::Executed:
+            return kCallPause;
+        case Cluster::DirectResult::NotExecuted:
+            return kRefusedPause;
+        case Cluster::DirectResult::NoAnswer:
+            break;
+    }
+    return kUnansweredPause;
+}
+
+}  // namespace
+
+std::vector<Command> Cluster::commands_for(MachineIndex index, const CommandMessage& message) {
+    std::vector<Command> out;
+    append_reaps(machines_[index], message, out);
+    for (const auto allocation_index : machines_[index].allocations) {
+        if (out.size() >= kMaxCommands) break;
+        append_command(allocations_[allocation_index], message, out);
+    }
+    return out;
+}
+
+// "When a task is off a machine", copies: an attempt is only reaped in an answer to a heartbeat,
+// under a token that refuses the copies of its run.
+void Cluster::append_reaps(Machine& machine, const CommandMessage& message,
+                           std::vector<Command>& out) {
+    if (!machine.synced) return;
+    const auto it = exited_.find(machine.name);
+    if (it == exited_.end()) return;
+    for (const auto& task : it->second) {
+        if (out.size() >= kMaxReaps) break;
+        if (task.phase != TaskPhase::Exited) {
+            out.push_back({Command::Kind::Halt, task.job, task.task, task.attempt, 0});
+            continue;
+        }
+        // Whether this attempt was run directly or another, it costs no more to raise once.
+        if (message.direct || !raise(machine) || awaits_durable_result(task)) continue;
+        out.push_back({Command::Kind::Reap, task.job, task.task, task.attempt, 0});
+    }
+    if (!message.direct) exited_.erase(it);
+}
+
+// The result has to be durable before the worker may forget it. A replica has none: it runs again.
+bool Cluster::awaits_durable_result(const TaskReport& task) const {
+    const auto found = job_ids_.find(task.job);
+    if (found == job_ids_.end() || task.why != ExitWhy::Done) return false;
+    const Job& job = jobs_.at(found->second);
+    return !job.over && !job.spec.service && task.task < job.spec.count &&
+           job.done_flags[task.task] != 2;
+}
+
+void Cluster::append_command(Allocation& allocation, const CommandMessage& message,
+                             std::vector<Command>& out) {
+    Machine& machine = machines_[allocation.machine];
+    if (allocation.session != machine.session) return;
+    const Job& job = jobs_.at(allocation.job);
+    if (allocation.stop && !is_unsent(allocation)) {
+        // Unconfirmed and unwanted: with a higher token the late run comes to nothing.
+        if (allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed &&
+            !message.direct) {
+            (void)raise(machine);
+        }
+        out.push_back(
+            {Command::Kind::Halt, job.id, allocation.task, allocation.attempt, allocation.grace_s});
+        if (!message.direct) allocation.halt_seq = message.heartbeat_seq;
+        return;
+    }
+    const bool unconfirmed =
+        allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed;
+    if (allocation.state != Allocation::State::Ready && !unconfirmed) return;
+    const bool up = machine.life == Machine::Life::Up && machine.synced;
+    if (job.over || allocation.stop || !message.may_start || !up) return;
+    out.push_back({Command::Kind::Run, job.id, allocation.task, allocation.attempt, 0});
+    allocation.state = Allocation::State::Sent;
+    if (message.direct) {
+        ++allocation.direct_open;
+        allocation.direct_token = machine.token;
+        machine.ran_direct = true;
+    } else {
+        allocation.heartbeat_seq = message.heartbeat_seq;
+    }
+    if (allocation.since == 0) allocation.since = message.now;
+}
+
+std::vector<Command> Cluster::heartbeat_commands(const std::string& name, std::uint64_t seq,
+                                                 bool may_start, Millis now) {
+    const auto it = machine_ids_.find(name);
+    // A late copy of an old heartbeat gets no commands: its worker is not waiting for them.
+    if (it == machine_ids_.end() || machines_[it->second].seq != seq) return {};
+    if (!machines_[it->second].synced) machines_[it->second].owed_token_seq = seq;
+    return commands_for(it->second, {false, seq, may_start, now});
+}
+
+std::vector<std::string> Cluster::machines_with_commands(bool may_start, std::size_t limit,
+                                                         Millis now) {
+    // Only machines where something was placed or stopped are visited, not the fleet.
+    std::vector<std::string> out;
+    for (auto it = attention_.begin(); it != attention_.end() && out.size() < limit;) {
+        ++work_;
+        const Machine& machine = machines_[*it];
+        const auto [due, later] = pending_commands(machine, may_start);
+        if (due && machine.life == Machine::Life::Up && machine.synced && !machine.calling &&
+            machine.call_after <= now) {
+            out.push_back(machine.name);
+        }
+        it = later ? std::next(it) : attention_.erase(it);
+    }
+    return out;
+}
+
+Cluster::PendingCommands Cluster::pending_commands(const Machine& machine, bool may_start) {
+    PendingCommands pending;
+    for (const auto index : machine.allocations) {
+        ++work_;
+        const Allocation& allocation = allocations_[index];
+        const bool run = allocation.state == Allocation::State::Ready && !allocation.stop;
+        const bool halt = allocation.stop && allocation.state == Allocation::State::Seen &&
+                          allocation.phase != TaskPhase::Saving &&
+                          allocation.phase != TaskPhase::Exited;
+        pending.later |=
+            run || halt || allocation.state == Allocation::State::Planned || allocation.stop;
+        pending.due |= allocation.session == machine.session && ((run && may_start) || halt);
+    }
+    return pending;
+}
+
+Cluster::Direct Cluster::direct_commands(const std::string& name, bool may_start, Millis now) {
+    Direct direct;
+    auto it = machine_ids_.find(name);
+    if (it == machine_ids_.end()) return direct;
+    Machine& machine = machines_[it->second];
+    direct.machine = name;
+    direct.endpoint = machine.endpoint;
+    direct.session = machine.session;
+    direct.token = machine.token;
+    if (direct.endpoint.empty()) return direct;
+    machine.calling = true;
+    direct.commands = commands_for(it->second, {true, 0, may_start, now});
+    return direct;
+}
+
+std::uint64_t Cluster::token_for(const std::string& name) const {
+    auto it = machine_ids_.find(name);
+    return it == machine_ids_.end() ? settings_.token : machines_[it->second].token;
+}
+
+// "When a task is off a machine", copies. Once reaped, the worker does not know the attempt any
+// more, and a copy of its run, even of one that was answered, would start it again. So an answer to
+// a heartbeat that reaps carries a higher token than the runs that went there directly: their
+// copies are refused from then on. False: the term has no token left for it.
+bool Cluster::raise(Machine& machine) const {
+    if (!machine.ran_direct || !settings_.guards.reap_raises) return true;
+    if (machine.token + 1 >= settings_.token + kFencingTokensPerTerm) return false;
+    ++machine.token;
+    machine.ran_direct = false;
+    return true;
+}
+
+bool Cluster::calling(const std::string& name) const {
+    auto it = machine_ids_.find(name);
+    return it != machine_ids_.end() && machines_[it->second].calling;
+}
+
+void Cluster::direct_result(const Direct& direct, DirectResult result, Millis now) {
+    const auto it = machine_ids_.find(direct.machine);
+    if (it == machine_ids_.end()) return;
+    Machine& machine = machines_[it->second];
+    machine.calling = false;
+    // Commands reach it; whether answers do as well shows when its next lease ends or not.
+    if (result == DirectResult::Executed) on_command_effect(it->second);
+    machine.call_after = now + pause_after(result);
+    for (const auto& command : direct.commands) {
+        if (command.kind == Command::Kind::Run) on_run_result(it->second, command, result, now);
+    }
+}
+
+// "When a task is off a machine", unconfirmed: a direct run without an answer may still be
+// delivered; one that was refused came to nothing.
+void Cluster::on_run_result(MachineIndex index, const Command& run, DirectResult result,
+                            Millis now) {
+    // A copy, as an attempt that ends here may take others of its gang with it.
+    const auto allocated = machines_[index].allocations;
+    for (const auto allocation_index : allocated) {
+        Allocation& allocation = allocations_[allocation_index];
+        if (allocation.job == kInvalidIndex || allocation.attempt != run.attempt ||
+            allocation.task != run.task || jobs_.at(allocation.job).id != run.job) {
+            continue;
+        }
+        if (allocation.direct_open > 0) --allocation.direct_open;
+        if (result == DirectResult::NoAnswer && settings_.guards.unconfirmed_allocated) {
+            allocation.direct_unconfirmed = true;
+        }
+        const bool only_this_run = !allocation.direct_unconfirmed && allocation.direct_open == 0 &&
+                                   allocation.heartbeat_seq == 0;
+        if (result == DirectResult::NotExecuted && only_this_run &&
+            allocation.state == Allocation::State::Sent) {
+            run_came_to_nothing(allocation_index, now);
+        }
+    }
+}
+
+std::vector<std::string> Cluster::machines_to_ask(std::size_t limit, Millis now) {
+    std::vector<std::string> out;
+    // From where the last call ended: asked for a few at a time, a failover that began anew each
+    // time visited half of the fleet for each machine.
+    for (std::size_t left = machines_.size(); left > 0 && out.size() < limit; --left) {
+        if (ask_from_ >= machines_.size()) ask_from_ = 0;
+        const auto& machine = machines_[ask_from_++];
+        ++work_;
+        if (machine.life == Machine::Life::Gone || machine.endpoint.empty()) continue;
+        if (machine.calling || machine.call_after > now) continue;
+        // One that has gone silent is asked directly as well: its way here may be what has failed.
+        const bool silent =
+            machine.life == Machine::Life::Up &&
+            now - machine.last_heartbeat_at > settings_.report_ms * 3 / 2 + kSilentMargin;
+        if (machine.synced && !silent && machine.unreachable_since == 0) continue;
+        out.push_back(machine.name);
+    }
+    return out;
+}
+
+}  // namespace lichendrift::core
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -7,15 +7,7 @@
 
 namespace {
 
-constexpr Millis kForgetGone = 900'000;
-constexpr Millis kTakenMargin = 1500;
-constexpr int kLostLeases = 3;                   // in a row
-constexpr std::uint32_t kMinMachinesOfZone = 8;  // fewer may well have ended together
-constexpr std::uint32_t kCutZoneDivisor = 3;     // of so many, less than one is heard
-constexpr Millis kCutPatience = 3;               // leases
-constexpr Millis kManySilent = 60'000;   // the least time for which many may be silent at once
 constexpr Millis kUnlistedFor = 12'000;  // no list is that late
-constexpr Millis kUnheardMargin = 3000;  // for a question to it that gets no answer
 // Between two tries of a job that fails everywhere. With the fetch of its image a try has to come
 // well within the 90 s for which no job may be left waiting beside capacity that fits.
 constexpr double kLongestBackoffSeconds = 30;
@@ -59,18 +51,22 @@
            now - machine.last_heartbeat_at <= settings_.report_ms * 2 + 500;
 }
 
-// Judges a machine by the effect of what it was sent.
-void Cluster::note_effect(MachineIndex mix, bool reached, int weight, Millis now) {
+// "Failure detection", unreachable: something that was sent to the machine has had its effect.
+void Cluster::on_command_effect(MachineIndex index) {
     if (!settings_.guards.command_effect_check) return;
-    Machine& machine = machines_[mix];
-    if (reached) {
-        machine.misses = 0;
-        machine.unreachable_since = 0;
-        return;
-    }
-    machine.misses += weight;
-    if (machine.misses >= kUnreachableMisses && machine.unreachable_since == 0)
+    Machine& machine = machines_[index];
+    machine.misses = 0;
+    machine.unreachable_since = 0;
+}
+
+// So many answers or commands have had no effect, although later heartbeats came.
+void Cluster::on_commands_missed(MachineIndex index, int count, Millis now) {
+    if (!settings_.guards.command_effect_check) return;
+    Machine& machine = machines_[index];
+    machine.misses += count;
+    if (machine.misses >= kUnreachableMisses && machine.unreachable_since == 0) {
         machine.unreachable_since = now;
+    }
 }
 
 void Cluster::note_image(Machine& machine, ImageIndex image) {
@@ -233,205 +229,6 @@
     return it != machine_ids_.end() && !machines_[it->second].allocations.empty();
 }
 
-// A zone that is cut off keeps its machines, their images and, if it is short, their tasks. Giving
-// them back one and all costs a boot and a fetch for each, and what is rented there instead is not
-// heard either.
-void Cluster::note_cut_zones(Millis now) {
-    std::vector<std::pair<std::uint32_t, std::uint32_t>> zones(zones_.size());  // there, heard
-    for (const auto& machine : machines_) {
-        if (machine.zone >= zones.size()) continue;
-        const bool up = machine.life == Machine::Life::Up;
-        if (!up && !(machine.life == Machine::Life::Booting && machine.running)) continue;
-        auto& [there, heard] = zones[machine.zone];
-        ++there;
-        if (up && now - machine.last_heartbeat_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
-    }
-    zone_cut_.assign(zones.size(), 0);
-    zone_back_.resize(zones.size(), -1);
-    for (std::size_t z = 0; z < zones.size(); ++z) {
-        const auto [there, heard] = zones[z];
-        zone_cut_[z] = there >= kMinMachinesOfZone && heard * kCutZoneDivisor < there ? 1 : 0;
-        // The first reports after a cut must not cost those whose report is still to come.
-        if (zone_cut_[z] != 0) zone_back_[z] = now;
-    }
-}
-
-std::vector<events::Event> Cluster::tick(Millis now, bool sure) {
-    std::vector<events::Event> events;
-    if (!sure) {
-        sure_since_ = -1;
-        return events;
-    }
-    if (sure_since_ < 0) sure_since_ = now;
-    note_cut_zones(now);
-    std::size_t up = 0;
-    std::size_t heard = 0;
-    std::size_t deaf = 0;
-    std::size_t losing = 0;
-    for (const auto& machine : machines_) {
-        if (machine.life != Machine::Life::Up) continue;
-        ++up;
-        // With a wider bound some still counted as heard when the first were given up, although
-        // all had fallen silent at once.
-        if (now - machine.last_heartbeat_at < settings_.report_ms * 5 / 4 + 1000) ++heard;
-        if (machine.unreachable_since != 0) ++deaf;
-        if (machine.lost_leases >= kLostLeases) ++losing;
-    }
-    const bool majority_silent = heard * 2 < up;
-    if (majority_silent) majority_silent_at_ = now;
-    // A report goes missing, the worker waits 4 s for its answer and a second for the next node.
-    auto patience = settings_.report_ms * 5 / 4 + 5000 + 1500;
-    if (settings_.policy) {
-        patience = static_cast<Millis>(settings_.policy->silent_s(fleet_facts()) * 1000);
-        // Less would give up machines between two of their reports.
-        patience = std::max(patience, settings_.report_ms * 5 / 4 + 1000);
-    }
-    const auto cut_patience = std::max(patience, settings_.lease_ms * kCutPatience);
-    const auto lease_over = settings_.lease_ms + settings_.report_ms * 5 / 4 + 1000;
-    for (auto& machine : machines_) {
-        if (machine.life == Machine::Life::Gone) {
-            // Its place is used again once no late report or list is to be expected; without that
-            // a leader of many days would grow without bound.
-            if (machine.name.empty() || now - machine.release_requested_at < kForgetGone ||
-                !machine.allocations.empty()) {
-                continue;
-            }
-            free_machines_.push_back(machine_ids_.at(machine.name));
-            machine_ids_.erase(machine.name);
-            machine = Machine{};
-            machine.life = Machine::Life::Gone;
-            continue;
-        }
-        if (machine.life == Machine::Life::Releasing) continue;
-        if (machine.life == Machine::Life::Up) {
-            const auto silent_since =
-                std::max({machine.last_heartbeat_at, expected_since(machine), sure_since_});
-            // Once most are heard again, the others' reports are on their way: their time counts
-            // anew.
-            const auto silent =
-                now -
-                (majority_silent ? silent_since : std::max(silent_since, majority_silent_at_));
-            // Many silent at once is a cut of ours rather than their fault.
-            // Without an answer its lease has ended by then, and its replicas are down: they run
-            // elsewhere as soon as its release proves them gone.
-            const auto bound = !in_cut_zone(machine)   ? patience
-                               : has_replicas(machine) ? std::max(patience, lease_over)
-                                                       : cut_patience;
-            // For ever it is not: a fleet that had shrunk to one hanging machine kept its tasks.
-            const bool many = majority_silent && silent <= std::max(cut_patience, kManySilent);
-            if (silent > bound && !many) {
-                if (!settings_.guards.silence_is_no_proof) {
-                    const auto mix = static_cast<MachineIndex>(&machine - machines_.data());
-                    release_all(mix, std::numeric_limits<std::uint64_t>::max(), now);
-                }
-                machine.life = Machine::Life::Releasing;
-                events.emplace_back(events::MachineReleaseStarted{
-                    machine.name, events::ReleaseReason::Silent, silent, {}});
-                continue;
-            }
-            // Many deaf at once is a trouble of ours as well.
-            const auto unreachable_patience =
-                std::max(patience, settings_.lease_ms + settings_.report_ms * 3);
-            if (machine.unreachable_since != 0 &&
-                now - machine.unreachable_since > unreachable_patience && deaf * 2 <= up) {
-                machine.life = Machine::Life::Releasing;
-                events.emplace_back(
-                    events::MachineReleaseStarted{machine.name,
-                                                  events::ReleaseReason::Unreachable,
-                                                  now - machine.unreachable_since,
-                                                  {}});
-                continue;
-            }
-            // Commands may reach it while answers don't: then its tasks die with each lease.
-            if (settings_.guards.command_effect_check && machine.lost_leases >= kLostLeases &&
-                losing * 4 <= up) {
-                machine.life = Machine::Life::Releasing;
-                events.emplace_back(events::MachineReleaseStarted{
-                    machine.name, events::ReleaseReason::LeasesLost, 0, {}});
-                continue;
-            }
-            if (machine.lost_leases > 0 && now - machine.session_at > settings_.lease_ms * 3) {
-                machine.lost_leases = 0;
-            }
-            if (machine.drain && machine.allocations.empty())
-                machine.life = Machine::Life::Releasing;
-            // Replicas never end by themselves and would keep it for ever.
-            if (machine.drain && only_replicas(machine)) {
-                stop_replicas(static_cast<MachineIndex>(&machine - machines_.data()), now);
-            }
-            // Taken as announced: its place can be rented again before its silence would show.
-            if (machine.taken_at && now > *machine.taken_at + kTakenMargin &&
-                machine.last_heartbeat_at < *machine.taken_at) {
-                machine.life = Machine::Life::Releasing;
-                events.emplace_back(events::MachineReleaseStarted{
-                    machine.name, events::ReleaseReason::NoticeExpired, 0, {}});
-                continue;
-            }
-            if (machine.taken_at && now > *machine.taken_at + 60000) machine.taken_at.reset();
-            for (auto allocation_index : machine.allocations) {
-                const Allocation& h = allocations_[allocation_index];
-                // Unwanted and still in doubt: only the machine's return gives certainty.
-                if (h.stop && h.state == Allocation::State::Sent && h.direct_unconfirmed &&
-                    now - h.stop_since > settings_.cancel_ms / 3) {
-                    machine.life = Machine::Life::Releasing;
-                    events.emplace_back(events::MachineReleaseStarted{
-                        machine.name, events::ReleaseReason::UnconfirmedRun, 0, jobs_[h.job].id});
-                    break;
-                }
-            }
-        } else {
-            const double boot_s =
-                machine.type != kInvalidIndex && type_info_[machine.type].boot_s > 0
-                    ? type_info_[machine.type].boot_s
-                    : 60;
-            const auto limit = std::max<Millis>(static_cast<Millis>(boot_s * 3000), 60000);
-            // A record can name a machine that no list shows: it is gone, the return proves it.
-            // A new leader finds machines in the list that have been up for long and has not heard
-            // them yet: they get its full patience, whatever their age.
-            const auto known = now - expected_since(machine);
-            auto listed_patience = in_cut_zone(machine) ? cut_patience : 2 * patience;
-            // Cancelled work that may be there has little time left: it was cancelled under an
-            // earlier leader, and a machine that hangs hears no halt.
-            if (!in_cut_zone(machine) && has_cancelled_work(machine)) {
-                listed_patience =
-                    std::min(listed_patience, settings_.report_ms * 5 / 4 + 1000 + kUnheardMargin);
-            }
-            const auto minimum = machine.running ? listed_patience : std::min(limit, 2 * patience);
-            const auto age = machine.running ? known : now - machine.provisioned_at;
-            const bool stale = !machine.listed && !machine.allocations.empty() &&
-                               now - machine.first_seen > patience + 6000;
-            if (stale || (known > minimum && age > (machine.running ? minimum : limit))) {
-                machine.life = Machine::Life::Releasing;
-                events.emplace_back(events::MachineReleaseStarted{
-                    machine.name, events::ReleaseReason::NeverRegistered, 0, {}});
-            }
-        }
-    }
-    return events;
-}
-
-bool Cluster::has_replicas(const Machine& machine) const {
-    return std::any_of(machine.allocations.begin(), machine.allocations.end(),
-                       [&](AllocationIndex allocation_index) {
-                           return jobs_.at(allocations_[allocation_index].job).spec.service;
-                       });
-}
-
-bool Cluster::only_replicas(const Machine& machine) const {
-    return !machine.allocations.empty() &&
-           std::all_of(machine.allocations.begin(), machine.allocations.end(),
-                       [&](AllocationIndex allocation_index) {
-                           return jobs_.at(allocations_[allocation_index].job).spec.service;
-                       });
-}
-
-bool Cluster::has_cancelled_work(const Machine& machine) const {
-    return std::any_of(machine.allocations.begin(), machine.allocations.end(),
-                       [&](AllocationIndex allocation_index) {
-                           return jobs_.at(allocations_[allocation_index].job).aborted;
-                       });
-}
-
 Cluster::ImageHints Cluster::image_hints(std::size_t part, std::size_t parts) const {
     ImageHints out;
     for (std::size_t i = part; i < machines_.size(); i += parts) {
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -1,6 +1,7 @@
 // The records of the state service: what is to be written, and what came of it.
 #include "core/cluster.h"
 #include "core/record_layout.h"
+#include "core/state_keys.h"
 
 namespace lichendrift::core {
 
@@ -41,17 +42,13 @@
     job.record_numbers[record_number].revision = revision;
     job.record_numbers[record_number].nonce = record.nonce;
     job.layout = std::max(job.layout, std::min(layout_of(record_number), kFinestLayout));
-    auto tried = [&](std::uint32_t task) {
-        while (job.next_fresh <= task) job.again.insert(job.next_fresh++);
-    };
     for (auto [first, last] : record.done) {
         // A leader of a version without services may have taken a replica's end for its completion.
         if (job.spec.service) break;
         for (auto task = first; task <= last && task < job.spec.count; ++task) {
             if (job.done_flags[task] == 0) ++job.done;
             job.done_flags[task] = 2;
-            tried(task);
-            job.again.erase(task);
+            take_from_waiting(job, task);
         }
     }
     if (job.done == job.spec.count) all_done_.insert(found->second);
@@ -61,8 +58,7 @@
         // Records of two layouts may both name it, if a leader ended between writing them.
         if (has_attempt(job, placed, machine)) continue;
         job.started_at = now;
-        tried(placed.task);
-        job.again.erase(placed.task);
+        take_from_waiting(job, placed.task);
         Allocation allocation;
         allocation.job = found->second;
         allocation.task = placed.task;
@@ -146,7 +142,7 @@
             continue;
         }
         if (it->second.revision != 0) {
-            orphans_.push_back("place/" + job.id + "/" + std::to_string(it->first));
+            orphans_.push_back(keys::placement_record(job.id, it->first));
         }
         it = job.record_numbers.erase(it);
     }
