--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -1,4 +1,5 @@
-// The attempts that count as being on machines: how they come, are stopped and let go.
+// Allocations: how they are made, stopped and released (docs/design.md, "When a task is off a
+// machine"), and which tasks wait.
 #include "core/cluster.h"
 #include "core/state_keys.h"
 
@@ -34,14 +35,14 @@
 }
 
 void Cluster::release(AllocationIndex index, bool requeue, Millis now) {
-    const Allocation h = allocations_[index];
-    Job& job = jobs_[h.job];
-    Machine& machine = machines_[h.machine];
+    const Allocation allocation = allocations_[index];
+    Job& job = jobs_[allocation.job];
+    Machine& machine = machines_[allocation.machine];
     std::erase(machine.allocations, index);
     machine.used -= job.spec.need;
     if (machine.allocations.empty()) machine.idle_since = now;
     if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] -= job.spec.need;
-    auto [from, to] = job.allocations.equal_range(h.task);
+    auto [from, to] = job.allocations.equal_range(allocation.task);
     for (auto it = from; it != to; ++it) {
         if (it->second == index) {
             job.allocations.erase(it);
@@ -50,26 +51,27 @@
     }
     allocations_[index] = Allocation{};
     free_allocations_.push_back(index);
-    if (requeue && !job.over && job.done_flags[h.task] == 0 && !job.allocations.contains(h.task)) {
-        if (h.task < job.next_fresh) job.again.insert(h.task);
+    if (requeue && !job.over && job.done_flags[allocation.task] == 0 &&
+        !job.allocations.contains(allocation.task)) {
+        if (allocation.task < job.next_fresh) job.again.insert(allocation.task);
         if (job.allocations.empty() || !job.spec.gang) job.waiting_since = now;
         // One task of a gang is gone: the rest cannot go on without it.
         if (job.spec.gang && job.done == 0) {
             std::vector<AllocationIndex> rest;
             for (auto& [task, other] : job.allocations) rest.push_back(other);
             for (auto other : rest) {
-                if (allocations_[other].job == h.job) stop_allocation(other, 0, now);
+                if (allocations_[other].job == allocation.job) stop_allocation(other, 0, now);
             }
         }
     }
-    drop_if_gone(h.job);
+    drop_if_gone(allocation.job);
 }
 
-void Cluster::release_all(MachineIndex mix, std::uint64_t below_session, Millis now) {
+void Cluster::release_all(MachineIndex machine_index, std::uint64_t below_session, Millis now) {
     // Releasing one may release others of its gang, so the list is read anew each time.
     for (bool again = true; again;) {
         again = false;
-        for (auto allocation_index : machines_[mix].allocations) {
+        for (auto allocation_index : machines_[machine_index].allocations) {
             if (allocations_[allocation_index].session < below_session) {
                 release(allocation_index, true, now);
                 again = true;
@@ -90,9 +92,9 @@
     auto it = jobs_.find(index);
     if (it == jobs_.end() || !it->second.over || !it->second.allocations.empty()) return;
     if (records_to_come_ && settings_.guards.kept_until_loaded) return;
-    for (auto& [number, record_number] : it->second.record_numbers) {
+    for (const auto& [number, record] : it->second.records) {
         // A write in flight may still create the record: removing it later is harmless.
-        if (record_number.revision != 0 || record_number.writing || record_number.dirty) {
+        if (record.revision != 0 || record.writing || record.dirty) {
             orphans_.push_back(keys::placement_record(it->second.id, number));
         }
     }
@@ -121,19 +123,19 @@
 }
 
 void Cluster::stop_allocation(AllocationIndex index, double grace_s, Millis now) {
-    Allocation& h = allocations_[index];
-    if (h.state == Allocation::State::Planned || h.state == Allocation::State::Ready) {
+    Allocation& allocation = allocations_[index];
+    if (is_unsent(allocation)) {
         // Nothing was sent, so it can be taken back at once.
         release(index, true, now);
         return;
     }
-    attention_.insert(h.machine);
-    if (!h.stop) {
-        h.stop = true;
-        h.grace_s = grace_s;
-        h.stop_since = now;
+    attention_.insert(allocation.machine);
+    if (!allocation.stop) {
+        allocation.stop = true;
+        allocation.grace_s = grace_s;
+        allocation.stop_since = now;
     } else {
-        h.grace_s = std::min(h.grace_s, grace_s);
+        allocation.grace_s = std::min(allocation.grace_s, grace_s);
     }
 }
 
@@ -141,13 +143,13 @@
 // kept as one to be sent, it would be neither sent nor halted and would count against its machine
 // for ever.
 void Cluster::run_came_to_nothing(AllocationIndex index, Millis now) {
-    Allocation& h = allocations_[index];
-    if (h.stop) {
+    Allocation& allocation = allocations_[index];
+    if (allocation.stop) {
         release(index, true, now);
         return;
     }
-    h.state = Allocation::State::Ready;
-    attention_.insert(h.machine);
+    allocation.state = Allocation::State::Ready;
+    attention_.insert(allocation.machine);
 }
 
 void Cluster::stop_with_gang(AllocationIndex index, double grace_s, Millis now) {
@@ -156,18 +158,18 @@
         stop_allocation(index, grace_s, now);
         return;
     }
-    const auto jix = allocations_[index].job;
+    const auto job_index = allocations_[index].job;
     std::vector<AllocationIndex> all;
     for (auto& [task, other] : job.allocations) all.push_back(other);
     for (auto other : all) {
-        if (allocations_[other].job == jix) stop_allocation(other, grace_s, now);
+        if (allocations_[other].job == job_index) stop_allocation(other, grace_s, now);
     }
 }
 
 void Cluster::on_exit(AllocationIndex index, const TaskReport& task, Millis now) {
-    const Allocation h = allocations_[index];
-    Job& job = jobs_[h.job];
-    Machine& machine = machines_[h.machine];
+    const Allocation allocation = allocations_[index];
+    Job& job = jobs_[allocation.job];
+    Machine& machine = machines_[allocation.machine];
     if (job.spec.service && (task.why == ExitWhy::Done || task.why == ExitWhy::Error)) {
         note_replica_exit(index, task.why == ExitWhy::Error, now);
         return;
@@ -176,10 +178,10 @@
         case ExitWhy::Done:
             machine.failed_jobs.clear();
             job.failures = 0;
-            if (!job.over) mark_done(h.job, h.task, now);
+            if (!job.over) mark_done(allocation.job, allocation.task, now);
             break;
         case ExitWhy::Error:
-            note_failure(job, h.machine, now);
+            note_failure(job, allocation.machine, now);
             break;
         case ExitWhy::Full:
         case ExitWhy::Busy:
@@ -196,45 +198,47 @@
 }
 
 // A replica that ended runs again at once. One that ends again and again within a short time backs
-// off by itself, so that it allocations up none of the others and uses no starts that they need.
+// off by itself, so that it holds up none of the others and uses no starts that they need.
 void Cluster::note_replica_exit(AllocationIndex index, bool failed, Millis now) {
-    const Allocation h = allocations_[index];
-    Job& job = jobs_[h.job];
-    const auto ran = h.running_since > 0 ? now - h.running_since : 0;
-    auto& failures = job.replica_failures[h.task];
+    const Allocation allocation = allocations_[index];
+    Job& job = jobs_[allocation.job];
+    const auto ran = allocation.running_since > 0 ? now - allocation.running_since : 0;
+    auto& failures = job.replica_failures[allocation.task];
     failures = ran >= (failed ? kReplicaRanWell : kReplicaRan) ? 0 : failures + 1;
     // The first failures in a row are most likely the machines' fault, later ones its own.
-    if (failed && failures <= kFailuresOfMachines) note_machine_failure(job, h.machine, now);
-    if (!failed) machines_[h.machine].failed_jobs.clear();
+    if (failed && failures <= kFailuresOfMachines)
+        note_machine_failure(job, allocation.machine, now);
+    if (!failed) machines_[allocation.machine].failed_jobs.clear();
     const auto failures_in_a_row = failures;
-    const auto task = h.task;
-    const auto jix = h.job;
+    const auto task = allocation.task;
+    const auto job_index = allocation.job;
     release(index, true, now);
-    const auto found = jobs_.find(jix);
+    const auto found = jobs_.find(job_index);
     if (failures_in_a_row <= 1 || found == jobs_.end()) return;
     if (found->second.again.erase(task) == 0) return;
     const auto pause = std::min<Millis>(kFirstReplicaPause << std::min(failures_in_a_row - 2, 10U),
                                         kLongestReplicaPause);
-    resting_.emplace(now + pause, jix, task);
+    resting_.emplace(now + pause, job_index, task);
 }
 
 void Cluster::wake_replicas(Millis now) {
     while (!resting_.empty() && std::get<0>(*resting_.begin()) <= now) {
-        const auto [due, jix, task] = *resting_.begin();
+        const auto [due, job_index, task] = *resting_.begin();
         resting_.erase(resting_.begin());
-        const auto found = jobs_.find(jix);
+        const auto found = jobs_.find(job_index);
         if (found == jobs_.end() || found->second.allocations.contains(task)) continue;
         found->second.again.insert(task);
     }
 }
 
-// From a machine that is going to be given up, the replicas are moved before it goes: they would
-// keep it for ever, as they never end by themselves, or be lost with it.
-void Cluster::stop_replicas(MachineIndex mix, Millis now) {
-    const auto held = machines_[mix].allocations;
-    for (auto allocation_index : held) {
-        const Allocation& h = allocations_[allocation_index];
-        if (h.job != kInvalidIndex && !h.stop && jobs_[h.job].spec.service)
+// From a machine that is drained, the replicas are moved before it is released: they would keep it
+// for ever, as they never end by themselves, or be lost with it.
+void Cluster::stop_replicas(MachineIndex machine_index, Millis now) {
+    const auto allocated = machines_[machine_index].allocations;
+    for (auto allocation_index : allocated) {
+        const Allocation& allocation = allocations_[allocation_index];
+        if (allocation.job != kInvalidIndex && !allocation.stop &&
+            jobs_[allocation.job].spec.service)
             stop_allocation(allocation_index, 0, now);
     }
 }
@@ -248,14 +252,18 @@
 std::vector<std::uint32_t> Cluster::take_waiting(const Job& job, std::uint32_t limit) const {
     std::vector<std::uint32_t> out;
     if (job.spec.gang) {
-        for (std::uint32_t t = 0; t < std::min(limit, job.spec.count); ++t) out.push_back(t);
+        for (std::uint32_t task = 0; task < std::min(limit, job.spec.count); ++task) {
+            out.push_back(task);
+        }
         return out;
     }
-    for (auto t : job.again) {
+    for (const auto task : job.again) {
         if (out.size() >= limit) return out;
-        out.push_back(t);
+        out.push_back(task);
+    }
+    for (auto task = job.next_fresh; task < job.spec.count && out.size() < limit; ++task) {
+        out.push_back(task);
     }
-    for (auto t = job.next_fresh; t < job.spec.count && out.size() < limit; ++t) out.push_back(t);
     return out;
 }
 
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -21,7 +21,11 @@
 }  // namespace
 
 Cluster::Cluster(ClusterSettings settings, Names& types, Names& zones)
-    : settings_(std::move(settings)), types_(types), zones_(zones) {
+    : settings_(std::move(settings)),
+      types_(types),
+      zones_(zones),
+      failure_detector_(
+          {settings_.report_ms, settings_.lease_ms, settings_.guards.command_effect_check}, *this) {
     for (const auto& team : settings_.teams) {
         teams_.intern(team.name);
         team_list_.push_back(team);
@@ -150,8 +154,7 @@
     }
     for (const auto allocation_index : allocated) {
         const Allocation& allocation = allocations_[allocation_index];
-        if (allocation.state == Allocation::State::Planned ||
-            allocation.state == Allocation::State::Ready) {
+        if (is_unsent(allocation)) {
             release(allocation_index, false, now);
         } else if (aborted) {
             stop_allocation(allocation_index, 0, now);
@@ -215,10 +218,9 @@
     const bool may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
     for (const auto index : plan.drains) {
         Machine& machine = machines_[index];
-        if (machine.life != Machine::Life::Up || machine.drain || !may_drain) continue;
+        if (machine.life != Machine::Life::Up || machine.drain.any() || !may_drain) continue;
         drained_at_ = now;
-        machine.drain = true;
-        machine.consolidating = true;
+        machine.drain.add(DrainReason::Consolidation);
         applied.events.emplace_back(events::MachineDrainStarted{machine.name});
         move_work_off(index, now);
     }
@@ -302,7 +304,7 @@
 
 void Cluster::apply_release(Machine& machine, Applied& applied) {
     if (machine.life != Machine::Life::Up || !machine.allocations.empty()) return;
-    machine.life = Machine::Life::Releasing;
+    machine.start_release();
     applied.events.emplace_back(
         events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
 }
@@ -311,9 +313,11 @@
 // any more: one in a while, and all are kept as soon as resources are short.
 void Cluster::cancel_consolidation(Applied& applied) {
     for (auto& machine : machines_) {
-        if (!machine.consolidating || machine.life != Machine::Life::Up) continue;
-        machine.consolidating = false;
-        machine.drain = machine.faulty;
+        if (!machine.drain.contains(DrainReason::Consolidation) ||
+            machine.life != Machine::Life::Up) {
+            continue;
+        }
+        machine.drain.remove(DrainReason::Consolidation);
         applied.events.emplace_back(events::MachineDrainCancelled{machine.name});
     }
 }
@@ -339,7 +343,7 @@
 
 std::vector<std::pair<std::string, Cluster::Counts>> Cluster::job_counts(bool all) {
     std::vector<std::pair<std::string, Counts>> out;
-    for (auto& [jix, job] : jobs_) {
+    for (auto& [job_index, job] : jobs_) {
         if (job.over) continue;
         Counts counts{job.done, 0};
         for (const auto& [task, allocation_index] : job.allocations) {
--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -12,12 +12,6 @@
 constexpr std::size_t kMaxCommands = 400;  // in one message
 constexpr Millis kSilentMargin = 500;      // beyond one and a half intervals between heartbeats
 
-// Nothing was sent for it so far.
-bool is_unsent(const Allocation& allocation) {
-    return allocation.state == Allocation::State::Planned ||
-           allocation.state == Allocation::State::Ready;
-}
-
 Millis pause_after(Cluster::DirectResult result) {
     switch (result) {
         case Cluster::DirectResult::Executed:
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -79,11 +79,7 @@
     machine.seq = report.seq;
     machine.token = std::max(machine.token, report.token);
     machine.endpoint = report.endpoint;
-    if (machine.life == Machine::Life::Booting) {
-        machine.life = Machine::Life::Up;
-        machine.idle_since = step.now;
-        step.changed = true;
-    }
+    step.changed |= machine.on_registered(step.now);
     update_sync(step);
 }
 
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -1,4 +1,4 @@
-// The machines of the fleet: how they become known, are judged, given back and forgotten.
+// The machines of the fleet: how they become known, are drained, released and forgotten.
 #include <cmath>
 
 #include "core/cluster.h"
@@ -7,12 +7,15 @@
 
 namespace {
 
-constexpr Millis kUnlistedFor = 12'000;  // no list is that late
+constexpr Millis kForgetGone = 900'000;
+constexpr Millis kNoticeForgotten = 60'000;  // after its end, if the machine is still there
+constexpr Millis kUnlistedFor = 12'000;      // no list is that late
 // Between two tries of a job that fails everywhere. With the fetch of its image a try has to come
 // well within the 90 s for which no job may be left waiting beside capacity that fits.
 constexpr double kLongestBackoffSeconds = 30;
 constexpr Millis kReplicaRunsWell = 10'000;
 constexpr std::size_t kMaxFailedOn = 16;  // machines that a service keeps off
+constexpr double kNoticeShare = 0.7;      // of a notice; what ends sooner goes on
 constexpr Millis kFailedPause = 3000;     // for which a machine on which a task failed gets no work
 
 }  // namespace
@@ -45,7 +48,7 @@
 }
 
 bool Cluster::usable(const Machine& machine, Millis now) const {
-    return machine.life == Machine::Life::Up && machine.synced && !machine.drain &&
+    return machine.life == Machine::Life::Up && machine.synced && !machine.drain.any() &&
            !machine.taken_at && machine.type != kInvalidIndex && machine.quarantine_until <= now &&
            machine.unreachable_since == 0 &&
            now - machine.last_heartbeat_at <= settings_.report_ms * 2 + 500;
@@ -75,9 +78,9 @@
     if (machine.images.size() > 8) machine.images.erase(machine.images.begin());
 }
 
-void Cluster::note_failure(Job& job, MachineIndex mix, Millis now) {
+void Cluster::note_failure(Job& job, MachineIndex index, Millis now) {
     job.failures++;
-    note_machine_failure(job, mix, now);
+    note_machine_failure(job, index, now);
     const bool sound = has_run_well(job, now);
     // The first failure is mostly the machine's; a job that fails everywhere waits longer.
     if (!sound && job.failed_on.size() >= 2) {
@@ -92,40 +95,40 @@
 // rest of it must not wait for them. Of a service, a replica that goes on running says the same.
 bool Cluster::has_run_well(const Job& job, Millis now) const {
     if (!job.spec.service) return job.done > 0;
-    return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& held) {
-        const Allocation& allocation = allocations_[held.second];
+    return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& allocated) {
+        const Allocation& allocation = allocations_[allocated.second];
         return allocation.phase == TaskPhase::Running && allocation.running_since > 0 &&
                now - allocation.running_since >= kReplicaRunsWell;
     });
 }
 
-// What fails for several jobs in a row is faulty: it gets no new work and is given up.
-void Cluster::note_machine_failure(Job& job, MachineIndex mix, Millis now) {
+// What fails for several jobs in a row is faulty: it is drained.
+void Cluster::note_machine_failure(Job& job, MachineIndex index, Millis now) {
     // A service lives for long: what failed for it long ago says nothing any more.
     if (job.spec.service && job.failed_on.size() >= kMaxFailedOn) job.failed_on.clear();
-    job.failed_on.insert(mix);
+    job.failed_on.insert(index);
     if (job.failed_on.size() > 2 && !has_run_well(job, now)) return;
-    Machine& machine = machines_[mix];
+    Machine& machine = machines_[index];
     machine.failed_jobs.insert(static_cast<JobIndex>(job_ids_[job.id]));
     machine.quarantine_until = now + kFailedPause;
     if (machine.failed_jobs.size() >= 2) {
-        machine.drain = true;
-        machine.faulty = true;
-        stop_replicas(mix, now);
+        machine.drain.add(DrainReason::Faulty);
+        stop_replicas(index, now);
     }
 }
 
-void Cluster::notice(MachineIndex mix, double notice_s, Millis now) {
-    Machine& machine = machines_[mix];
+void Cluster::notice(MachineIndex index, double notice_s, Millis now) {
+    Machine& machine = machines_[index];
     machine.taken_at = now + static_cast<Millis>(notice_s * 1000);
-    const auto held = machine.allocations;
-    for (auto allocation_index : held) {
-        const Allocation& h = allocations_[allocation_index];
-        if (h.job == kInvalidIndex || h.stop) continue;
-        const auto& spec = jobs_[h.job].spec;
-        const double ran_s = h.running_since > 0 ? (now - h.running_since) / 1000.0 : 0;
-        const bool ends_before = spec.estimate_s - ran_s < notice_s * 0.7;
-        if (h.phase == TaskPhase::Running && ends_before && !spec.service) continue;
+    const auto allocated = machine.allocations;
+    for (auto allocation_index : allocated) {
+        const Allocation& allocation = allocations_[allocation_index];
+        if (allocation.job == kInvalidIndex || allocation.stop) continue;
+        const auto& spec = jobs_[allocation.job].spec;
+        const double ran_s =
+            allocation.running_since > 0 ? (now - allocation.running_since) / 1000.0 : 0;
+        const bool ends_before = spec.estimate_s - ran_s < notice_s * kNoticeShare;
+        if (allocation.phase == TaskPhase::Running && ends_before && !spec.service) continue;
         stop_with_gang(allocation_index,
                        spec.checkpoint_s > 0 ? std::min(notice_s, spec.save_s) : 0, now);
     }
@@ -133,8 +136,8 @@
 
 void Cluster::on_list(const std::vector<ListedMachine>& page, Millis now) {
     for (const auto& listed : page) {
-        const auto mix = machine_for(listed.name, listed.type, listed.zone, listed.spot, now);
-        Machine& machine = machines_[mix];
+        const auto index = machine_for(listed.name, listed.type, listed.zone, listed.spot, now);
+        Machine& machine = machines_[index];
         if (!machine.listed) {
             machine.listed = true;
             machine.provisioned_at =
@@ -145,36 +148,38 @@
         if (listed.state == ListedMachine::State::Failed && !machine.failed &&
             machine.life != Machine::Life::Gone) {
             machine.failed = true;
-            machine.life = Machine::Life::Releasing;
+            machine.start_release();
         }
     }
 }
 
 void Cluster::on_list_complete(const std::set<std::string>& names, Millis now) {
     for (auto& machine : machines_) {
-        // A record names it and newer machines are listed, it is not: it was given back before its
-        // tasks were placed anew. Only its return proves that, but nothing has to be waited for.
+        // "Failure detection", stale machine entries. A record names it and newer machines are
+        // listed, it is not: it was released before its tasks were placed anew. Only its release
+        // proves that, but nothing has to be waited for.
         if (machine.life == Machine::Life::Booting && !machine.listed &&
             !machine.allocations.empty() && machine.last_heartbeat_at == 0 && !names.empty() &&
             machine.name < *names.rbegin()) {
-            machine.life = Machine::Life::Releasing;
+            machine.start_release();
             continue;
         }
-        // A late copy of a report makes a machine look up that was gone before this lead began.
+        // A late copy of a report makes a machine look up that was gone before this term.
         const bool stale = !machine.listed && !machine.allocations.empty() &&
                            now - machine.first_seen > kUnlistedFor + settings_.report_ms;
         if (machine.life != Machine::Life::Up || !(machine.listed || stale) ||
             names.contains(machine.name)) {
             continue;
         }
-        // Lists go back at times, so silence is asked for as well.
+        // Lists are out of date at times, so it has to be silent as well.
         if (now - std::max(machine.last_heartbeat_at, machine.first_seen) >
             settings_.report_ms * 2 + 2000) {
-            machine.life = Machine::Life::Releasing;
+            machine.start_release();
         }
     }
-    // A new leader learns here of machines that it has not heard: nothing is rented beside them.
-    note_cut_zones(now);
+    // A new leader learns here of machines that have not reported to it: nothing is provisioned
+    // beside them.
+    failure_detector_.update_cut_zones(machines_, zones_.size(), now);
 }
 
 void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
@@ -208,9 +213,9 @@
         auto it = machine_ids_.find(name);
         if (it == machine_ids_.end()) continue;
         Machine& machine = machines_[it->second];
-        machine.life = Machine::Life::Gone;
-        machine.synced = false;
-        // There is room for one of its kind again: a refusal from before says nothing any more.
+        machine.on_released();
+        // The cloud has capacity for one of its kind again: an earlier refusal says nothing any
+        // more.
         refused_.erase({machine.type, machine.zone, machine.spot});
         exited_.erase(name);
         release_all(it->second, std::numeric_limits<std::uint64_t>::max(), now);
@@ -220,7 +225,7 @@
 void Cluster::release_pending(const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) {
         Machine& machine = machines_[machine_for(name, "", "", false, now)];
-        if (machine.life != Machine::Life::Gone) machine.life = Machine::Life::Releasing;
+        machine.start_release();
     }
 }
 
@@ -229,6 +234,127 @@
     return it != machine_ids_.end() && !machines_[it->second].allocations.empty();
 }
 
+std::optional<Millis> Cluster::wanted_patience() const {
+    if (!settings_.policy) return std::nullopt;
+    return static_cast<Millis>(settings_.policy->silent_s(fleet_facts()) * 1000);
+}
+
+std::vector<events::Event> Cluster::tick(Millis now, bool sure) {
+    std::vector<events::Event> events;
+    // "Failure detection", no release without a valid leader lease.
+    if (!sure) {
+        failure_detector_.suspend();
+        return events;
+    }
+    failure_detector_.begin_round(machines_, zones_.size(), wanted_patience(), now);
+    for (auto& machine : machines_) {
+        switch (machine.life) {
+            case Machine::Life::Gone:
+                forget_released(machine, now);
+                break;
+            case Machine::Life::Releasing:
+                break;
+            case Machine::Life::Up:
+                check_up(machine, events, now);
+                break;
+            case Machine::Life::Booting: {
+                const bool known = machine.type != kInvalidIndex;
+                const double boot_s = known ? type_info_[machine.type].boot_s : 0;
+                if (const auto failure = failure_detector_.check_booting(machine, boot_s)) {
+                    start_release(machine, *failure, events);
+                }
+                break;
+            }
+        }
+    }
+    return events;
+}
+
+void Cluster::start_release(Machine& machine, const FailureDetector::Failure& failure,
+                            std::vector<events::Event>& events) {
+    machine.start_release();
+    events.emplace_back(
+        events::MachineReleaseStarted{machine.name, failure.reason, failure.for_ms, {}});
+}
+
+// Its index is used again once no late report or list is to be expected; without that a leader of
+// many days would grow without bound.
+void Cluster::forget_released(Machine& machine, Millis now) {
+    if (machine.name.empty() || now - machine.release_requested_at < kForgetGone ||
+        !machine.allocations.empty()) {
+        return;
+    }
+    free_machines_.push_back(machine_ids_.at(machine.name));
+    machine_ids_.erase(machine.name);
+    machine = Machine{};
+    machine.on_released();
+}
+
+void Cluster::check_up(Machine& machine, std::vector<events::Event>& events, Millis now) {
+    const auto index = static_cast<MachineIndex>(&machine - machines_.data());
+    if (const auto failure = failure_detector_.check_up(machine)) {
+        // "When a task is off a machine": no clock is part of it.
+        if (failure->reason == events::ReleaseReason::Silent &&
+            !settings_.guards.silence_is_no_proof) {
+            release_all(index, std::numeric_limits<std::uint64_t>::max(), now);
+        }
+        start_release(machine, *failure, events);
+        return;
+    }
+    if (machine.lost_leases > 0 && now - machine.session_at > settings_.lease_ms * 3) {
+        machine.lost_leases = 0;
+    }
+    if (machine.drain.any() && machine.allocations.empty()) machine.start_release();
+    // Replicas never end by themselves and would keep it for ever.
+    if (machine.drain.any() && only_replicas(machine)) stop_replicas(index, now);
+    if (const auto failure = failure_detector_.check_notice(machine)) {
+        start_release(machine, *failure, events);
+        return;
+    }
+    if (machine.taken_at && now > *machine.taken_at + kNoticeForgotten) machine.taken_at.reset();
+    if (const auto* run = unwanted_unconfirmed_run(machine, now)) {
+        machine.start_release();
+        events.emplace_back(events::MachineReleaseStarted{
+            machine.name, events::ReleaseReason::UnconfirmedRun, 0, jobs_.at(run->job).id});
+    }
+}
+
+// "When a task is off a machine": unwanted and still unconfirmed, only the machine's release proves
+// that the run will not come.
+const Allocation* Cluster::unwanted_unconfirmed_run(const Machine& machine, Millis now) const {
+    for (const auto index : machine.allocations) {
+        const Allocation& allocation = allocations_[index];
+        if (allocation.stop && allocation.state == Allocation::State::Sent &&
+            allocation.direct_unconfirmed &&
+            now - allocation.stop_since > settings_.cancel_ms / 3) {
+            return &allocation;
+        }
+    }
+    return nullptr;
+}
+
+bool Cluster::has_replicas(const Machine& machine) const {
+    return std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                       [&](AllocationIndex allocation_index) {
+                           return jobs_.at(allocations_[allocation_index].job).spec.service;
+                       });
+}
+
+bool Cluster::only_replicas(const Machine& machine) const {
+    return !machine.allocations.empty() &&
+           std::all_of(machine.allocations.begin(), machine.allocations.end(),
+                       [&](AllocationIndex allocation_index) {
+                           return jobs_.at(allocations_[allocation_index].job).spec.service;
+                       });
+}
+
+bool Cluster::has_cancelled_work(const Machine& machine) const {
+    return std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                       [&](AllocationIndex allocation_index) {
+                           return jobs_.at(allocations_[allocation_index].job).aborted;
+                       });
+}
+
 Cluster::ImageHints Cluster::image_hints(std::size_t part, std::size_t parts) const {
     ImageHints out;
     for (std::size_t i = part; i < machines_.size(); i += parts) {
@@ -250,7 +376,7 @@
 std::size_t Cluster::machine_count() const {
     return static_cast<std::size_t>(
         std::count_if(machines_.begin(), machines_.end(),
-                      [](const Machine& m) { return m.life != Machine::Life::Gone; }));
+                      [](const Machine& machine) { return machine.life != Machine::Life::Gone; }));
 }
 
 }  // namespace lichendrift::core
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -11,6 +11,8 @@
 constexpr Millis kRefusedPause = 2000;
 constexpr Millis kMaxLazyDelay = 20000;  // beyond that delay, even if other writes wait
 
+constexpr Millis kRetryPause = 300;     // after a write that failed
+constexpr std::size_t kKeyBytes = 200;  // of a record in a transaction, with its conditions
 constexpr std::uint8_t kUrgentRank = 0;
 
 std::size_t digits(std::uint64_t number) {
@@ -39,8 +41,8 @@
     auto found = job_ids_.find(job_id);
     if (found == job_ids_.end()) return;
     Job& job = jobs_[found->second];
-    job.record_numbers[record_number].revision = revision;
-    job.record_numbers[record_number].nonce = record.nonce;
+    job.records[record_number].revision = revision;
+    job.records[record_number].nonce = record.nonce;
     job.layout = std::max(job.layout, std::min(layout_of(record_number), kFinestLayout));
     for (auto [first, last] : record.done) {
         // A leader of a version without services may have taken a replica's end for its completion.
@@ -86,8 +88,8 @@
     std::vector<JobIndex> over;
     for (auto& [index, job] : jobs_) {
         if (job.over) over.push_back(index);
-        const bool earlier = !job.record_numbers.empty() &&
-                             layout_of(job.record_numbers.begin()->first) < job.layout;
+        const bool earlier =
+            !job.records.empty() && layout_of(job.records.begin()->first) < job.layout;
         if (!job.over && earlier) move_records(index);
     }
     for (auto index : over) drop_if_gone(index);
@@ -112,11 +114,11 @@
 void Cluster::move_records(JobIndex index) {
     Job& job = jobs_.at(index);
     bool earlier = false;
-    for (auto& [number, record_number] : job.record_numbers) {
+    for (auto& [number, record] : job.records) {
         if (layout_of(number) >= job.layout) continue;
-        record_number.dirty = false;
-        record_number.lazy_at = 0;
-        earlier |= record_number.revision != 0 || record_number.writing;
+        record.dirty = false;
+        record.lazy_at = 0;
+        earlier |= record.revision != 0 || record.writing;
     }
     std::set<std::uint32_t> needed;
     for (const auto& [task, allocation] : job.allocations) needed.insert(record_of(job, task));
@@ -125,7 +127,7 @@
     }
     job.to_move.clear();
     for (auto number : needed) {
-        job.record_numbers[number].dirty = true;
+        job.records[number].dirty = true;
         dirty_.insert(record_key(index, number));
         if (earlier) job.to_move.insert(number);
     }
@@ -135,7 +137,7 @@
 void Cluster::drop_superseded(JobIndex index) {
     Job& job = jobs_.at(index);
     if (!job.to_move.empty()) return;
-    for (auto it = job.record_numbers.begin(); it != job.record_numbers.end();) {
+    for (auto it = job.records.begin(); it != job.records.end();) {
         // A write in flight may still create the record: it is removed when that is known.
         if (layout_of(it->first) >= job.layout || it->second.writing) {
             ++it;
@@ -144,7 +146,7 @@
         if (it->second.revision != 0) {
             orphans_.push_back(keys::placement_record(job.id, it->first));
         }
-        it = job.record_numbers.erase(it);
+        it = job.records.erase(it);
     }
 }
 
@@ -160,7 +162,7 @@
 
 void Cluster::mark_dirty(Job& job, std::uint32_t task) {
     const auto number = record_of(job, task);
-    job.record_numbers[number].dirty = true;
+    job.records[number].dirty = true;
     dirty_.insert(record_key(job_ids_[job.id], number));
 }
 
@@ -168,21 +170,21 @@
 // service allows few. Until it is durable, the worker keeps the result.
 void Cluster::mark_lazy(Job& job, std::uint32_t task, Millis now) {
     const auto number = record_of(job, task);
-    RecordState& record_number = job.record_numbers[number];
-    if (record_number.lazy_at != 0) return;
-    record_number.lazy_at = now + kLazyDelay;
-    lazy_.emplace(record_number.lazy_at, job_ids_[job.id], number);
+    RecordState& record = job.records[number];
+    if (record.lazy_at != 0) return;
+    record.lazy_at = now + kLazyDelay;
+    lazy_.emplace(record.lazy_at, job_ids_[job.id], number);
 }
 
-// What a record has to say now.
+// The present value of a record.
 RecordWrite Cluster::make_record_write(JobIndex index, std::uint32_t number) {
     const Job& job = jobs_.at(index);
-    const auto found = job.record_numbers.find(number);
+    const auto found = job.records.find(number);
     RecordWrite write;
     write.job = index;
     write.record_number = number;
     write.job_id = job.id;
-    write.revision = found == job.record_numbers.end() ? 0 : found->second.revision;
+    write.revision = found == job.records.end() ? 0 : found->second.revision;
     write.open_revision = job.open_revision;
     write.urgent = record_key(index, number).rank == kUrgentRank;
     write.record.term = settings_.token;
@@ -192,36 +194,35 @@
     const auto last = std::min(first + span, job.spec.count);
     for (auto held = job.allocations.lower_bound(first);
          held != job.allocations.end() && held->first < last; ++held) {
-        const Allocation& h = allocations_[held->second];
-        write.record.placed.push_back({h.task, h.attempt, machines_[h.machine].name, h.session});
+        const Allocation& allocation = allocations_[held->second];
+        write.record.placed.push_back({allocation.task, allocation.attempt,
+                                       machines_[allocation.machine].name, allocation.session});
     }
     auto& done = write.record.done;
-    for (auto t = first; t < last; ++t) {
-        if (job.done_flags[t] == 0) continue;
-        if (!done.empty() && done.back().second + 1 == t) {
-            done.back().second = t;
+    for (auto task = first; task < last; ++task) {
+        if (job.done_flags[task] == 0) continue;
+        if (!done.empty() && done.back().second + 1 == task) {
+            done.back().second = task;
         } else {
-            done.emplace_back(t, t);
+            done.emplace_back(task, task);
         }
     }
     return write;
 }
 
-// Records of which only done tasks are to be told become due.
+// Records that only add done tasks become due.
 void Cluster::take_lazy_records(std::size_t limit, Millis due_now) {
     while (dirty_.size() < limit && !lazy_.empty() && std::get<0>(*lazy_.begin()) <= due_now) {
-        const auto [due, jix, number] = *lazy_.begin();
+        const auto [due, job_index, number] = *lazy_.begin();
         lazy_.erase(lazy_.begin());
-        auto found = jobs_.find(jix);
+        auto found = jobs_.find(job_index);
         if (found == jobs_.end()) continue;
-        const auto record_number = found->second.record_numbers.find(number);
+        const auto record = found->second.records.find(number);
         // Written since with something else, or of an earlier layout.
-        if (record_number == found->second.record_numbers.end() ||
-            record_number->second.lazy_at != due)
-            continue;
-        record_number->second.lazy_at = 0;
-        record_number->second.dirty = true;
-        dirty_.insert(record_key(jix, number));
+        if (record == found->second.records.end() || record->second.lazy_at != due) continue;
+        record->second.lazy_at = 0;
+        record->second.dirty = true;
+        dirty_.insert(record_key(job_index, number));
     }
 }
 
@@ -229,46 +230,46 @@
                                                      Millis now) {
     std::vector<RecordWrite> out;
     std::size_t bytes = 0;
-    // Put off for ever, reports would grow by every result that their workers still keep.
+    // Delayed for ever, reports would grow by every result that their workers still keep.
     take_lazy_records(limits.records, lazy ? now : now - kMaxLazyDelay);
     for (auto it = dirty_.begin();
          it != dirty_.end() && out.size() < limits.records && bytes < limits.bytes;) {
-        const auto [rank, jix, number] = *it;
+        const auto [rank, job_index, number] = *it;
         // Urgent records share no transaction with others and wait behind none of them.
         if ((limits.urgent_only || (!out.empty() && out.front().urgent)) && rank != kUrgentRank) {
             break;
         }
-        auto found = jobs_.find(jix);
+        auto found = jobs_.find(job_index);
         if (found == jobs_.end() || found->second.over) {
             it = dirty_.erase(it);
             continue;
         }
         Job& job = found->second;
-        const auto entry = job.record_numbers.find(number);
-        if (entry == job.record_numbers.end() || !entry->second.dirty) {
+        const auto entry = job.records.find(number);
+        if (entry == job.records.end() || !entry->second.dirty) {
             it = dirty_.erase(it);
             continue;
         }
-        RecordState& record_number = entry->second;
-        if (record_number.writing || record_number.retry_at > now || job.finishing ||
+        RecordState& record = entry->second;
+        if (record.writing || record.retry_at > now || job.finishing ||
             job.done == job.spec.count) {
             ++it;
             continue;
         }
         it = dirty_.erase(it);
-        auto write = make_record_write(jix, number);
+        auto write = make_record_write(job_index, number);
         const auto size = value_bytes(write.record);
         if (size > limits.value_bytes && limits.may_refine && job.layout < kFinestLayout) {
             // Its new records come later in the list.
-            refine_layout(jix);
-            it = dirty_.lower_bound({rank, jix, number});
+            refine_layout(job_index);
+            it = dirty_.lower_bound({rank, job_index, number});
             continue;
         }
         // What the service and the transaction can't take together goes with the next one.
-        bytes += 200 + size;
-        record_number.writing = true;
-        record_number.dirty = false;
-        record_number.lazy_at = 0;
+        bytes += kKeyBytes + size;
+        record.writing = true;
+        record.dirty = false;
+        record.lazy_at = 0;
         out.push_back(std::move(write));
     }
     return out;
@@ -279,26 +280,26 @@
     auto it = jobs_.find(write.job);
     if (it == jobs_.end()) return;
     Job& job = it->second;
-    RecordState& record_number = job.record_numbers[write.record_number];
-    record_number.writing = false;
+    RecordState& record = job.records[write.record_number];
+    record.writing = false;
     // Of an earlier layout: the records of the present one say the same and are on their way.
     const bool superseded = layout_of(write.record_number) < job.layout;
     if (!ok && superseded) return drop_superseded(write.job);
     if (!ok) {
-        record_number.dirty = true;
+        record.dirty = true;
         dirty_.insert(record_key(write.job, write.record_number));
-        record_number.retry_at = now + 300;
+        record.retry_at = now + kRetryPause;
         return;
     }
-    record_number.revision = revision;
-    record_number.nonce = write.record.nonce;
+    record.revision = revision;
+    record.nonce = write.record.nonce;
     for (auto [first, last] : write.record.done) {
-        for (auto t = first; t <= last; ++t) job.done_flags[t] = 2;
+        for (auto task = first; task <= last; ++task) job.done_flags[task] = 2;
     }
     for (const auto& placed : write.record.placed) {
-        auto [from, to] = job.allocations.equal_range(placed.task);
-        for (auto h = from; h != to; ++h) {
-            Allocation& allocation = allocations_[h->second];
+        const auto [from, to] = job.allocations.equal_range(placed.task);
+        for (auto entry = from; entry != to; ++entry) {
+            Allocation& allocation = allocations_[entry->second];
             if (allocation.attempt == placed.attempt &&
                 allocation.state == Allocation::State::Planned) {
                 allocation.state = Allocation::State::Ready;
@@ -308,25 +309,25 @@
     if (job.spec.gang) {
         // A gang in several records starts only once all of them are durable.
         bool all = true;
-        for (auto& [number, other] : job.record_numbers) all &= !other.dirty && !other.writing;
+        for (auto& [number, other] : job.records) all &= !other.dirty && !other.writing;
         for (auto& [task, allocation_index] : job.allocations) {
-            Allocation& h = allocations_[allocation_index];
-            if (!all && h.state == Allocation::State::Ready) h.state = Allocation::State::Planned;
-            if (all && h.state == Allocation::State::Planned) h.state = Allocation::State::Ready;
+            Allocation& allocation = allocations_[allocation_index];
+            if (is_unsent(allocation)) {
+                allocation.state = all ? Allocation::State::Ready : Allocation::State::Planned;
+            }
         }
     }
     job.to_move.erase(write.record_number);
-    if (job.layout > 0 && job.record_numbers.begin()->first < job.layout * kNumbersOfALayout) {
+    if (job.layout > 0 && job.records.begin()->first < job.layout * kNumbersOfALayout) {
         drop_superseded(write.job);
     }
 }
 
 // A job that is over, as the state service has it, is kept out of the next batches, which would
-// fail whole for it, until the final word is known here. The others of its batch need not wait.
+// fail whole for it, until its terminal state is known here. The others of its batch need not wait.
 void Cluster::on_record_refused(const RecordWrite& write, bool job_over, Millis now) {
     on_record_written(write, false, 0, now);
-    if (auto* record_number = find_record(write))
-        record_number->retry_at = now + (job_over ? kRefusedPause : 0);
+    if (auto* record = find_record(write)) record->retry_at = now + (job_over ? kRefusedPause : 0);
 }
 
 void Cluster::on_record_reread(const RecordWrite& write, std::uint64_t revision,
@@ -335,23 +336,23 @@
         on_record_written(write, true, revision, now);
         return;
     }
-    if (auto* record_number = find_record(write)) record_number->revision = revision;
+    if (auto* record = find_record(write)) record->revision = revision;
     on_record_written(write, false, 0, now);
-    if (auto* record_number = find_record(write)) record_number->retry_at = now;
+    if (auto* record = find_record(write)) record->retry_at = now;
 }
 
 RecordState* Cluster::find_record(const RecordWrite& write) {
     const auto job = jobs_.find(write.job);
     if (job == jobs_.end()) return nullptr;
-    const auto record_number = job->second.record_numbers.find(write.record_number);
-    return record_number == job->second.record_numbers.end() ? nullptr : &record_number->second;
+    const auto record = job->second.records.find(write.record_number);
+    return record == job->second.records.end() ? nullptr : &record->second;
 }
 
 std::optional<FinalWrite> Cluster::next_final_write(std::size_t max_records, Millis now) {
     for (auto it = all_done_.begin(); it != all_done_.end();) {
         ++work_;
-        const auto jix = *it;
-        auto found = jobs_.find(jix);
+        const auto job_index = *it;
+        auto found = jobs_.find(job_index);
         if (found == jobs_.end() || found->second.over) {
             it = all_done_.erase(it);
             continue;
@@ -361,13 +362,13 @@
         if (job.finishing || job.finish_retry_at > now) continue;
         job.finishing = true;
         FinalWrite write;
-        write.job = jix;
+        write.job = job_index;
         write.job_id = job.id;
         write.open_revision = job.open_revision;
         write.with_job = !job.allocations.empty();
         if (job.allocations.empty()) {
-            for (auto& [number, record_number] : job.record_numbers) {
-                if (record_number.revision == 0 || record_number.writing) continue;
+            for (auto& [number, record] : job.records) {
+                if (record.revision == 0 || record.writing) continue;
                 if (write.record_numbers.size() < max_records)
                     write.record_numbers.push_back(number);
             }
@@ -382,11 +383,11 @@
     if (it == jobs_.end()) return;
     it->second.finishing = false;
     if (!ok) {
-        it->second.finish_retry_at = now + 300;
+        it->second.finish_retry_at = now + kRetryPause;
         return;
     }
-    for (auto number : write.record_numbers) it->second.record_numbers[number].revision = 0;
-    for (auto& [number, record_number] : it->second.record_numbers) record_number.dirty = false;
+    for (auto number : write.record_numbers) it->second.records[number].revision = 0;
+    for (auto& [number, record] : it->second.records) record.dirty = false;
     const auto id = write.job_id;
     job_over(id, false, now);
 }
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -209,7 +209,7 @@
     }
     for (TypeIndex type = 0; type < out.type_zones.size(); ++type) {
         for (const auto zone : out.type_zones[type]) {
-            if (zone >= zone_cut_.size() || zone_cut_[zone] == 0) continue;
+            if (!failure_detector_.is_cut(zone)) continue;
             out.refused_provisions.push_back({type, zone, false});
             out.refused_provisions.push_back({type, zone, true});
         }
@@ -238,7 +238,7 @@
         view.booting = age_s < type.boot_s * kBootMargin + kBootMarginSeconds;
     } else if (!view.usable) {
         // No report under this token yet, or in quarantine: it will most likely be usable soon.
-        view.booting = !machine.drain && !machine.taken_at &&
+        view.booting = !machine.drain.any() && !machine.taken_at &&
                        now - std::max(machine.last_heartbeat_at, machine.first_seen) < kSoonUsable;
     }
     view.images = machine.images;
