--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -10,6 +10,7 @@
 constexpr Millis kReplicaRanWell = 30'000;  // a failure after that long is none in a row
 constexpr Millis kReplicaRan = 3000;        // the same of a replica that ended well
 constexpr std::uint32_t kFailuresOfMachines = 2;
+constexpr Millis kStartRefusedPause = 2000;  // of a job, after a start that its worker refused
 constexpr Millis kFirstReplicaPause = 1000;  // after the second end in a row, then doubled
 constexpr Millis kLongestReplicaPause = 30'000;
 
@@ -189,7 +190,7 @@
             break;
         case ExitWhy::Unknown:
         case ExitWhy::Alone:
-            job.retry_at = std::max(job.retry_at, now + 2000);
+            job.retry_at = std::max(job.retry_at, now + kStartRefusedPause);
             break;
         default:
             break;
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -9,8 +9,7 @@
 
 constexpr Millis kStarvingGang = 60'000;
 constexpr Millis kStarvingArray = 120'000;
-constexpr std::size_t kMaxWarm = 16;   // images
-constexpr std::size_t kMaxTypes = 64;  // machine types that a job's constraint can name
+constexpr std::size_t kMaxWarm = 16;  // images
 constexpr std::uint64_t kAttemptsPerToken = 10'000'000;
 constexpr double kMinRestToMoveMs = 60'000;  // what ends sooner is not moved off a drained machine
 
@@ -25,7 +24,9 @@
       types_(types),
       zones_(zones),
       failure_detector_(
-          {settings_.report_ms, settings_.lease_ms, settings_.guards.command_effect_check}, *this) {
+          {settings_.report_ms, settings_.lease_ms, settings_.guards.command_effect_check}, *this),
+      admission_check_({machines_, allocations_, type_info_, team_list_, team_used_},
+                       settings_.report_ms) {
     for (const auto& team : settings_.teams) {
         teams_.intern(team.name);
         team_list_.push_back(team);
@@ -168,47 +169,6 @@
     return settings_.policy->take_rejected_values();
 }
 
-bool Cluster::start_allowed(const Job& job, const std::vector<TaskPlacement>& placements,
-                            Millis now) const {
-    const JobSpec& spec = job.spec;
-    if (job.over || job.finishing || spec.team == kInvalidIndex) return false;
-    std::map<MachineIndex, Resources> free;
-    std::map<ZoneIndex, std::uint32_t> zones;
-    for (const auto& [task, index] : job.allocations) {
-        ++zones[machines_[allocations_[index].machine].zone];
-    }
-    Resources team = team_used_[spec.team];
-    for (const auto [task, index] : placements) {
-        const Machine& machine = machines_[index];
-        if (job.allocations.contains(task) || job.done_flags[task] != 0) return false;
-        if (!usable(machine, now) || !meets_constraints(spec, machine)) return false;
-        const auto [it, fresh] = free.try_emplace(index, type_info_[machine.type].room);
-        if (fresh) it->second -= machine.used;
-        if (!it->second.covers(spec.need)) return false;
-        it->second -= spec.need;
-        ++zones[machine.zone];
-        team += spec.need;
-    }
-    return zones_allowed(spec, zones) && !exceeds(team, team_list_[spec.team].limit);
-}
-
-bool Cluster::meets_constraints(const JobSpec& spec, const Machine& machine) {
-    if (machine.type >= kMaxTypes || (spec.types >> machine.type & 1) == 0) return false;
-    if (spec.zone != kInvalidIndex && machine.zone != spec.zone) return false;
-    return spec.spot || !machine.spot;
-}
-
-// `zones`: how many tasks of the job would be in each.
-bool Cluster::zones_allowed(const JobSpec& spec, const std::map<ZoneIndex, std::uint32_t>& zones) {
-    if (!spec.one_zone && !spec.apart) return true;
-    // Tasks on machines whose zone is not known could be anywhere.
-    if (zones.contains(kInvalidIndex)) return false;
-    if (spec.one_zone && zones.size() > 1) return false;
-    if (!spec.apart) return true;
-    return std::all_of(zones.begin(), zones.end(),
-                       [&](const auto& zone) { return zone.second <= (spec.count + 1) / 2; });
-}
-
 Cluster::Applied Cluster::apply(const Plan& plan, Millis now) {
     Applied applied;
     for (const auto& start : plan.starts) apply_start(start, applied, now);
@@ -241,7 +201,7 @@
     for (std::size_t i = 0; i < tasks.size(); ++i) {
         placements.push_back({tasks[i], start.machines[i]});
     }
-    if (!start_allowed(job, placements, now)) {
+    if (!admission_check_.check_start(job, placements, now)) {
         ++applied.refused;
         return;
     }
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -5,6 +5,7 @@
 #include <memory>
 #include <set>
 
+#include "core/admission_check.h"
 #include "core/allocation.h"
 #include "core/failure_detector.h"
 #include "core/job.h"
@@ -206,11 +207,6 @@
     static constexpr int kUnreachableMisses = 2;  // a single answer may be lost or late
 
     struct Reconciliation;  // a report on its way through on_report(), see heartbeats.cpp
-    // A task and the machine that a plan has for it.
-    struct TaskPlacement {
-        std::uint32_t task = 0;
-        MachineIndex machine = kInvalidIndex;
-    };
     // The message that commands go into: an answer to a heartbeat, or a direct command.
     struct CommandMessage {
         bool direct = false;
@@ -306,11 +302,6 @@
                                                              Millis now) const;
 
     // Plans, see cluster.cpp.
-    [[nodiscard]] bool start_allowed(const Job& job, const std::vector<TaskPlacement>& placements,
-                                     Millis now) const;
-    [[nodiscard]] static bool meets_constraints(const JobSpec& spec, const Machine& machine);
-    [[nodiscard]] static bool zones_allowed(const JobSpec& spec,
-                                            const std::map<ZoneIndex, std::uint32_t>& zones);
     void apply_start(const Start& start, Applied& applied, Millis now);
     [[nodiscard]] events::JobPlaced placed_event(const Job& job, const Start& start,
                                                  const std::vector<TaskPlacement>& placements,
@@ -331,7 +322,6 @@
     void add_allocations(MachineIndex machine, Snapshot& out) const;
     void fill_item(const Job& job, double age_s, Millis now, WaitingJob& item) const;
     void add_zones(const Job& job, WaitingJob& item) const;
-    [[nodiscard]] bool usable(const Machine& machine, Millis now) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
     std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t limit) const;
     static void take_from_waiting(Job& job, std::uint32_t task);
@@ -341,7 +331,6 @@
     ClusterSettings settings_;
     Names& types_;
     Names& zones_;
-    FailureDetector failure_detector_;
     Names images_;
     Names classes_;
     Names teams_;
@@ -364,6 +353,8 @@
     std::vector<Machine> machines_;
     std::unordered_map<std::string, MachineIndex> machine_ids_;
     std::vector<Allocation> allocations_;
+    FailureDetector failure_detector_;
+    AdmissionCheck admission_check_;  // reads the members above
     Millis drained_at_ = -1'000'000;
     std::vector<MachineIndex> free_machines_;
     std::vector<AllocationIndex> free_allocations_;
--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -84,8 +84,8 @@
     const bool unconfirmed =
         allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed;
     if (allocation.state != Allocation::State::Ready && !unconfirmed) return;
-    const bool up = machine.life == Machine::Life::Up && machine.synced;
-    if (job.over || allocation.stop || !message.may_start || !up) return;
+    const bool is_ready = machine.life == Machine::Life::Up && machine.synced;
+    if (job.over || allocation.stop || !message.may_start || !is_ready) return;
     out.push_back({Command::Kind::Run, job.id, allocation.task, allocation.attempt, 0});
     allocation.state = Allocation::State::Sent;
     if (message.direct) {
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -15,6 +15,7 @@
 constexpr Millis kCutPatience = 3;               // leases
 constexpr Millis kManySilent = 60'000;    // the least time for which many may be silent at once
 constexpr Millis kQuestionMargin = 3000;  // for a question to it that gets no answer
+constexpr Millis kLateQuarters = 5;       // of the interval between heartbeats, until one is late
 constexpr Millis kReportMargin = 1000;    // beyond one and a quarter intervals between heartbeats
 // A worker waits so long for the answer to a heartbeat that was lost, and then for the next node.
 constexpr Millis kRetryOfWorker = 5000;
@@ -27,7 +28,7 @@
 }  // namespace
 
 Millis FailureDetector::heartbeat_due_ms() const {
-    return bounds_.report_ms * 5 / 4 + kReportMargin;
+    return bounds_.report_ms * kLateQuarters / 4 + kReportMargin;
 }
 
 // "Failure detection", a zone that is cut off: it keeps its machines, their images and, if it is
@@ -42,11 +43,11 @@
     std::vector<Reporting> zones(zone_count);
     for (const auto& machine : machines) {
         if (machine.zone >= zones.size()) continue;
-        const bool up = machine.life == Machine::Life::Up;
-        if (!up && !(machine.life == Machine::Life::Booting && machine.running)) continue;
+        const bool is_up = machine.life == Machine::Life::Up;
+        if (!is_up && !(machine.life == Machine::Life::Booting && machine.running)) continue;
         Reporting& zone = zones[machine.zone];
         ++zone.total;
-        if (up && now - machine.last_heartbeat_at < heartbeat_due_ms()) ++zone.reporting;
+        if (is_up && now - machine.last_heartbeat_at < heartbeat_due_ms()) ++zone.reporting;
     }
     zone_cut_.assign(zones.size(), 0);
     zone_back_.resize(zones.size(), -1);
@@ -78,9 +79,9 @@
     if (round_.majority_silent) majority_silent_at_ = now;
     // A report goes missing, the worker waits 4 s for its answer and a second for the next node.
     // Less would release machines between two of their reports.
-    round_.patience = wanted_patience
-                          ? std::max(*wanted_patience, heartbeat_due_ms())
-                          : bounds_.report_ms * 5 / 4 + kRetryOfWorker + kPatienceMargin;
+    round_.patience =
+        wanted_patience ? std::max(*wanted_patience, heartbeat_due_ms())
+                        : bounds_.report_ms * kLateQuarters / 4 + kRetryOfWorker + kPatienceMargin;
     round_.cut_patience = std::max(round_.patience, bounds_.lease_ms * kCutPatience);
 }
 
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -7,6 +7,11 @@
 
 namespace {
 
+constexpr std::size_t kMaxImages = 8;        // remembered of a machine
+constexpr Millis kUnlistedMargin = 2000;     // beyond two intervals between heartbeats
+constexpr Millis kFirstRefusedPause = 5000;  // no capacity: not asked again; then doubled
+constexpr Millis kMaxRefusedPause = 12'000;
+constexpr Millis kReleaseRetryPause = 3000;  // until a release is requested again
 constexpr Millis kForgetGone = 900'000;
 constexpr Millis kNoticeForgotten = 60'000;  // after its end, if the machine is still there
 constexpr Millis kUnlistedFor = 12'000;      // no list is that late
@@ -47,13 +52,6 @@
     return it->second;
 }
 
-bool Cluster::usable(const Machine& machine, Millis now) const {
-    return machine.life == Machine::Life::Up && machine.synced && !machine.drain.any() &&
-           !machine.taken_at && machine.type != kInvalidIndex && machine.quarantine_until <= now &&
-           machine.unreachable_since == 0 &&
-           now - machine.last_heartbeat_at <= settings_.report_ms * 2 + 500;
-}
-
 // "Failure detection", unreachable: something that was sent to the machine has had its effect.
 void Cluster::on_command_effect(MachineIndex index) {
     if (!settings_.guards.command_effect_check) return;
@@ -75,7 +73,7 @@
 void Cluster::note_image(Machine& machine, ImageIndex image) {
     std::erase(machine.images, image);
     machine.images.push_back(image);
-    if (machine.images.size() > 8) machine.images.erase(machine.images.begin());
+    if (machine.images.size() > kMaxImages) machine.images.erase(machine.images.begin());
 }
 
 void Cluster::note_failure(Job& job, MachineIndex index, Millis now) {
@@ -173,7 +171,7 @@
         }
         // Lists are out of date at times, so it has to be silent as well.
         if (now - std::max(machine.last_heartbeat_at, machine.first_seen) >
-            settings_.report_ms * 2 + 2000) {
+            settings_.report_ms * 2 + kUnlistedMargin) {
             machine.start_release();
         }
     }
@@ -190,7 +188,7 @@
 
 void Cluster::on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
     auto& [until, step] = refused_[{type, zone, spot}];
-    step = std::min<Millis>(step == 0 ? 5000 : step * 2, 12000);
+    step = std::min<Millis>(step == 0 ? kFirstRefusedPause : step * 2, kMaxRefusedPause);
     until = now + step;
 }
 
@@ -199,7 +197,8 @@
     for (auto& machine : machines_) {
         if (out.size() >= limit) break;
         if (machine.life != Machine::Life::Releasing) continue;
-        if (machine.release_requested_at != 0 && now - machine.release_requested_at < 3000)
+        if (machine.release_requested_at != 0 &&
+            now - machine.release_requested_at < kReleaseRetryPause)
             continue;
         machine.release_requested_at = now;
         out.push_back(machine.name);
--- a/src/core/plan_types.h
+++ b/src/core/plan_types.h
@@ -15,8 +15,6 @@
 /// Position in Snapshot::allocations.
 using AllocationPosition = std::size_t;
 
-/// Machine types that JobSpec::types has a bit for.
-inline constexpr TypeIndex kMaxTypes = 64;
 /// Score of a placement without tasks.
 inline constexpr double kWorstScore = -1e300;
 /// Cost beyond any that occurs.
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -13,6 +13,7 @@
 
 constexpr Millis kRetryPause = 300;     // after a write that failed
 constexpr std::size_t kKeyBytes = 200;  // of a record in a transaction, with its conditions
+constexpr std::uint64_t kNoncesPerToken = 1'000'000;
 constexpr std::uint8_t kUrgentRank = 0;
 
 std::size_t digits(std::uint64_t number) {
@@ -188,7 +189,7 @@
     write.open_revision = job.open_revision;
     write.urgent = record_key(index, number).rank == kUrgentRank;
     write.record.term = settings_.token;
-    write.record.nonce = settings_.token * 1'000'000 + ++nonces_;
+    write.record.nonce = settings_.token * kNoncesPerToken + ++nonces_;
     const auto first = first_task(number, settings_.tasks_per_record);
     const auto span = span_of(layout_of(number), settings_.tasks_per_record);
     const auto last = std::min(first + span, job.spec.count);
@@ -394,9 +395,9 @@
 
 std::vector<std::string> Cluster::next_orphans(std::size_t limit) {
     if (!orphans_writing_.empty() || orphans_.empty()) return {};
-    const auto n = std::min(limit, orphans_.size());
-    orphans_writing_.assign(orphans_.end() - static_cast<std::ptrdiff_t>(n), orphans_.end());
-    orphans_.resize(orphans_.size() - n);
+    const auto count = std::min(limit, orphans_.size());
+    orphans_writing_.assign(orphans_.end() - static_cast<std::ptrdiff_t>(count), orphans_.end());
+    orphans_.resize(orphans_.size() - count);
     return orphans_writing_;
 }
 
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -224,7 +224,7 @@
     view.type = machine.type;
     view.zone = machine.zone;
     view.spot = machine.spot;
-    view.usable = usable(machine, now);
+    view.usable = admission_check_.is_usable(machine, now);
     view.capacity = type.room;
     view.free = view.capacity;
     view.free -= machine.used;
