--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -13,7 +13,7 @@
 
 constexpr Millis kTimeout = 4000;
 constexpr double kMinBurst = 2;                // requests that may always leave together
-constexpr double kBurstTime_s = 1.5;           // or as many as the rate allows in this time
+constexpr double kBurstSeconds = 1.5;          // or as many as the rate allows in this time
 constexpr std::size_t kPageMachines = 500;     // the protocol's limit
 constexpr std::size_t kMaxMachines = 100'000;  // only bounds the memory that a broken list takes
 constexpr int kMaxPageRetries = 40;
@@ -46,11 +46,12 @@
     const auto now = runtime_.now();
     const double rate = share_ * max_requests_per_s_;
     requests_.add(rate * static_cast<double>(now - refilled_at_) / 1000.0,
-                  std::max(kMinBurst, rate * kBurstTime_s));
+                  std::max(kMinBurst, rate * kBurstSeconds));
     refilled_at_ = now;
     if (requests_.tokens() < 1) {
-        runtime_.after(
-            0, [done = std::move(done)] { done({.status = 0, .body = {}, .sent = false}); });
+        runtime_.after(0, callbacks_.bind([done = std::move(done)] {
+            done({.status = 0, .body = {}, .sent = false});
+        }));
         return;
     }
     requests_.take(1);
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -31,7 +31,7 @@
 /// Sends requests to the cloud, at a limited rate and each with a deadline. A request beyond the
 /// rate is not sent and ends as `Unavailable`; the caller's next round tries again. Each callback
 /// is called once and never from inside the call that it was passed to; once the client is
-/// destroyed, no answer calls it any more. Loop thread only.
+/// destroyed, none is called any more. Loop thread only.
 class CloudClient {
   public:
     /// `address`: "IP:port"; `max_requests_per_s`: of all controllers together. `runtime` must
@@ -84,7 +84,8 @@
     net::Runtime& runtime_;
     std::string address_;
     double max_requests_per_s_;
-    double share_ = 0.15;
+    static constexpr double kInitialShare = 0.15;
+    double share_ = kInitialShare;
     net::TokenBucket requests_;
     net::MalformedMessageCounter malformed_{"the cloud"};
     Millis refilled_at_;
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kBurstTime_s = 0.5;    // what a bucket holds, as time of its rate
+constexpr double kBurstSeconds = 0.5;   // what a bucket holds, as time of its rate
 constexpr double kMinRequestBurst = 2;  // tokens that the bucket of requests can always hold
 constexpr double kSpareRequests = 2;    // tokens that are left for requests of others
 constexpr double kLeadershipDebt = 3;   // a late renewal costs more than a 429
@@ -22,17 +22,17 @@
     : max_requests_per_s_(settings.max_requests_per_s),
       max_writes_per_s_(settings.max_writes_per_s),
       min_write_capacity_(settings.max_transaction_operations),
-      requests_(request_rate() * kBurstTime_s),
-      writes_(write_rate() * kBurstTime_s),
+      requests_(request_rate() * kBurstSeconds),
+      writes_(write_rate() * kBurstSeconds),
       refilled_at_(now) {}
 
 void RateLimiter::refill(Millis now) {
     const double elapsed_s = static_cast<double>(now - refilled_at_) / 1000.0;
     refilled_at_ = now;
     requests_.add(elapsed_s * request_rate(),
-                  std::max(request_rate() * kBurstTime_s, kMinRequestBurst));
+                  std::max(request_rate() * kBurstSeconds, kMinRequestBurst));
     writes_.add(elapsed_s * write_rate(),
-                std::max(write_rate() * kBurstTime_s, static_cast<double>(min_write_capacity_)));
+                std::max(write_rate() * kBurstSeconds, static_cast<double>(min_write_capacity_)));
 }
 
 bool RateLimiter::allows_request(RequestPriority priority, Millis now) const {
--- a/src/store/types.h
+++ b/src/store/types.h
@@ -38,19 +38,22 @@
 /// Address and limits of the state service (settings `[settings.state]`).
 struct StoreSettings {
     std::string address;                         ///< "IP:port"
-    double max_requests_per_s = 50;              ///< of all controllers together
-    double max_writes_per_s = 20;                ///< keys written, of all controllers together
-    std::size_t max_transaction_operations = 8;  ///< keys that one transaction may write
-    std::size_t max_value_bytes = 8192;          ///< size of a value
+    double max_requests_per_s = 0;               ///< of all controllers together
+    double max_writes_per_s = 0;                 ///< keys written, of all controllers together
+    std::size_t max_transaction_operations = 0;  ///< keys that one transaction may write
+    std::size_t max_value_bytes = 0;             ///< size of a value
     /// The limit on values that will be in force from some moment on, without notice. Rates and
     /// operations need no such pair: those above are the smaller ones of both from the start.
-    std::size_t next_max_value_bytes = 8192;
+    std::size_t next_max_value_bytes = 0;
 };
 
+/// The part of a rate limit that a controller uses until it has its own.
+inline constexpr double kInitialRateShare = 0.2;
+
 /// The part of the service's rate limits that one controller may use.
 struct RateShare {
-    double requests = 0.2;  ///< of the limit on requests, 0 to 1
-    double writes = 0.2;    ///< of the limit on written keys, 0 to 1
+    double requests = kInitialRateShare;  ///< of the limit on requests, 0 to 1
+    double writes = kInitialRateShare;    ///< of the limit on written keys, 0 to 1
 };
 
 /// How a transaction ended.
