--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,98 +1,120 @@
-// The clients of the state service and of the cloud, and their pace.
+// The clients of the state service and of the cloud: rate limits, health and limits on sizes.
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <functional>
 #include <map>
+#include <string>
+#include <vector>
 
 #include "cloud/cloud_client.h"
+#include "store/service_health.h"
+#include "store/size_limits.h"
 #include "store/store_client.h"
 
 namespace lichendrift::store {
 namespace {
 
-// A state service that answers each request after 5 ms.
-class Prompt : public net::Runtime {
+// Virtual time in which each request is answered with what `respond` returns.
+class VirtualRuntime : public net::Runtime {
   public:
     core::Millis now() override { return now_; }
     core::Millis read_clock() override { return now_; }
     std::int64_t wall_ms() override { return now_; }
     std::uint64_t random() override { return 4; }
-    void call(const std::string&, net::HttpRequest request, core::Millis,
+    void call(const std::string& /*address*/, net::HttpRequest request, core::Millis /*timeout*/,
               net::OnReply on_reply) override {
-        const bool transact = request.target == "/txn";
-        after(5, [on_reply = std::move(on_reply), transact] {
-            on_reply(
-                {200, transact ? R"({"registro":7})" : R"({"path":"k","value":{},"timbro":1})"});
+        ++requests_;
+        after(response_time(), [on_reply = std::move(on_reply), body = respond(request)] {
+            on_reply({200, body});
         });
     }
-    net::TimerId after(core::Millis delay, std::function<void()> fn) override {
-        timers_.emplace(now_ + delay, std::move(fn));
+    net::TimerId after(core::Millis delay, std::function<void()> callback) override {
+        timers_.emplace(now_ + delay, std::move(callback));
         return 0;
     }
-    void cancel(net::TimerId) override {}
+    void cancel(net::TimerId /*id*/) override {}
     void advance(core::Millis until) {
         while (!timers_.empty() && timers_.begin()->first <= until) {
-            auto node = timers_.extract(timers_.begin());
-            now_ = node.key();
-            node.mapped()();
+            auto timer = timers_.extract(timers_.begin());
+            now_ = timer.key();
+            timer.mapped()();
         }
         now_ = until;
     }
+    [[nodiscard]] std::size_t requests() const { return requests_; }
 
   private:
+    virtual core::Millis response_time() = 0;
+    virtual std::string respond(const net::HttpRequest& request) = 0;
+
     core::Millis now_ = 1000;
     std::multimap<core::Millis, std::function<void()>> timers_;
+    std::size_t requests_ = 0;
+};
+
+// A state service that has every key and executes every transaction.
+class PromptStateService : public VirtualRuntime {
+    core::Millis response_time() override { return 5; }
+    std::string respond(const net::HttpRequest& request) override {
+        if (request.target == "/txn") return R"({"registro":7})";
+        return R"({"path":"k","value":{},"timbro":1})";
+    }
 };
 
-// A cloud that lists its machines in pages.
-class ListingCloud : public Prompt {
+// A cloud that lists its machines, host-100000 and so on, in pages.
+class ListingCloud : public VirtualRuntime {
   public:
     explicit ListingCloud(std::size_t machines) : machines_(machines) {}
-    void call(const std::string&, net::HttpRequest request, core::Millis,
-              net::OnReply on_reply) override {
-        const auto at = request.target.find("since=host-");
+
+  private:
+    static constexpr std::size_t kPageMachines = 500;
+    static constexpr std::size_t kFirstNumber = 100'000;
+
+    core::Millis response_time() override { return 80; }
+    std::string respond(const net::HttpRequest& request) override {
+        const std::string since = "since=host-";
+        const auto at = request.target.find(since);
         const auto first =
-            at == std::string::npos ? 0 : std::stoul(request.target.substr(at + 11)) - 100'000 + 1;
-        const auto last = std::min(first + 500, machines_);
+            at == std::string::npos
+                ? 0
+                : std::stoul(request.target.substr(at + since.size())) - kFirstNumber + 1;
+        const auto end = std::min(first + kPageMachines, machines_);
         std::string items;
-        for (auto m = first; m < last; ++m) {
+        for (auto machine = first; machine < end; ++machine) {
             items += (items.empty() ? "" : ",") + std::string(R"({"nameId":"host-)") +
-                     std::to_string(100'000 + m) +
+                     std::to_string(kFirstNumber + machine) +
                      R"(","endpoint":"10.0.0.1:1","modello":"g8","sede":"a","inPrestito":true,)" +
                      R"("stato":"running","ageS":5.0})";
         }
-        const auto body = R"({"banchi":[)" + items +
-                          (last < machines_ ? R"(],"more":true})" : R"(],"more":false})");
-        ++pages_;
-        after(80, [on_reply = std::move(on_reply), body] { on_reply({200, body}); });
+        return R"({"banchi":[)" + items +
+               (end < machines_ ? R"(],"more":true})" : R"(],"more":false})");
     }
-    [[nodiscard]] std::size_t pages() const { return pages_; }
 
-  private:
     std::size_t machines_;
-    std::size_t pages_ = 0;
 };
 
-// The pages of a large fleet are more than the pace allows at once: the list came to an end at the
-// page that it refused, and so never, and nothing was rented on it.
-TEST(Cloud, ListOfFourThousandMachinesWaitsForThePace) {
+// A large fleet has more pages than the rate allows at once. The list ended at the first page that
+// was refused for the rate, and so never was complete, and no machine was provisioned.
+TEST(Cloud, ListOfFourThousandMachinesWaitsForTheRateLimit) {
     ListingCloud runtime(4000);
     cloud::CloudClient client(runtime, "cloud:1", 5);
     client.set_share(0.3);
     std::size_t listed = 0;
-    client.list([&](cloud::Result answer, const auto& machines, const auto& names) {
-        EXPECT_EQ(answer, cloud::Result::Ok);
+    client.list([&](cloud::Result result, const auto& machines, const auto& names) {
+        EXPECT_EQ(result, cloud::Result::Ok);
         EXPECT_EQ(machines.size(), names.size());
         listed = names.size();
     });
     runtime.advance(20'000);
     EXPECT_EQ(listed, 4000U);
-    EXPECT_EQ(runtime.pages(), 8U);
+    EXPECT_EQ(runtime.requests(), 8U);
 }
 
-// Thousands of short tasks use up all changes that a leader may make. Its reads waited behind the
-// changes and expired, and each question that came to it was refused for more than a minute.
-TEST(Store, ReadsGoOnWhileChangesWaitForThePace) {
-    Prompt runtime;
+// Thousands of short tasks use up all writes that a leader may make. Its reads waited behind the
+// writes and expired, and each lookup of a user was refused for more than a minute.
+TEST(Store, ReadsGoOnWhileWritesWaitForTheRateLimit) {
+    PromptStateService runtime;
     StoreClient client(runtime, {"state:1", 100, 20, 8, 8192});
     client.set_share({0.5, 0.5});
     std::size_t written = 0;
@@ -105,22 +127,60 @@
     };
     for (int i = 0; i < 5; ++i) write();
     int requested = 0;
-    int answered = 0;
-    for (core::Millis t = 1200; t < 21'200; t += 200) {
-        runtime.advance(t);
+    int read = 0;
+    const auto on_item = [&](Outcome outcome, const wire::Item&) {
+        read += outcome == Outcome::Ok ? 1 : 0;
+    };
+    for (core::Millis until = 1200; until < 21'200; until += 200) {
+        runtime.advance(until);
         requested += 2;
-        const auto got = [&](Outcome outcome, const wire::Item&) {
-            answered += outcome == Outcome::Ok ? 1 : 0;
-        };
-        client.get(RequestPriority::Read, "k", got);
-        client.get(RequestPriority::Place, "k", got);
+        client.get(RequestPriority::Read, "k", on_item);
+        client.get(RequestPriority::Place, "k", on_item);
     }
     runtime.advance(23'000);
-    EXPECT_EQ(answered, requested);
-    // And the pace is kept: ten changes a second and a transaction to begin with.
+    EXPECT_EQ(read, requested);
+    // And the rate is kept: ten writes a second and a transaction to begin with.
     EXPECT_GT(written, 150U);
     EXPECT_LE(written, 20U * 22 / 2 + 16);
 }
 
+// An announced limit comes into force without notice: values shrink to it, then by half each time,
+// and at last transactions do.
+TEST(Store, RejectedTransactionsLowerTheLimits) {
+    SizeLimits limits({"state:1", 100, 20, 8, 8192, 4096});
+    EXPECT_FALSE(limits.lowered());
+    EXPECT_EQ(limits.max_value_bytes(), 8192U);
+    EXPECT_EQ(limits.max_value_bytes_from_now_on(), 4096U);
+    limits.on_rejected({.operations = 8, .largest_value_bytes = 8000}, 0);
+    EXPECT_TRUE(limits.lowered());
+    EXPECT_EQ(limits.max_value_bytes(), 4096U);
+    limits.on_rejected({.operations = 8, .largest_value_bytes = 4000}, 0);
+    EXPECT_EQ(limits.max_value_bytes(), 2000U);
+    EXPECT_EQ(limits.max_value_bytes_from_now_on(), 2000U);
+    EXPECT_EQ(limits.max_transaction_operations(), 8U);
+    limits.on_rejected({.operations = 8, .largest_value_bytes = 100}, 0);
+    EXPECT_EQ(limits.max_value_bytes(), 2000U);
+    EXPECT_EQ(limits.max_transaction_operations(), 4U);
+}
+
+TEST(Store, ServiceIsResponsiveUnlessRequestsFailOrStayOpen) {
+    ServiceHealth health;
+    EXPECT_TRUE(health.is_responsive(1000));
+    const auto open = health.on_sent(1000);
+    EXPECT_TRUE(health.is_responsive(1699));
+    EXPECT_FALSE(health.is_responsive(1700));
+    health.on_ended(open);
+    health.on_status(503, 2000);
+    health.on_status(0, 2200);
+    EXPECT_TRUE(health.is_failing());
+    EXPECT_TRUE(health.is_responsive(2300));
+    EXPECT_FALSE(health.is_responsive(2301));
+    EXPECT_EQ(health.failing_for(2301), 301);
+    health.on_status(404, 2400);
+    EXPECT_FALSE(health.is_failing());
+    EXPECT_EQ(health.failing_for(2400), 0);
+    EXPECT_TRUE(health.is_responsive(2400));
+}
+
 }  // namespace
 }  // namespace lichendrift::store
