--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -13,7 +13,7 @@
 #include "net/malformed_message_counter.h"
 #include "net/runtime.h"
 #include "net/token_bucket.h"
-#include "wire/json_messages.h"
+#include "wire/cloud_messages.h"
 
 namespace lichendrift::cloud {
 
--- a/src/control/announcements.h
+++ b/src/control/announcements.h
@@ -9,6 +9,7 @@
 #include "control/peers.h"
 #include "control/user_api.h"
 #include "store/store_client.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/cancellation_exchange.cpp
+++ b/src/control/cancellation_exchange.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "control/limits.h"
+#include "wire/user_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -1,6 +1,8 @@
 // The election for the cleanup duty.
 #include "control/cleaner.h"
 
+#include "wire/stored_values.h"
+
 namespace lichendrift::control {
 
 namespace {
--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -5,6 +5,7 @@
 
 #include "control/fenced_store.h"
 #include "core/state_keys.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
--- a/src/control/cleanup_rounds.h
+++ b/src/control/cleanup_rounds.h
@@ -9,6 +9,7 @@
 
 #include "control/cleanup_tenure.h"
 #include "duty/cleanup.h"
+#include "wire/state_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/cleanup_tenure.h
+++ b/src/control/cleanup_tenure.h
@@ -8,6 +8,7 @@
 
 #include "control/cleaner_services.h"
 #include "duty/claim.h"
+#include "wire/state_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/command_dispatcher.cpp
+++ b/src/control/command_dispatcher.cpp
@@ -4,6 +4,7 @@
 #include <optional>
 
 #include "net/http_status.h"
+#include "wire/worker_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -10,6 +10,7 @@
 #include "control/limits.h"
 #include "events/format.h"
 #include "net/http_status.h"
+#include "wire/user_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -19,6 +19,7 @@
 #include "control/user_api.h"
 #include "control/user_request_forwarder.h"
 #include "store/store_client.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/election.h
+++ b/src/control/election.h
@@ -8,6 +8,7 @@
 #include "net/runtime.h"
 #include "store/store_client.h"
 #include "wire/peer_messages.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
--- a/src/control/fenced_store.cpp
+++ b/src/control/fenced_store.cpp
@@ -1,6 +1,8 @@
 // Conversions between the types of duties and those of the state service's client.
 #include "control/fenced_store.h"
 
+#include "wire/stored_values.h"
+
 namespace lichendrift::control {
 
 namespace {
--- a/src/control/heartbeat_router.cpp
+++ b/src/control/heartbeat_router.cpp
@@ -6,7 +6,8 @@
 
 #include "control/leader.h"
 #include "control/limits.h"
-#include "wire/json_messages.h"
+#include "wire/user_messages.h"
+#include "wire/worker_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/image_hint_store.cpp
+++ b/src/control/image_hint_store.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 
 #include "core/state_keys.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
--- a/src/control/image_hint_store.h
+++ b/src/control/image_hint_store.h
@@ -5,6 +5,7 @@
 #include <string>
 
 #include "control/term.h"
+#include "wire/state_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -4,6 +4,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "wire/stored_values.h"
+
 namespace lichendrift::control {
 
 namespace {
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -12,6 +12,7 @@
 #include "control/job_count_publisher.h"
 #include "control/plan_loop.h"
 #include "control/record_writer.h"
+#include "wire/peer_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -4,6 +4,7 @@
 #include "control/fenced_store.h"
 #include "control/leader_host.h"
 #include "core/state_keys.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -3,6 +3,7 @@
 #include "control/record_writer.h"
 
 #include "core/state_keys.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
--- a/src/control/record_writer.h
+++ b/src/control/record_writer.h
@@ -7,6 +7,7 @@
 
 #include "control/job_watcher.h"
 #include "control/term.h"
+#include "wire/state_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -3,6 +3,8 @@
 #include <cmath>
 
 #include "events/format.h"
+#include "wire/stored_values.h"
+#include "wire/user_messages.h"
 
 namespace lichendrift::control {
 
@@ -99,11 +101,12 @@
 
 void UserApi::submit(const std::string& body, net::Respond respond) {
     auto parsed = wire::parse_submission(body);
-    if (auto* error = std::get_if<std::string>(&parsed)) {
-        events::log(events::SubmissionMalformed{*error, body.substr(0, kMaxLoggedBody)});
-        return respond({400, wire::error_body(*error)});
+    if (!parsed) {
+        const auto reason = wire::error_text(parsed.error());
+        events::log(events::SubmissionMalformed{reason, body.substr(0, kMaxLoggedBody)});
+        return respond({400, wire::error_body(reason)});
     }
-    auto& job = std::get<core::JobText>(parsed);
+    auto& job = *parsed;
     if (auto terminal_state = job_watcher_.terminal_state(job.id)) {
         return respond({200, wire::job_answer(job.id, state_name(*terminal_state))});
     }
--- a/src/control/user_request_forwarder.cpp
+++ b/src/control/user_request_forwarder.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "wire/peer_messages.h"
+#include "wire/user_messages.h"
 
 namespace lichendrift::control {
 
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -14,7 +14,7 @@
 #include "store/service_health.h"
 #include "store/size_limits.h"
 #include "store/types.h"
-#include "wire/json_messages.h"
+#include "wire/state_messages.h"
 
 namespace lichendrift::store {
 
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "events/format.h"
-#include "wire/json_messages.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::core {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,8 +2,10 @@
 
 #include <random>
 
-#include "wire/json_messages.h"
 #include "wire/peer_messages.h"
+#include "wire/stored_values.h"
+#include "wire/user_messages.h"
+#include "wire/worker_messages.h"
 
 namespace lichendrift::wire {
 namespace {
