--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -40,7 +40,7 @@
         std::apply(
             [this](const auto&... entries) {
                 start_array(sizeof...(entries));
-                (entry(entries), ...);
+                (this->entry(entries), ...);
             },
             Layout<Message>::entries(message));
     }
@@ -109,7 +109,7 @@
     /// Reads the entries of a message into it. False: malformed.
     template <typename Message>
     [[nodiscard]] bool message(Message& message) {
-        std::apply([this](auto&... entries) { (entry(entries), ...); },
+        std::apply([this](auto&... entries) { (this->entry(entries), ...); },
                    Layout<Message>::entries(message));
         return well_formed_;
     }
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -106,31 +106,39 @@
 };
 
 /// Kinds of jobs. The operators' page names the first two; their own check submits the third.
-inline constexpr std::array kJobKinds{Named{"sweep", JobKind::Array},
-                                      Named{"ensemble", JobKind::Gang},
-                                      Named{"service", JobKind::Service}};
+inline constexpr auto kJobKinds = std::to_array<Named<JobKind>>(
+    {{"sweep", JobKind::Array}, {"ensemble", JobKind::Gang}, {"service", JobKind::Service}});
 /// Priorities of jobs.
-inline constexpr std::array kPriorities{
-    Named{"critical", core::Priority::Critical}, Named{"high", core::Priority::High},
-    Named{"normal", core::Priority::Normal}, Named{"low", core::Priority::Low}};
+inline constexpr auto kPriorities =
+    std::to_array<Named<core::Priority>>({{"critical", core::Priority::Critical},
+                                          {"high", core::Priority::High},
+                                          {"normal", core::Priority::Normal},
+                                          {"low", core::Priority::Low}});
 /// Phases of tasks.
-inline constexpr std::array kTaskPhases{
-    Named{"pulling", core::TaskPhase::Pulling}, Named{"gathering", core::TaskPhase::Gathering},
-    Named{"running", core::TaskPhase::Running}, Named{"saving", core::TaskPhase::Saving},
-    Named{"exited", core::TaskPhase::Exited}};
+inline constexpr auto kTaskPhases =
+    std::to_array<Named<core::TaskPhase>>({{"pulling", core::TaskPhase::Pulling},
+                                           {"gathering", core::TaskPhase::Gathering},
+                                           {"running", core::TaskPhase::Running},
+                                           {"saving", core::TaskPhase::Saving},
+                                           {"exited", core::TaskPhase::Exited}});
 /// Why tasks exited; any other text counts as unknown.
-inline constexpr std::array kExitReasons{
-    Named{"done", core::ExitWhy::Done},   Named{"halted", core::ExitWhy::Halted},
-    Named{"peers", core::ExitWhy::Peers}, Named{"alone", core::ExitWhy::Alone},
-    Named{"error", core::ExitWhy::Error}, Named{"full", core::ExitWhy::Full},
-    Named{"busy", core::ExitWhy::Busy}};
+inline constexpr auto kExitReasons =
+    std::to_array<Named<core::ExitWhy>>({{"done", core::ExitWhy::Done},
+                                         {"halted", core::ExitWhy::Halted},
+                                         {"peers", core::ExitWhy::Peers},
+                                         {"alone", core::ExitWhy::Alone},
+                                         {"error", core::ExitWhy::Error},
+                                         {"full", core::ExitWhy::Full},
+                                         {"busy", core::ExitWhy::Busy}});
 /// Kinds of commands.
-inline constexpr std::array kCommandKinds{Named{"run", core::Command::Kind::Run},
-                                          Named{"halt", core::Command::Kind::Halt},
-                                          Named{"reap", core::Command::Kind::Reap}};
+inline constexpr auto kCommandKinds =
+    std::to_array<Named<core::Command::Kind>>({{"run", core::Command::Kind::Run},
+                                               {"halt", core::Command::Kind::Halt},
+                                               {"reap", core::Command::Kind::Reap}});
 /// States of listed machines; any other text counts as starting.
-inline constexpr std::array kMachineStates{Named{"failed", core::ListedMachine::State::Failed},
-                                           Named{"running", core::ListedMachine::State::Running}};
+inline constexpr auto kMachineStates = std::to_array<Named<core::ListedMachine::State>>(
+    {{"failed", core::ListedMachine::State::Failed},
+     {"running", core::ListedMachine::State::Running}});
 /// The cloud's error when it has no machine of the type, zone and kind.
 inline constexpr std::string_view kNoCapacity = "no capacity";
 
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -52,7 +52,7 @@
     json::Document document(body);
     std::uint64_t number = 0;
     document.root().required(name, number);
-    return document.if_valid(std::move(number));
+    return document.if_valid(number);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -134,6 +134,72 @@
     }
 }
 
+const std::string kSubmission =
+    R"({"nameId":"job-000412","classe":"train","ufficio":"vision","genere":"ensemble",)"
+    R"("urgenza":"high","prove":16,"cpus":8.0,"gpus":1.0,"memGb":64.0,"fascicolo":"img-07",)"
+    R"("imageGb":6.2,"modelli":["g8"],"sede":null,"oneZone":true,"apart":false,)"
+    R"("inPrestito":true,"durataS":240.0,"salvataggioOgniS":30.0,"salvataggioS":4.0,)"
+    R"("scadenzaS":900.0})";
+
+// kSubmission with one piece of it replaced.
+std::string submission_with(const std::string& piece, const std::string& replacement) {
+    auto body = kSubmission;
+    body.replace(body.find(piece), piece.size(), replacement);
+    return body;
+}
+
+TEST(Submission, DescribesTheJob) {
+    const auto job = parse_submission(kSubmission);
+    ASSERT_TRUE(job);
+    EXPECT_EQ(job->id, "job-000412");
+    EXPECT_TRUE(job->gang);
+    EXPECT_FALSE(job->service);
+    EXPECT_EQ(job->priority, core::Priority::High);
+    EXPECT_EQ(job->count, 16U);
+    EXPECT_EQ(job->types, std::vector<std::string>{"g8"});
+    EXPECT_FALSE(job->zone);
+    EXPECT_TRUE(job->one_zone);
+    EXPECT_EQ(job->deadline_s, 900.0);
+    EXPECT_TRUE(parse_submission(submission_with("ensemble", "service"))->service);
+    EXPECT_FALSE(parse_submission(submission_with("ensemble", "sweep"))->gang);
+}
+
+TEST(Submission, ErrorsNameTheFaultAndTheField) {
+    struct Case {
+        std::string piece;
+        std::string replacement;
+        ParseFault fault;
+        std::string field;
+    };
+    const std::vector<Case> cases{
+        {R"("nameId":"job-000412",)", "", ParseFault::MissingField, "nameId"},
+        {"job-000412", "job-x", ParseFault::InvalidValue, "nameId"},
+        {R"("train")", "7", ParseFault::WrongType, "classe"},
+        {"vision", "", ParseFault::InvalidValue, "ufficio"},
+        {"ensemble", "choir", ParseFault::InvalidValue, "genere"},
+        {R"("high")", "null", ParseFault::MissingField, "urgenza"},
+        {"16", "0", ParseFault::InvalidValue, "prove"},
+        {"16", "100001", ParseFault::InvalidValue, "prove"},
+        {"16", "1.5", ParseFault::WrongType, "prove"},
+        {"64.0", "-1", ParseFault::InvalidValue, "memGb"},
+        {"6.2", "1e12", ParseFault::InvalidValue, "imageGb"},
+        {R"(["g8"])", "[8]", ParseFault::WrongType, "modelli"},
+        {R"(["g8"])", R"([""])", ParseFault::InvalidValue, "modelli"},
+        {R"("sede":null)", R"("sede":1)", ParseFault::WrongType, "sede"},
+        {"true", "1", ParseFault::WrongType, "oneZone"},
+        {"900.0", "\"soon\"", ParseFault::WrongType, "scadenzaS"},
+    };
+    for (const auto& [piece, replacement, fault, field] : cases) {
+        const auto job = parse_submission(submission_with(piece, replacement));
+        ASSERT_FALSE(job) << piece;
+        EXPECT_EQ(job.error().fault, fault) << piece;
+        EXPECT_EQ(job.error().field, field);
+        EXPECT_EQ(error_text(job.error()), "field '" + field + "' is missing or invalid");
+    }
+    EXPECT_EQ(error_text(parse_submission("{").error()), "the body is not JSON");
+    EXPECT_EQ(error_text(parse_submission("[]").error()), "the body is not an object");
+}
+
 TEST(PeerMessages, DamagedVersionsAreRefused) {
     EXPECT_EQ(decode_version(encode_version(kProtocolVersion)), kProtocolVersion);
     for (const auto* bytes : {"", "\x80", "\x81\x61x", "\xff", "\x9b\xff\xff\xff\xff"}) {
