--- /dev/null
+++ b/src/control/submission_batcher.cpp
@@ -0,0 +1,115 @@
+// Stores submitted jobs, several in one transaction.
+#include "control/submission_batcher.h"
+
+#include <algorithm>
+#include <string_view>
+#include <utility>
+
+namespace lichendrift::control {
+
+namespace {
+
+constexpr std::string_view kOpenPrefix = "open/";
+constexpr std::string_view kOverPrefix = "over/";
+static_assert(kOpenPrefix.size() == kOverPrefix.size());
+
+constexpr std::size_t kMaxQueued = 300;
+constexpr std::size_t kMaxDuplicates = 8;  // of one job, beside the first
+constexpr int kMaxBatchesInFlight = 2;
+constexpr std::size_t kMaxBatchBytes = 40'000;
+constexpr std::size_t kBytesBesideValue = 200;  // of a submission in a transaction, about
+
+// The terminal state may be stored with the description, and has to fit as well.
+constexpr std::size_t kTerminalStateBytes = 32;
+
+bool names_job(const std::vector<std::string>& keys, std::string_view job_id) {
+    return std::any_of(keys.begin(), keys.end(), [&](std::string_view key) {
+        return key.size() > kOpenPrefix.size() && key.substr(kOpenPrefix.size()) == job_id;
+    });
+}
+
+}  // namespace
+
+SubmissionBatcher::SubmissionBatcher(store::StoreClient& store, JobWatcher& job_watcher)
+    : store_(store), job_watcher_(job_watcher) {}
+
+tl::expected<void, EnqueueError> SubmissionBatcher::enqueue(core::JobText job, OnResult done) {
+    if (const auto earlier = callbacks_.find(job.id); earlier != callbacks_.end()) {
+        if (earlier->second.size() > kMaxDuplicates) {
+            return tl::unexpected(EnqueueError::TooManyDuplicates);
+        }
+        earlier->second.push_back(std::move(done));
+        return {};
+    }
+    if (queue_.size() >= kMaxQueued) return tl::unexpected(EnqueueError::QueueFull);
+    auto value = wire::job_value(job);
+    if (!fits(value)) return tl::unexpected(EnqueueError::TooLarge);
+    callbacks_[job.id].push_back(std::move(done));
+    queue_.push_back({std::move(job), std::move(value)});
+    send_batches();
+    return {};
+}
+
+bool SubmissionBatcher::fits(const std::string& value) const {
+    return value.size() + kTerminalStateBytes <= store_.max_value_bytes();
+}
+
+void SubmissionBatcher::send_batches() {
+    while (batches_in_flight_ < kMaxBatchesInFlight && !queue_.empty()) {
+        auto batch = take_batch();
+        ++batches_in_flight_;
+        store_.transact(store::RequestPriority::Submit, batch.conditions, batch.changes,
+                        [this, submissions = std::move(batch.submissions)](
+                            const store::TransactionResult& result) mutable {
+                            --batches_in_flight_;
+                            on_batch_result(std::move(submissions), result);
+                            send_batches();
+                        });
+    }
+}
+
+SubmissionBatcher::Batch SubmissionBatcher::take_batch() {
+    Batch batch;
+    std::size_t bytes = 0;
+    while (!queue_.empty() && batch.submissions.size() < store_.max_transaction_operations() &&
+           bytes < kMaxBatchBytes) {
+        auto& next = queue_.front();
+        const auto open_key = std::string(kOpenPrefix) + next.job.id;
+        batch.conditions.push_back({open_key, 0});
+        batch.conditions.push_back({std::string(kOverPrefix) + next.job.id, 0});
+        batch.changes.push_back({open_key, next.value, 0});
+        bytes += next.value.size() + kBytesBesideValue;
+        batch.submissions.push_back(std::move(next));
+        queue_.pop_front();
+    }
+    return batch;
+}
+
+void SubmissionBatcher::on_batch_result(std::vector<Submission> batch,
+                                        const store::TransactionResult& result) {
+    for (auto& submission : batch) {
+        if (result.outcome == store::Outcome::Ok) {
+            job_watcher_.on_open_written(submission.job, result.revision);
+            finish(submission, SubmissionResult::Created);
+        } else if (names_job(result.failed, submission.job.id)) {
+            finish(submission, SubmissionResult::AlreadyKnown);
+        } else if (result.outcome == store::Outcome::Conflict) {
+            // Only another job of the batch was known already.
+            queue_.push_front(std::move(submission));
+        } else if (result.outcome == store::Outcome::Rejected && !fits(submission.value)) {
+            finish(submission, SubmissionResult::TooLarge);
+        } else {
+            finish(submission, SubmissionResult::Unavailable);
+        }
+    }
+}
+
+void SubmissionBatcher::finish(const Submission& submission, SubmissionResult result) {
+    const auto waiting = callbacks_.extract(submission.job.id);
+    for (const auto& done : waiting.mapped()) {
+        done(result);
+        if (result == SubmissionResult::Created) result = SubmissionResult::Duplicate;
+    }
+}
+
+}  // namespace lichendrift::control
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -1,8 +1,11 @@
+// The users' HTTP interface: submissions, polls and cancellations of jobs.
 #include "control/user_api.h"
 
-#include <cmath>
+#include <optional>
 
+#include "control/feasibility.h"
 #include "events/format.h"
+#include "net/http_status.h"
 #include "wire/stored_values.h"
 #include "wire/user_messages.h"
 
@@ -10,266 +13,257 @@
 
 namespace {
 
-constexpr std::string_view kRuns = "/v2/runs";
-constexpr std::size_t kMaxQueued = 300;
-constexpr std::size_t kBatchBytes = 40'000;
-constexpr int kMaxBatches = 2;
+namespace http_status = net::http_status;
+
+constexpr std::string_view kRunsPath = "/v2/runs";
+constexpr std::string_view kCancelSuffix = "/cancel";
 constexpr int kRetryAfterS = 1;
-constexpr std::size_t kMaxLoggedBody = 400;
-constexpr Millis kReportInterval = 3000;
+constexpr int kCancelRetries = 3;  // after conflicts with other changes of the job
+constexpr std::size_t kMaxLoggedBodyBytes = 400;
+constexpr Millis kRefusalLogInterval = 3000;
+constexpr Millis kLongAgo = -100'000;  // before any time of the runtime
+
+enum class Action : std::uint8_t { Submit, Poll, Cancel };
+
+// What a request's target asks for.
+struct Route {
+    Action action = Action::Submit;
+    std::string job_id;
+};
+
+std::optional<Route> route_of(std::string_view target) {
+    auto path = target.substr(0, target.find('?'));
+    if (path == kRunsPath) return Route{};
+    if (!path.starts_with(kRunsPath) || path[kRunsPath.size()] != '/') return std::nullopt;
+    path.remove_prefix(kRunsPath.size() + 1);
+    const bool cancels = path.ends_with(kCancelSuffix);
+    if (cancels) path.remove_suffix(kCancelSuffix.size());
+    if (path.empty() || path.find('/') != std::string_view::npos) return std::nullopt;
+    return Route{cancels ? Action::Cancel : Action::Poll, std::string(path)};
+}
+
+void respond_error(const net::Respond& respond, int status, std::string_view reason) {
+    respond({status, wire::error_body(reason)});
+}
+
+void respond_no_such_job(const net::Respond& respond) {
+    respond_error(respond, http_status::kNotFound, "no such job");
+}
 
-const char* state_name(TerminalState state) {
-    return state == TerminalState::Aborted ? "aborted" : "done";
+void respond_too_large(const net::Respond& respond) {
+    respond_error(respond, http_status::kBadRequest, "the job's description is too long");
+}
+
+void respond_terminal(const net::Respond& respond, const std::string& job_id, TerminalState state) {
+    const auto* name = state == TerminalState::Aborted ? "aborted" : "done";
+    respond({http_status::kOk, wire::job_answer(job_id, name)});
 }
 
 }  // namespace
 
 UserApi::UserApi(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
                  JobWatcher& job_watcher)
-    : runtime_(runtime), settings_(settings), store_(store), job_watcher_(job_watcher) {}
+    : runtime_(runtime),
+      settings_(settings),
+      store_(store),
+      job_watcher_(job_watcher),
+      batcher_(store, job_watcher),
+      refusals_logged_at_(kLongAgo) {}
 
 void UserApi::set_counts(const std::vector<wire::JobCounts>& counts, bool all) {
     if (all) counts_.clear();
     for (const auto& job : counts) counts_[job.id] = {job.done, job.running};
 }
 
-void UserApi::refuse(const net::Respond& respond, const char* reason) {
-    ++refused_;
-    // Counted, and told once in a while: a flood of refusals must not become a flood of lines.
-    if (runtime_.now() - refusals_reported_at_ > kReportInterval) {
-        refusals_reported_at_ = runtime_.now();
-        events::log(events::RequestsRefused{refused_, reason});
-    }
-    respond({503, wire::error_body(reason), kRetryAfterS});
-}
-
 void UserApi::handle(const net::HttpRequest& request, net::Respond respond) {
-    const std::string_view target =
-        std::string_view(request.target).substr(0, request.target.find('?'));
-    if (target == kRuns) {
-        if (request.method != "POST") return respond({405, wire::error_body("use POST")});
-        return submit(request.body, std::move(respond));
-    }
-    if (!target.starts_with(kRuns) || target[kRuns.size()] != '/') {
-        return respond({404, wire::error_body("no such path")});
-    }
-    auto rest = target.substr(kRuns.size() + 1);
-    constexpr std::string_view kCancel = "/cancel";
-    const bool cancelling = rest.ends_with(kCancel);
-    if (cancelling) rest.remove_suffix(kCancel.size());
-    if (rest.empty() || rest.find('/') != std::string_view::npos) {
-        return respond({404, wire::error_body("no such path")});
-    }
-    const std::string id(rest);
-    if (request.method != (cancelling ? "POST" : "GET")) {
-        return respond({405, wire::error_body(cancelling ? "use POST" : "use GET")});
+    const auto route = route_of(request.target);
+    if (!route) return respond_error(respond, http_status::kNotFound, "no such path");
+    const std::string method = route->action == Action::Poll ? "GET" : "POST";
+    if (request.method != method) {
+        return respond_error(respond, http_status::kMethodNotAllowed, "use " + method);
     }
+    if (route->action == Action::Submit) return submit(request.body, std::move(respond));
     // An id that is not of the form was never accepted.
-    if (!wire::valid_job_id(id)) return respond({404, wire::error_body("no such job")});
-    if (cancelling) return cancel(id, std::move(respond), 3);
-    poll(id, std::move(respond), false);
-}
-
-std::string UserApi::check(const core::JobText& job) const {
-    const core::Team* team = nullptr;
-    for (const auto& t : settings_.teams) {
-        if (t.name == job.team) team = &t;
-    }
-    if (team == nullptr) return "unknown team";
-    const auto up = [](double v) { return static_cast<std::int64_t>(std::ceil(v * 1000 - 1e-6)); };
-    const core::Resources need{up(job.cpus), up(job.gpus), up(job.mem_gb)};
-    bool fits = false;
-    for (const auto& type : types_) {
-        if (job.types &&
-            std::find(job.types->begin(), job.types->end(), type.name) == job.types->end()) {
-            continue;
-        }
-        if (job.zone &&
-            std::find(type.zones.begin(), type.zones.end(), *job.zone) == type.zones.end()) {
-            continue;
-        }
-        fits |= type.room.covers(need);
-    }
-    if (!fits) return "a task fits no allowed machine type";
-    const auto all = need.times(job.gang || job.service ? job.count : 1);
-    if ((team->limit.cpus > 0 && all.cpus > team->limit.cpus) ||
-        (team->limit.gpus > 0 && all.gpus > team->limit.gpus)) {
-        return "more than the team's limit";
+    if (!wire::valid_job_id(route->job_id)) return respond_no_such_job(respond);
+    if (route->action == Action::Cancel) {
+        return cancel(route->job_id, std::move(respond), kCancelRetries);
     }
-    return "";
+    poll(route->job_id, std::move(respond), respond_no_such_job);
 }
 
+// ---- submissions ----
+
 void UserApi::submit(const std::string& body, net::Respond respond) {
     auto parsed = wire::parse_submission(body);
     if (!parsed) {
         const auto reason = wire::error_text(parsed.error());
-        events::log(events::SubmissionMalformed{reason, body.substr(0, kMaxLoggedBody)});
-        return respond({400, wire::error_body(reason)});
+        events::log(events::SubmissionMalformed{reason, body.substr(0, kMaxLoggedBodyBytes)});
+        return respond_error(respond, http_status::kBadRequest, reason);
     }
     auto& job = *parsed;
-    if (auto terminal_state = job_watcher_.terminal_state(job.id)) {
-        return respond({200, wire::job_answer(job.id, state_name(*terminal_state))});
+    if (const auto state = job_watcher_.terminal_state(job.id)) {
+        return respond_terminal(respond, job.id, *state);
     }
-    if (job_watcher_.find_open(job.id) != nullptr) return poll(job.id, std::move(respond), true);
-    if (!store_.responsive()) return refuse(respond, "the state service does not answer");
-    if (types_.empty()) return refuse(respond, "machine types are not known yet");
-    if (auto reason = check(job); !reason.empty()) {
-        // A job that was accepted once is never refused: prices, types and teams may change.
-        const auto id = job.id;
-        job_watcher_.refresh([this, id, reason, respond = std::move(respond)](bool ok) mutable {
-            if (!ok) return refuse(respond, "the state service does not answer");
-            if (job_watcher_.find_open(id) != nullptr) return answer_open(id, respond);
-            job_watcher_.read_terminal_state(id, [this, id, reason, respond](const auto& state) {
-                if (state) return respond({200, wire::job_answer(id, state_name(*state))});
-                if (state.error() != LookupError::NotFound) {
-                    return refuse(respond, "the state service does not answer");
-                }
-                respond({422, wire::error_body(reason)});
-            });
+    if (job_watcher_.find_open(job.id) != nullptr) {
+        return poll(job.id, std::move(respond), [this](const net::Respond& unanswered) {
+            refuse(unanswered, RefusalReason::StateServiceUnavailable);
         });
-        return;
     }
-    if (auto it = doubles_.find(job.id); it != doubles_.end()) {
-        if (it->second.size() >= 8) return refuse(respond, "too many repeats under way");
-        it->second.push_back(std::move(respond));
-        return;
+    if (!store_.responsive()) return refuse(respond, RefusalReason::StateServiceUnavailable);
+    if (types_.empty()) return refuse(respond, RefusalReason::MachineTypesUnknown);
+    if (const auto feasible = check_feasibility(job, settings_.teams, types_); !feasible) {
+        // A job that was accepted once is never refused: prices, types and teams may change.
+        return answer_fresh(job.id, std::move(respond),
+                            [reason = feasible.error()](const net::Respond& unanswered) {
+                                respond_error(unanswered, http_status::kUnprocessable,
+                                              control::text(reason));
+                            });
     }
-    if (queue_.size() >= kMaxQueued) return refuse(respond, "too many submissions at once");
+    store_job(std::move(job), std::move(respond));
+}
+
+void UserApi::store_job(core::JobText job, net::Respond respond) {
     job.submitted_ms = runtime_.wall_ms();
-    Submission submission;
-    submission.value = wire::job_value(job);
-    if (!fits(submission)) {
-        return respond({400, wire::error_body("the job's description is too long")});
+    const auto job_id = job.id;
+    const auto queued =
+        batcher_.enqueue(std::move(job), [this, job_id, respond](SubmissionResult result) {
+            on_submission_result(job_id, respond, result);
+        });
+    if (!queued) on_enqueue_error(respond, queued.error());
+}
+
+void UserApi::on_submission_result(const std::string& job_id, const net::Respond& respond,
+                                   SubmissionResult result) {
+    const auto unavailable = [this](const net::Respond& unanswered) {
+        refuse(unanswered, RefusalReason::StateServiceUnavailable);
+    };
+    switch (result) {
+        case SubmissionResult::Created:
+            return respond({http_status::kCreated, wire::job_answer(job_id, "pending")});
+        case SubmissionResult::Duplicate:
+            return respond({http_status::kOk, wire::job_answer(job_id, "pending")});
+        case SubmissionResult::AlreadyKnown:
+            return poll(job_id, respond, unavailable);
+        case SubmissionResult::TooLarge:
+            return respond_too_large(respond);
+        case SubmissionResult::Unavailable:
+            return unavailable(respond);
     }
-    doubles_.try_emplace(job.id);
-    submission.job = std::move(job);
-    submission.responds.push_back(std::move(respond));
-    queue_.push_back(std::move(submission));
-    flush();
 }
 
-void UserApi::flush() {
-    while (batches_ < kMaxBatches && !queue_.empty()) {
-        std::vector<Submission> batch;
-        std::vector<wire::Condition> when;
-        std::vector<wire::Change> then;
-        std::size_t bytes = 0;
-        while (!queue_.empty() && batch.size() < store_.max_transaction_operations() &&
-               bytes < kBatchBytes) {
-            auto& next = queue_.front();
-            when.push_back({"open/" + next.job.id, 0});
-            when.push_back({"over/" + next.job.id, 0});
-            then.push_back({"open/" + next.job.id, next.value, 0});
-            bytes += next.value.size() + 200;
-            batch.push_back(std::move(next));
-            queue_.pop_front();
-        }
-        ++batches_;
-        store_.transact(
-            store::RequestPriority::Submit, when, then,
-            [this, batch = std::move(batch)](const store::TransactionResult& result) mutable {
-                --batches_;
-                written(std::move(batch), result);
-                flush();
-            });
+void UserApi::on_enqueue_error(const net::Respond& respond, EnqueueError error) {
+    switch (error) {
+        case EnqueueError::TooManyDuplicates:
+            return refuse(respond, RefusalReason::TooManyDuplicates);
+        case EnqueueError::QueueFull:
+            return refuse(respond, RefusalReason::TooManySubmissions);
+        case EnqueueError::TooLarge:
+            return respond_too_large(respond);
     }
 }
 
-void UserApi::written(std::vector<Submission> batch, const store::TransactionResult& result) {
-    for (auto& submission : batch) {
-        const auto id = submission.job.id;
-        const bool clash =
-            std::any_of(result.failed.begin(), result.failed.end(), [&](const auto& key) {
-                return key.size() > 5 && key.compare(5, std::string::npos, id) == 0;
-            });
-        if (result.outcome == store::Outcome::Conflict && !clash) {
-            // Only another job of the batch was known already.
-            queue_.push_front(std::move(submission));
-            continue;
-        }
-        auto responds = std::move(submission.responds);
-        if (auto node = doubles_.extract(id); !node.empty()) {
-            for (auto& respond : node.mapped()) responds.push_back(std::move(respond));
-        }
-        if (result.outcome == store::Outcome::Ok) {
-            job_watcher_.on_open_written(submission.job, result.revision);
-            for (std::size_t i = 0; i < responds.size(); ++i) {
-                responds[i]({i == 0 ? 201 : 200, wire::job_answer(id, "pending")});
-            }
-        } else if (clash) {
-            for (auto& respond : responds) poll(id, std::move(respond), true);
-        } else if (result.outcome == store::Outcome::Rejected && !fits(submission)) {
-            for (auto& respond : responds) {
-                respond({400, wire::error_body("the job's description is too long")});
-            }
-        } else {
-            for (auto& respond : responds) refuse(respond, "the state service does not answer");
-        }
+// ---- polls ----
+
+void UserApi::poll(const std::string& job_id, net::Respond respond, OnUnknownJob on_unknown) {
+    if (const auto state = job_watcher_.terminal_state(job_id)) {
+        return respond_terminal(respond, job_id, *state);
+    }
+    if (!settings_.guards.fresh_reads && job_watcher_.find_open(job_id) != nullptr) {
+        return answer_open(job_id, respond);
     }
+    answer_fresh(job_id, std::move(respond), std::move(on_unknown));
 }
 
-// Its terminal state may be stored with its description, and has to fit as well.
-bool UserApi::fits(const Submission& submission) const {
-    constexpr std::size_t kTerminalState = 32;
-    return submission.value.size() + kTerminalState <= store_.max_value_bytes();
+void UserApi::answer_fresh(const std::string& job_id, net::Respond respond,
+                           OnUnknownJob on_unknown) {
+    job_watcher_.refresh([this, job_id, respond = std::move(respond),
+                          on_unknown = std::move(on_unknown)](bool fresh) {
+        if (!fresh) return refuse(respond, RefusalReason::StateServiceUnavailable);
+        answer_from_fresh_copy(job_id, respond, on_unknown);
+    });
 }
 
-void UserApi::answer_open(const std::string& id, const net::Respond& respond) const {
-    std::uint32_t done = 0;
-    std::uint32_t running = 0;
-    if (auto it = counts_.find(id); it != counts_.end()) std::tie(done, running) = it->second;
-    respond({200, wire::job_answer(id, running > 0 ? "running" : "pending", done, running)});
+void UserApi::answer_from_fresh_copy(const std::string& job_id, net::Respond respond,
+                                     OnUnknownJob on_unknown) {
+    if (job_watcher_.find_open(job_id) != nullptr) return answer_open(job_id, respond);
+    job_watcher_.read_terminal_state(job_id,
+                                     [this, job_id, respond = std::move(respond),
+                                      on_unknown = std::move(on_unknown)](const auto& state) {
+                                         if (state)
+                                             return respond_terminal(respond, job_id, *state);
+                                         if (state.error() == LookupError::NotFound)
+                                             return on_unknown(respond);
+                                         refuse(respond, RefusalReason::StateServiceUnavailable);
+                                     });
 }
 
-void UserApi::poll(const std::string& id, net::Respond respond, bool submission) {
-    if (auto aborted = job_watcher_.terminal_state(id)) {
-        return respond({200, wire::job_answer(id, state_name(*aborted))});
-    }
-    if (!settings_.guards.fresh_reads && job_watcher_.find_open(id) != nullptr) {
-        return answer_open(id, respond);
+void UserApi::answer_open(const std::string& job_id, const net::Respond& respond) const {
+    const auto counted = counts_.find(job_id);
+    const auto counts = counted == counts_.end() ? TaskCounts{} : counted->second;
+    const auto* state = counts.running > 0 ? "running" : "pending";
+    respond({http_status::kOk, wire::job_answer(job_id, state, counts.done, counts.running)});
+}
+
+// ---- cancellations ----
+
+void UserApi::cancel(const std::string& job_id, net::Respond respond, int retries) {
+    if (const auto state = job_watcher_.terminal_state(job_id)) {
+        return respond_terminal(respond, job_id, *state);
     }
-    job_watcher_.refresh([this, id, submission, respond = std::move(respond)](bool ok) {
-        if (!ok) return refuse(respond, "the state service does not answer");
-        if (job_watcher_.find_open(id) != nullptr) return answer_open(id, respond);
-        job_watcher_.read_terminal_state(id, [this, id, submission, respond](const auto& state) {
-            if (state) return respond({200, wire::job_answer(id, state_name(*state))});
-            if (state.error() != LookupError::NotFound || submission) {
-                return refuse(respond, "the state service does not answer");
-            }
-            respond({404, wire::error_body("no such job")});
-        });
+    job_watcher_.refresh([this, job_id, retries, respond = std::move(respond)](bool fresh) {
+        if (!fresh) return refuse(respond, RefusalReason::StateServiceUnavailable);
+        write_cancellation(job_id, respond, retries);
     });
 }
 
-void UserApi::cancel(const std::string& id, net::Respond respond, int tries) {
-    if (auto aborted = job_watcher_.terminal_state(id)) {
-        return respond({200, wire::job_answer(id, state_name(*aborted))});
+void UserApi::write_cancellation(const std::string& job_id, net::Respond respond, int retries) {
+    const auto* open = job_watcher_.find_open(job_id);
+    if (open == nullptr) return poll(job_id, std::move(respond), respond_no_such_job);
+    // The description stays with the terminal state: the job's tasks count until they have ended.
+    const auto over =
+        wire::terminal_state_value_within(true, open->text, store_.max_value_bytes_from_now_on());
+    const auto open_key = "open/" + job_id;
+    const auto over_key = "over/" + job_id;
+    store_.transact(store::RequestPriority::Submit, {{open_key, open->revision}, {over_key, 0}},
+                    {{open_key, "", 0}, {over_key, over, 0}},
+                    [this, job_id, retries,
+                     respond = std::move(respond)](const store::TransactionResult& result) mutable {
+                        if (result.outcome == store::Outcome::Ok) {
+                            job_watcher_.on_terminal_state_written(job_id, TerminalState::Aborted,
+                                                                   result.revision);
+                            return respond_terminal(respond, job_id, TerminalState::Aborted);
+                        }
+                        if (result.outcome == store::Outcome::Conflict && retries > 0) {
+                            return cancel(job_id, std::move(respond), retries - 1);
+                        }
+                        refuse(respond, RefusalReason::StateServiceUnavailable);
+                    });
+}
+
+// ---- refusals ----
+
+void UserApi::refuse(const net::Respond& respond, RefusalReason reason) {
+    ++refusals_;
+    // Counted, and logged at a bounded rate: a flood of refusals must not become a flood of lines.
+    if (runtime_.now() - refusals_logged_at_ > kRefusalLogInterval) {
+        refusals_logged_at_ = runtime_.now();
+        events::log(events::RequestsRefused{refusals_, text(reason)});
     }
-    job_watcher_.refresh([this, id, tries, respond = std::move(respond)](bool ok) mutable {
-        if (!ok) return refuse(respond, "the state service does not answer");
-        const auto* open = job_watcher_.find_open(id);
-        if (open == nullptr) return poll(id, std::move(respond), false);
-        // The job's description stays with the final word: its tasks count until they are gone.
-        store_.transact(
-            store::RequestPriority::Submit, {{"open/" + id, open->revision}, {"over/" + id, 0}},
-            {{"open/" + id, "", 0},
-             {"over/" + id,
-              wire::terminal_state_value_within(true, open->text,
-                                                store_.max_value_bytes_from_now_on()),
-              0}},
-            [this, id, tries,
-             respond = std::move(respond)](const store::TransactionResult& result) mutable {
-                if (result.outcome == store::Outcome::Ok) {
-                    job_watcher_.on_terminal_state_written(id, TerminalState::Aborted,
-                                                           result.revision);
-                    return respond({200, wire::job_answer(id, "aborted")});
-                }
-                if (result.outcome == store::Outcome::Conflict && tries > 0) {
-                    return cancel(id, std::move(respond), tries - 1);
-                }
-                refuse(respond, "the state service does not answer");
-            });
-    });
+    respond({http_status::kUnavailable, wire::error_body(text(reason)), kRetryAfterS});
+}
+
+std::string_view UserApi::text(RefusalReason reason) {
+    switch (reason) {
+        case RefusalReason::StateServiceUnavailable:
+            return "the state service does not answer";
+        case RefusalReason::MachineTypesUnknown:
+            return "machine types are not known yet";
+        case RefusalReason::TooManyDuplicates:
+            return "too many repeats under way";
+        case RefusalReason::TooManySubmissions:
+            return "too many submissions at once";
+    }
+    return "";
 }
 
 }  // namespace lichendrift::control
