--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -1,26 +1,26 @@
+// The operators' policy: what a policy file decides, the built-in policy for the rest.
 #pragma once
 
-#include <array>
-#include <map>
-#include <memory>
-#include <set>
+#include <string_view>
+#include <vector>
 
+#include "control/policy_settings.h"
 #include "core/policy.h"
 #include "policy/language.h"
 
 namespace lichendrift::control {
 
-// The operators' settings: what each is called, its type, its range and what it may look at.
+/// The core's policy, evaluated from the operators' settings. A value that is not finite or out
+/// of its setting's range is replaced by the built-in policy's and reported once for the setting.
 class OperatorPolicy : public core::Policy {
   public:
-    // The built-in policy, in the language itself.
-    static std::string_view defaults();
-    static const std::vector<policy::Setting>& settings();
+    /// The built-in policy as source text.
+    static std::string_view defaults() { return built_in_policy(); }
+    /// All problems of a policy file; empty if it is valid.
+    static std::vector<policy::Problem> check(std::string_view file);
 
-    // What a file says, the built-in policy for the rest. The file was checked before.
+    /// Uses the settings of a file that check() found valid; the built-in ones for the rest.
     explicit OperatorPolicy(std::string_view file = "");
-    // All that is wrong with a file; empty if nothing is.
-    static std::vector<policy::Problem> check(std::string_view file);
 
     core::Weights weights(const core::JobFacts& job) override;
     double starvation_threshold_s(const core::JobFacts& job) override;
@@ -35,18 +35,18 @@
     std::vector<events::PolicyValueRejected> take_rejected_values() override;
 
   private:
-    struct Entry {
-        policy::Program program;   // the operator's, or none
-        policy::Program standard;  // the built-in one
-        bool own = false;
-        bool reported = false;
+    struct CompiledSetting {
+        policy::Program built_in;
+        policy::Program own;  // of the operators' file
+        bool has_own = false;
+        bool rejection_reported = false;
     };
-    double evaluate(std::size_t setting, const std::vector<policy::Value>& variables);
-    const std::vector<policy::Value>& of(const core::JobFacts& job);
-    const std::vector<policy::Value>& of(const core::FleetFacts& fleet);
+    template <typename Facts>
+    double evaluate_for(PolicySetting setting, const Facts& facts);
+    double evaluate(PolicySetting setting);  // with variables_
 
-    std::vector<Entry> entries_;
-    std::vector<policy::Value> values_;
+    std::vector<CompiledSetting> settings_;  // in the order of PolicySetting
+    std::vector<policy::Value> variables_;   // of the evaluation under way; kept for its memory
     std::vector<events::PolicyValueRejected> rejected_values_;
 };
 
