--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -4,15 +4,11 @@
 #include <algorithm>
 #include <cmath>
 #include <utility>
-#include <variant>
 
 namespace lichendrift::control {
 
 namespace {
 
-using Assignments = std::vector<policy::Assignment>;
-using Problems = std::vector<policy::Problem>;
-
 bool within(const PolicyRange& range, double value) {
     return std::isfinite(value) && value >= range.minimum && value <= range.maximum;
 }
@@ -21,21 +17,19 @@
 
 std::vector<policy::Problem> OperatorPolicy::check(std::string_view file) {
     auto compiled = policy::compile(file, policy_settings());
-    auto* problems = std::get_if<Problems>(&compiled);
-    return problems == nullptr ? Problems{} : std::move(*problems);
+    return compiled ? std::vector<policy::Problem>{} : std::move(compiled.error());
 }
 
 OperatorPolicy::OperatorPolicy(std::string_view file) : settings_(policy_settings().size()) {
     auto built_in = policy::compile(built_in_policy(), policy_settings());
-    for (auto& assignment : std::get<Assignments>(built_in)) {
+    for (auto& assignment : built_in.value()) {
         settings_[assignment.setting].built_in = std::move(assignment.program);
     }
     auto own = policy::compile(file, policy_settings());
-    if (auto* assignments = std::get_if<Assignments>(&own)) {
-        for (auto& assignment : *assignments) {
-            settings_[assignment.setting].own = std::move(assignment.program);
-            settings_[assignment.setting].has_own = true;
-        }
+    if (!own) return;
+    for (auto& assignment : *own) {
+        settings_[assignment.setting].own = std::move(assignment.program);
+        settings_[assignment.setting].has_own = true;
     }
 }
 
--- a/src/policy/lexer.cpp
+++ b/src/policy/lexer.cpp
@@ -1,3 +1,4 @@
+// Splits a source text of the expression language into tokens.
 #include "policy/lexer.h"
 
 #include <algorithm>
@@ -9,14 +10,33 @@
 
 namespace {
 
-bool is_letter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
-bool is_digit(char c) { return c >= '0' && c <= '9'; }
+constexpr std::string_view kSigns = "+-*/^<>=(),!";
+constexpr std::array<std::string_view, 4> kLongSigns = {"<=", ">=", "==", "!="};
+constexpr std::size_t kMaxQuotedBytes = 60;
 
+bool is_letter(char byte) {
+    return (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z') || byte == '_';
+}
+bool is_digit(char byte) { return byte >= '0' && byte <= '9'; }
+bool is_in_name(char byte) { return is_letter(byte) || is_digit(byte) || byte == '.'; }
+bool is_blank(char byte) { return byte == ' ' || byte == '\t'; }
+
+// A byte after the first one of a character in UTF-8.
+bool continues_character(char byte) {
+    constexpr unsigned kMask = 0xC0;
+    constexpr unsigned kContinuation = 0x80;
+    return (static_cast<unsigned char>(byte) & kMask) == kContinuation;
+}
+
+// The seconds of a unit of time; 0: there is no such unit.
 double unit_seconds(std::string_view unit) {
-    if (unit == "ms") return 0.001;
+    constexpr double kMillisecond = 0.001;
+    constexpr double kMinute = 60;
+    constexpr double kHour = 3600;
+    if (unit == "ms") return kMillisecond;
     if (unit == "s") return 1;
-    if (unit == "min") return 60;
-    if (unit == "h") return 3600;
+    if (unit == "min") return kMinute;
+    if (unit == "h") return kHour;
     return 0;
 }
 
@@ -25,102 +45,117 @@
     explicit Lexer(std::string_view source) : source_(source) {}
 
     std::vector<Token> run() {
-        std::vector<Token> out;
-        for (;;) {
-            out.push_back(next());
-            if (out.back().kind == Kind::End) return out;
-        }
+        std::vector<Token> tokens;
+        do {
+            tokens.push_back(next());
+        } while (tokens.back().kind != TokenKind::EndOfFile);
+        return tokens;
     }
 
   private:
     Token next() {
-        while (at_ < source_.size()) {
-            const char c = source_[at_];
-            if (c == '\n' && parens_ > 0 && assigns(at_ + 1)) parens_ = 0;
-            if (c == '#') {
-                while (at_ < source_.size() && source_[at_] != '\n') ++at_;
-            } else if (c == ' ' || c == '\t' || c == '\r' || (c == '\n' && parens_ > 0)) {
-                step();
-            } else {
-                break;
-            }
-        }
+        skip_blanks();
         Token token;
         token.line = line_;
         token.column = static_cast<int>(at_ - line_start_) + 1;
-        if (at_ >= source_.size()) return token;
-        const auto from = at_;
-        const char c = source_[at_];
-        if (c == '\n') {
-            step();
-            token.kind = Kind::Line;
+        if (at_end()) return token;
+        const auto start = at_;
+        const char first = source_[at_];
+        if (first == '\n') {
+            advance();
+            token.kind = TokenKind::EndOfLine;
             token.text = "end of line";
             return token;
         }
-        if (is_letter(c)) {
-            while (at_ < source_.size() &&
-                   (is_letter(source_[at_]) || is_digit(source_[at_]) || source_[at_] == '.')) {
-                ++at_;
-            }
-            token.kind = Kind::Name;
-        } else if (is_digit(c)) {
-            number(token);
-        } else if (c == '"') {
-            ++at_;
-            while (at_ < source_.size() && source_[at_] != '"' && source_[at_] != '\n') ++at_;
-            const bool closed = at_ < source_.size() && source_[at_] == '"';
-            if (closed) ++at_;
-            token.kind = closed ? Kind::Text : Kind::Bad;
+        if (is_letter(first)) {
+            skip_while(is_in_name);
+            token.kind = TokenKind::Name;
+        } else if (is_digit(first)) {
+            read_number(token);
+        } else if (first == '"') {
+            token.kind = read_text();
         } else {
-            static constexpr std::array<std::string_view, 4> kDouble = {"<=", ">=", "==", "!="};
-            const auto two = source_.substr(at_, 2);
-            at_ += std::find(kDouble.begin(), kDouble.end(), two) != kDouble.end() ? 2 : 1;
-            token.kind = std::string_view("+-*/^<>=(),!").find(c) != std::string_view::npos
-                             ? Kind::Sign
-                             : Kind::Bad;
-            // A byte of a longer character is shown with the rest of it.
-            while (token.kind == Kind::Bad && at_ < source_.size() &&
-                   (static_cast<unsigned char>(source_[at_]) & 0xC0) == 0x80) {
-                ++at_;
-            }
-            if (c == '(') ++parens_;
-            if (c == ')' && parens_ > 0) --parens_;
+            token.kind = read_sign();
         }
-        token.text = source_.substr(from, at_ - from);
+        token.text = source_.substr(start, at_ - start);
         return token;
     }
 
-    void number(Token& token) {
+    void skip_blanks() {
+        while (!at_end()) {
+            const char byte = source_[at_];
+            // An assignment is a new statement, even if the one before never closed its
+            // parentheses; so that is all that goes wrong.
+            if (byte == '\n' && parentheses_ > 0 && assignment_at(at_ + 1)) parentheses_ = 0;
+            if (byte == '#') {
+                skip_while([](char comment) { return comment != '\n'; });
+            } else if (is_blank(byte) || byte == '\r' || (byte == '\n' && parentheses_ > 0)) {
+                advance();
+            } else {
+                return;
+            }
+        }
+    }
+
+    void read_number(Token& token) {
         const char* end = source_.data() + source_.size();
         const auto result = std::from_chars(source_.data() + at_, end, token.number);
         at_ = static_cast<std::size_t>(result.ptr - source_.data());
-        const auto unit_from = at_;
-        while (at_ < source_.size() && is_letter(source_[at_])) ++at_;
-        const auto unit = source_.substr(unit_from, at_ - unit_from);
-        token.kind = Kind::Number;
-        if (result.ec != std::errc() || !std::isfinite(token.number)) token.kind = Kind::Bad;
-        if (!unit.empty()) {
-            token.kind = unit_seconds(unit) > 0 ? Kind::Duration : Kind::Bad;
+        const auto unit_start = at_;
+        skip_while(is_letter);
+        const auto unit = source_.substr(unit_start, at_ - unit_start);
+        const bool valid = result.ec == std::errc() && std::isfinite(token.number);
+        if (unit.empty()) {
+            token.kind = valid ? TokenKind::Number : TokenKind::Invalid;
+        } else {
+            token.kind = unit_seconds(unit) > 0 ? TokenKind::Duration : TokenKind::Invalid;
             token.number *= unit_seconds(unit);
         }
     }
 
-    // A line that starts with `name =` is a new statement, even if the one before never closed its
-    // parentheses; so that is all that goes wrong.
-    bool assigns(std::size_t at) const {
-        const auto skip = [&](auto while_true) {
-            const auto from = at;
-            while (at < source_.size() && while_true(source_[at])) ++at;
-            return at > from;
+    TokenKind read_text() {
+        ++at_;
+        skip_while([](char byte) { return byte != '"' && byte != '\n'; });
+        if (at_end() || source_[at_] != '"') return TokenKind::Invalid;
+        ++at_;
+        return TokenKind::Text;
+    }
+
+    TokenKind read_sign() {
+        const char first = source_[at_];
+        const auto two = source_.substr(at_, 2);
+        at_ += std::find(kLongSigns.begin(), kLongSigns.end(), two) != kLongSigns.end() ? 2 : 1;
+        if (kSigns.find(first) == std::string_view::npos) {
+            skip_while(continues_character);
+            return TokenKind::Invalid;
+        }
+        if (first == '(') ++parentheses_;
+        if (first == ')' && parentheses_ > 0) --parentheses_;
+        return TokenKind::Sign;
+    }
+
+    // Whether `name =` stands there.
+    [[nodiscard]] bool assignment_at(std::size_t at) const {
+        const auto end_of = [&](std::size_t from, bool (*belongs)(char)) {
+            while (from < source_.size() && belongs(source_[from])) ++from;
+            return from;
         };
-        const auto blank = [](char c) { return c == ' ' || c == '\t'; };
-        skip(blank);
-        if (!skip([](char c) { return is_letter(c) || is_digit(c) || c == '.'; })) return false;
-        skip(blank);
-        return source_.substr(at, 1) == "=" && source_.substr(at, 2) != "==";
+        const auto name = end_of(at, is_blank);
+        const auto name_end = end_of(name, is_in_name);
+        if (name_end == name) return false;
+        const auto sign = end_of(name_end, is_blank);
+        return source_.substr(sign, 1) == "=" && source_.substr(sign, 2) != "==";
+    }
+
+    [[nodiscard]] bool at_end() const { return at_ >= source_.size(); }
+
+    // Over bytes other than line ends.
+    template <typename Predicate>
+    void skip_while(Predicate belongs) {
+        while (!at_end() && belongs(source_[at_])) ++at_;
     }
 
-    void step() {
+    void advance() {
         if (source_[at_] == '\n') {
             ++line_;
             line_start_ = at_ + 1;
@@ -132,7 +167,7 @@
     std::size_t at_ = 0;
     std::size_t line_start_ = 0;
     int line_ = 1;
-    int parens_ = 0;
+    int parentheses_ = 0;  // open ones
 };
 
 }  // namespace
@@ -140,9 +175,9 @@
 std::vector<Token> tokens_of(std::string_view source) { return Lexer(source).run(); }
 
 std::string quoted(const Token& token) {
-    if (token.kind == Kind::End) return "the end of the file";
-    if (token.kind == Kind::Line) return "the end of the line";
-    return "'" + std::string(token.text.substr(0, 60)) + "'";
+    if (token.kind == TokenKind::EndOfFile) return "the end of the file";
+    if (token.kind == TokenKind::EndOfLine) return "the end of the line";
+    return "'" + std::string(token.text.substr(0, kMaxQuotedBytes)) + "'";
 }
 
 }  // namespace lichendrift::policy
--- /dev/null
+++ b/src/policy/value.cpp
@@ -0,0 +1,20 @@
+// Types and values of the expression language.
+#include "policy/value.h"
+
+namespace lichendrift::policy {
+
+std::string_view type_name(Type type) {
+    switch (type) {
+        case Type::Number:
+            return "number";
+        case Type::Boolean:
+            return "boolean";
+        case Type::Text:
+            return "string";
+        case Type::Duration:
+            return "duration";
+    }
+    return "";
+}
+
+}  // namespace lichendrift::policy
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -18,21 +18,21 @@
     {"d", Type::Duration, {{"d", Type::Duration, ""}}}};
 
 double value(const std::string& source) {
-    auto compiled = policy::compile(source, kSettings);
-    if (auto* problems = std::get_if<std::vector<policy::Problem>>(&compiled)) {
-        ADD_FAILURE() << source << ": " << problems->front().text();
+    const auto compiled = policy::compile(source, kSettings);
+    if (!compiled) {
+        ADD_FAILURE() << source << ": " << compiled.error().front().text();
         return -1e300;
     }
-    const auto& a = std::get<std::vector<policy::Assignment>>(compiled).front();
+    const auto& assignment = compiled->front();
     std::vector<policy::Value> values;
-    for (const auto& v : kSettings[a.setting].variables) {
-        if (v.type == Type::Text) {
-            values.push_back({v.type, 0, "vision"});
+    for (const auto& variable : kSettings[assignment.setting].variables) {
+        if (variable.type == Type::Text) {
+            values.push_back({variable.type, 0, "vision"});
         } else {
-            values.push_back({v.type, v.type == Type::Duration ? 90.0 : 7.0, {}});
+            values.push_back({variable.type, variable.type == Type::Duration ? 90.0 : 7.0, {}});
         }
     }
-    return a.program.evaluate(values).number;
+    return assignment.program.evaluate(values).number;
 }
 
 TEST(PolicyLanguage, Evaluates) {
@@ -103,28 +103,27 @@
         {"n = 1e999", 1, 5, "'1e999'", "a value"},
     };
     for (const auto& wrong : cases) {
-        auto compiled = policy::compile(wrong.source, kSettings);
-        auto* problems = std::get_if<std::vector<policy::Problem>>(&compiled);
-        ASSERT_NE(problems, nullptr) << wrong.source;
-        ASSERT_EQ(problems->size(), 1U) << wrong.source;
-        const auto& p = problems->front();
-        EXPECT_EQ(p.line, wrong.line) << wrong.source;
-        EXPECT_EQ(p.column, wrong.column) << wrong.source << ": " << p.text();
-        EXPECT_NE(p.found.find(wrong.found), std::string::npos) << wrong.source << ": " << p.text();
-        EXPECT_NE(p.expected.find(wrong.expected), std::string::npos)
-            << wrong.source << ": " << p.text();
+        const auto compiled = policy::compile(wrong.source, kSettings);
+        ASSERT_FALSE(compiled) << wrong.source;
+        ASSERT_EQ(compiled.error().size(), 1U) << wrong.source;
+        const auto& problem = compiled.error().front();
+        const auto message = wrong.source + ": " + problem.text();
+        EXPECT_EQ(problem.line, wrong.line) << message;
+        EXPECT_EQ(problem.column, wrong.column) << message;
+        EXPECT_NE(problem.found.find(wrong.found), std::string::npos) << message;
+        EXPECT_NE(problem.expected.find(wrong.expected), std::string::npos) << message;
     }
 }
 
 TEST(PolicyLanguage, ReportsEveryStatementThatIsWrong) {
-    auto compiled = policy::compile("n = d\nb = 1\nd = 3s\nwhat = 1\n", kSettings);
-    ASSERT_EQ(std::get<std::vector<policy::Problem>>(compiled).size(), 3U);
+    const auto compiled = policy::compile("n = d\nb = 1\nd = 3s\nwhat = 1\n", kSettings);
+    ASSERT_FALSE(compiled);
+    EXPECT_EQ(compiled.error().size(), 3U);
 }
 
 TEST(PolicyLanguage, IsBoundedInSizeAndDepth) {
     const auto refused = [](const std::string& source) {
-        auto compiled = policy::compile(source, kSettings);
-        return std::holds_alternative<std::vector<policy::Problem>>(compiled);
+        return !policy::compile(source, kSettings).has_value();
     };
     std::string deep;
     for (int i = 0; i < 5000; ++i) deep += "(";
@@ -149,7 +148,8 @@
                                               "else ", "+",  "d",    "^",  "\n",   "min(",
                                               ",",     "==", "\xff", "\"", "not ", "b = "};
         for (auto n = rng() % 40; n > 0; --n) bytes += kPieces[rng() % std::size(kPieces)];
-        policy::compile(bytes, kSettings);
+        const auto compiled = policy::compile(bytes, kSettings);
+        EXPECT_TRUE(compiled || !compiled.error().empty()) << bytes;
     }
 }
 
@@ -185,7 +185,7 @@
     EXPECT_TRUE(built_in.take_rejected_values().empty());
 }
 
-TEST(OperatorPolicyTest, OwnLinesReplaceBuiltInOnesAndBadValuesFallBackToldOnce) {
+TEST(OperatorPolicyTest, OwnLinesReplaceBuiltInOnesAndBadValuesFallBackReportedOnce) {
     OperatorPolicy own(
         "score_fit = if job.class == \"train\" then 9 else 1 / 0\n"
         "idle_keep = 1s * machine.hourly\n"
