--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -5,14 +5,15 @@
 #include <utility>
 
 #include "wire/stored_values.h"
+#include "core/state_keys.h"
 
 namespace lichendrift::control {
 
 namespace {
 
-constexpr std::string_view kOpenPrefix = "open/";
-constexpr std::string_view kOverPrefix = "over/";
-constexpr const char* kWatchedPrefix = "o";  // both of the above
+namespace keys = core::keys;
+
+constexpr const char* kWatchedPrefix = "o";  // of open jobs and of terminal states
 
 constexpr std::size_t kMaxWaiting = 500;
 constexpr Millis kRefreshSpacing = 120;  // refreshes that come closer share one read
@@ -48,7 +49,7 @@
 
 void JobWatcher::load_page(const std::string& after_key, PartialLoad so_far) {
     loading_ = true;
-    store_.list(store::RequestPriority::Place, std::string(kOpenPrefix), after_key,
+    store_.list(store::RequestPriority::Place, std::string(keys::kOpenJobs), after_key,
                 [this, so_far = std::move(so_far)](store::Outcome outcome,
                                                    const wire::ItemPage& page) mutable {
                     if (outcome == store::Outcome::Ok) return on_load_page(page, std::move(so_far));
@@ -61,7 +62,7 @@
     // Changes since the first page are read again by the next watch.
     if (so_far.revision == 0) so_far.revision = page.revision;
     for (const auto& item : page.items) {
-        const auto job_id = item.key.substr(kOpenPrefix.size());
+        const auto job_id = item.key.substr(keys::kOpenJobs.size());
         if (auto text = wire::parse_job_value(job_id, item.value)) {
             so_far.jobs[job_id] = {std::move(*text), item.revision};
         }
@@ -181,10 +182,10 @@
 void JobWatcher::apply(const wire::ItemPage& page, Millis sent_at) {
     for (const auto& item : page.items) {
         if (item.revision <= revision_) continue;
-        if (item.key.starts_with(kOpenPrefix)) {
+        if (item.key.starts_with(keys::kOpenJobs)) {
             apply_open(item);
-        } else if (item.key.starts_with(kOverPrefix)) {
-            apply_over(item);
+        } else if (item.key.starts_with(keys::kTerminalStates)) {
+            apply_terminal_state(item);
         }
     }
     revision_ = std::max(revision_, page.revision);
@@ -192,7 +193,7 @@
 }
 
 void JobWatcher::apply_open(const wire::Item& item) {
-    const auto job_id = item.key.substr(kOpenPrefix.size());
+    const auto job_id = item.key.substr(keys::kOpenJobs.size());
     if (item.value.empty()) {
         open_.erase(job_id);
         return;
@@ -205,9 +206,9 @@
     }
 }
 
-void JobWatcher::apply_over(const wire::Item& item) {
+void JobWatcher::apply_terminal_state(const wire::Item& item) {
     if (item.value.empty()) return;
-    const auto job_id = item.key.substr(kOverPrefix.size());
+    const auto job_id = item.key.substr(keys::kTerminalStates.size());
     if (const auto over = wire::parse_terminal_state_value(job_id, item.value)) {
         const auto state = over->aborted ? TerminalState::Aborted : TerminalState::Done;
         record_terminal_state(job_id, state, item.revision);
@@ -259,7 +260,7 @@
     auto [lookup, first] = lookups_.try_emplace(job_id);
     lookup->second.push_back(std::move(done));
     if (!first) return;
-    store_.get(store::RequestPriority::Read, std::string(kOverPrefix) + job_id,
+    store_.get(store::RequestPriority::Read, keys::terminal_state(job_id),
                [this, job_id](store::Outcome outcome, const wire::Item& item) {
                    tl::expected<TerminalState, LookupError> result = tl::unexpected(
                        outcome == store::Outcome::Missing ? LookupError::NotFound
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -126,7 +126,7 @@
     void watch_next();
     void apply(const wire::ItemPage& page, Millis sent_at);
     void apply_open(const wire::Item& item);
-    void apply_over(const wire::Item& item);
+    void apply_terminal_state(const wire::Item& item);
     void end_job(const std::string& job_id, TerminalState state);
     bool record_terminal_state(const std::string& job_id, TerminalState state,
                                std::uint64_t revision);
--- a/src/control/submission_batcher.cpp
+++ b/src/control/submission_batcher.cpp
@@ -5,13 +5,13 @@
 #include <string_view>
 #include <utility>
 
+#include "core/state_keys.h"
+
 namespace lichendrift::control {
 
 namespace {
 
-constexpr std::string_view kOpenPrefix = "open/";
-constexpr std::string_view kOverPrefix = "over/";
-static_assert(kOpenPrefix.size() == kOverPrefix.size());
+namespace keys = core::keys;
 
 constexpr std::size_t kMaxQueued = 300;
 constexpr std::size_t kMaxDuplicates = 8;  // of one job, beside the first
@@ -22,10 +22,11 @@
 // The terminal state may be stored with the description, and has to fit as well.
 constexpr std::size_t kTerminalStateBytes = 32;
 
-bool names_job(const std::vector<std::string>& keys, std::string_view job_id) {
-    return std::any_of(keys.begin(), keys.end(), [&](std::string_view key) {
-        return key.size() > kOpenPrefix.size() && key.substr(kOpenPrefix.size()) == job_id;
-    });
+bool names_job(const std::vector<std::string>& failed_keys, const std::string& job_id) {
+    const auto open_key = keys::open_job(job_id);
+    const auto terminal_key = keys::terminal_state(job_id);
+    return std::any_of(failed_keys.begin(), failed_keys.end(),
+                       [&](const auto& key) { return key == open_key || key == terminal_key; });
 }
 
 }  // namespace
@@ -74,9 +75,9 @@
     while (!queue_.empty() && batch.submissions.size() < store_.max_transaction_operations() &&
            bytes < kMaxBatchBytes) {
         auto& next = queue_.front();
-        const auto open_key = std::string(kOpenPrefix) + next.job.id;
+        const auto open_key = keys::open_job(next.job.id);
         batch.conditions.push_back({open_key, 0});
-        batch.conditions.push_back({std::string(kOverPrefix) + next.job.id, 0});
+        batch.conditions.push_back({keys::terminal_state(next.job.id), 0});
         batch.changes.push_back({open_key, next.value, 0});
         bytes += next.value.size() + kBytesBesideValue;
         batch.submissions.push_back(std::move(next));
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -4,6 +4,7 @@
 #include <optional>
 
 #include "control/feasibility.h"
+#include "core/state_keys.h"
 #include "events/format.h"
 #include "net/http_status.h"
 #include "wire/stored_values.h"
@@ -220,12 +221,12 @@
     const auto* open = job_watcher_.find_open(job_id);
     if (open == nullptr) return poll(job_id, std::move(respond), respond_no_such_job);
     // The description stays with the terminal state: the job's tasks count until they have ended.
-    const auto over =
+    const auto value =
         wire::terminal_state_value_within(true, open->text, store_.max_value_bytes_from_now_on());
-    const auto open_key = "open/" + job_id;
-    const auto over_key = "over/" + job_id;
-    store_.transact(store::RequestPriority::Submit, {{open_key, open->revision}, {over_key, 0}},
-                    {{open_key, "", 0}, {over_key, over, 0}},
+    const auto open_key = core::keys::open_job(job_id);
+    const auto terminal_key = core::keys::terminal_state(job_id);
+    store_.transact(store::RequestPriority::Submit, {{open_key, open->revision}, {terminal_key, 0}},
+                    {{open_key, "", 0}, {terminal_key, value, 0}},
                     [this, job_id, retries,
                      respond = std::move(respond)](const store::TransactionResult& result) mutable {
                         if (result.outcome == store::Outcome::Ok) {
