--- a/src/cli/features.cpp
+++ b/src/cli/features.cpp
@@ -1,8 +1,10 @@
+// The operators' features file.
 #include "cli/features.h"
 
 #include <cmath>
 #include <functional>
 #include <map>
+#include <string_view>
 
 #include "cli/toml_file.h"
 
@@ -10,20 +12,22 @@
 
 namespace {
 
-constexpr double kMinCleanupPage = 1;
-constexpr double kMaxCleanupPage = 3600;
+constexpr double kMinCleanupPageS = 1;
+constexpr double kMaxCleanupPageS = 3600;
 
-// What a key does with its value; the text of a problem, or nothing.
-using ReadKey = std::function<std::string(const toml::node&)>;
+// Takes the value of a key; an error says what is expected.
+using Unexpected = tl::unexpected<std::string_view>;
+using ReadResult = tl::expected<void, std::string_view>;
+using ReadKey = std::function<ReadResult(const toml::node&)>;
 using Table = std::map<std::string, ReadKey, std::less<>>;
 
-std::string read_switch(const toml::node& node, bool& out) {
-    if (!node.is_boolean()) return "expected true or false";
+ReadResult read_switch(const toml::node& node, bool& out) {
+    if (!node.is_boolean()) return Unexpected("expected true or false");
     out = *node.value<bool>();
-    return "";
+    return {};
 }
 
-std::string read_cleanup(const toml::node& node, control::CleanupMode& out) {
+ReadResult read_cleanup(const toml::node& node, control::CleanupMode& out) {
     const auto mode = node.is_string() ? *node.value<std::string>() : "";
     if (mode == "off") {
         out = control::CleanupMode::Off;
@@ -32,48 +36,44 @@
     } else if (mode == "remove") {
         out = control::CleanupMode::Remove;
     } else {
-        return R"(expected "off", "report" or "remove")";
+        return Unexpected(R"(expected "off", "report" or "remove")");
     }
-    return "";
+    return {};
 }
 
-std::string read_page_time(const toml::node& node, double& out) {
+ReadResult read_page_time(const toml::node& node, double& out_s) {
     const auto value = node.is_number() ? *node.value<double>() : std::nan("");
-    if (!(value >= kMinCleanupPage && value <= kMaxCleanupPage)) {
-        return "expected a number from 1 to 3600";
+    if (!(value >= kMinCleanupPageS && value <= kMaxCleanupPageS)) {
+        return Unexpected("expected a number from 1 to 3600");
     }
-    out = value;
-    return "";
+    out_s = value;
+    return {};
 }
 
 void read_table(const std::string& name, const toml::node& node, const Table& known,
                 Problems& problems) {
     const auto* table = node.as_table();
     if (table == nullptr) {
-        problems.push_back(name + ": expected a table");
+        problems.push_back({name, "expected a table"});
         return;
     }
     for (const auto& [key, value] : *table) {
-        std::string path = name + ".";
+        auto path = name + ".";
         path += key.str();
-        const auto it = known.find(key.str());
-        if (it == known.end()) {
-            problems.push_back(path + ": is not known");
-            continue;
-        }
-        if (const auto problem = it->second(value); !problem.empty()) {
-            path += ": ";
-            problems.push_back(path += problem);
+        const auto entry = known.find(key.str());
+        if (entry == known.end()) {
+            problems.push_back({path, "is not known"});
+        } else if (const auto read = entry->second(value); !read) {
+            problems.push_back({path, std::string(read.error())});
         }
     }
 }
 
 }  // namespace
 
-std::variant<control::Features, Problems> load_features(const std::string& path) {
-    auto parsed = parse_toml_file(path);
-    if (auto* problems = std::get_if<Problems>(&parsed)) return std::move(*problems);
-    const auto& file = std::get<toml::table>(parsed);
+tl::expected<control::Features, Problems> load_features(const std::string& path) {
+    const auto file = parse_toml_file(path);
+    if (!file) return tl::unexpected(file.error());
     control::Features features;
     Problems problems;
     const Table duties{
@@ -82,19 +82,19 @@
         {"cleanup_page_s",
          [&](const auto& node) { return read_page_time(node, features.cleanup_page_s); }},
     };
-    for (const auto& [key, value] : file) {
+    for (const auto& [key, value] : *file) {
         const std::string name(key.str());
         if (name == "duties") {
             read_table(name, value, duties, problems);
         } else {
-            problems.push_back(name + ": is not known");
+            problems.push_back({name, "is not known"});
         }
     }
     if (problems.empty() && features.cleanup != control::CleanupMode::Off &&
         !features.fenced_duties) {
-        problems.emplace_back("duties.cleanup: expected \"off\" while duties.fenced is not true");
+        problems.push_back({"duties.cleanup", "expected \"off\" while duties.fenced is not true"});
     }
-    if (!problems.empty()) return problems;
+    if (!problems.empty()) return tl::unexpected(std::move(problems));
     return features;
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,9 +1,11 @@
+// The command line: checks files, shows the built-in policy, or runs a controller.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
+#include <optional>
 
 #include "cli/features.h"
 #include "cli/log.h"
@@ -13,42 +15,132 @@
 
 namespace {
 
+using lichendrift::cli::Problems;
+using lichendrift::control::OperatorPolicy;
+using lichendrift::control::Settings;
+
+constexpr int kSuccess = 0;
 constexpr int kFailure = 1;
 constexpr int kUsage = 2;
 
-// What was loaded, or nothing after saying on standard error what is wrong.
-template <typename T>
-std::optional<T> without_problems(std::variant<T, lichendrift::cli::Problems> loaded) {
-    if (auto* problems = std::get_if<lichendrift::cli::Problems>(&loaded)) {
-        for (const auto& problem : *problems)
-            std::fprintf(stderr, "lichendrift: %s\n", problem.c_str());
+constexpr const char* kDescription =
+    "lichendrift - a cluster scheduler; one of three or five controllers\n\n"
+    "Examples:\n"
+    "  lichendrift --config /etc/lichendrift/node.toml    run a controller\n"
+    "  lichendrift check /etc/lichendrift/node.toml       check a settings file\n"
+    "  lichendrift policy show > my.policy                the built-in policy, to edit\n"
+    "  lichendrift policy check my.policy                 check a policy file\n"
+    "  lichendrift --policy my.policy --config node.toml  run with it\n"
+    "  lichendrift --features features.toml --config node.toml\n"
+    "                                                     run with these features\n\n"
+    "LOG_LEVEL sets how much is logged on standard error: error, info or debug.\n"
+    "Exit codes: 0, 1 for a failure, 2 for wrong usage or bad input.";
+
+// What the user asks for.
+enum class Command : std::uint8_t { None, Serve, CheckSettings, ShowPolicy, CheckPolicy };
+
+// The options and subcommands, with what was given for them.
+class CommandLine {
+  public:
+    CommandLine() : app_(kDescription, "lichendrift") {
+        app_.set_version_flag("--version", "lichendrift " LICHENDRIFT_VERSION);
+        add_serve_options();
+        add_policy_commands();
+        add_check_command();
+    }
+
+    // Nothing if the command line asks for a command; otherwise the exit code, with the help, the
+    // version or what is wrong written out.
+    std::optional<int> parse(int argc, char** argv) {
+        try {
+            app_.parse(argc, argv);
+        } catch (const CLI::ParseError& error) {
+            return app_.exit(error) == 0 ? kSuccess : kUsage;
+        }
         return std::nullopt;
     }
-    return std::get<T>(std::move(loaded));
+
+    [[nodiscard]] Command command() const {
+        if (check_->parsed()) return Command::CheckSettings;
+        if (policy_show_->parsed()) return Command::ShowPolicy;
+        if (policy_check_->parsed()) return Command::CheckPolicy;
+        return settings_path_.empty() ? Command::None : Command::Serve;
+    }
+
+    [[nodiscard]] const std::string& settings_path() const {
+        return check_->parsed() ? checked_settings_path_ : settings_path_;
+    }
+    [[nodiscard]] const std::string& policy_path() const { return policy_path_; }
+    [[nodiscard]] const std::string& features_path() const { return features_path_; }
+
+  private:
+    void add_serve_options() {
+        auto* config = app_.add_option("--config", settings_path_,
+                                       "run a controller with this settings file (TOML)");
+        app_.add_option("--policy", policy_path_,
+                        "the operators' policy; without it the built-in one")
+            ->needs(config);
+        app_.add_option("--features", features_path_,
+                        "what is switched on beyond the settings; without it nothing is")
+            ->needs(config);
+    }
+
+    void add_policy_commands() {
+        auto* policy = app_.add_subcommand("policy", "show the built-in policy, or check a file");
+        policy->require_subcommand(1);
+        policy_show_ = policy->add_subcommand("show", "print the built-in policy");
+        policy_check_ = policy->add_subcommand("check", "check a policy file");
+        policy_check_->add_option("FILE", policy_path_, "the policy file")->required();
+    }
+
+    void add_check_command() {
+        check_ = app_.add_subcommand("check", "check a settings file and say what is wrong");
+        check_->add_option("FILE", checked_settings_path_, "the settings file")->required();
+        check_->add_option("--features", features_path_, "a features file to check with it");
+    }
+
+    CLI::App app_;
+    CLI::App* policy_show_ = nullptr;   // app_ owns the subcommands
+    CLI::App* policy_check_ = nullptr;  // of policy
+    CLI::App* check_ = nullptr;
+    std::string settings_path_;
+    std::string policy_path_;
+    std::string features_path_;
+    std::string checked_settings_path_;
+};
+
+void print_error(const std::string& message) {
+    std::fprintf(stderr, "lichendrift: %s\n", message.c_str());
+}
+
+// The functions below that give an optional print what is wrong if they give nothing.
+
+template <typename Loaded>
+std::optional<Loaded> value_or_print(tl::expected<Loaded, Problems> loaded) {
+    if (loaded) return std::move(*loaded);
+    for (const auto& problem : loaded.error()) print_error(problem.text());
+    return std::nullopt;
 }
 
-// The checked settings with the features; nothing after saying what is wrong. Without a path there
-// are no features.
-std::optional<lichendrift::control::Settings> checked(const std::string& path,
-                                                      const std::string& features_path) {
-    auto settings = without_problems(lichendrift::cli::load_settings(path));
-    if (!settings || features_path.empty()) return settings;
-    const auto features = without_problems(lichendrift::cli::load_features(features_path));
+// Without a features file there are no features.
+std::optional<Settings> load_settings(const CommandLine& line) {
+    auto settings = value_or_print(lichendrift::cli::load_settings(line.settings_path()));
+    if (!settings || line.features_path().empty()) return settings;
+    const auto features = value_or_print(lichendrift::cli::load_features(line.features_path()));
     if (!features) return std::nullopt;
     settings->features = *features;
     return settings;
 }
 
-// A policy without errors, or nothing after saying on standard error all that is wrong.
-std::optional<std::string> checked_policy(const std::string& path) {
+std::optional<std::string> load_policy(const std::string& path) {
     std::error_code error;
-    std::ifstream in(path, std::ios::binary);
-    if (!in || std::filesystem::is_directory(path, error)) {
-        std::fprintf(stderr, "lichendrift: cannot read the policy file %s\n", path.c_str());
+    std::ifstream file(path, std::ios::binary);
+    if (!file || std::filesystem::is_directory(path, error)) {
+        print_error("cannot read the policy file " + path);
         return std::nullopt;
     }
-    const std::string text{std::istreambuf_iterator<char>(in), {}};
-    const auto problems = lichendrift::control::OperatorPolicy::check(text);
+    std::string text{std::istreambuf_iterator<char>(file), {}};
+    const auto problems = OperatorPolicy::check(text);
     for (const auto& problem : problems) {
         std::fprintf(stderr, "%s:%s\n", path.c_str(), problem.text().c_str());
     }
@@ -56,79 +148,53 @@
     return text;
 }
 
-int serve(const std::string& path, const std::string& policy_path,
-          const std::string& features_path) {
+int show_policy() {
+    const auto text = OperatorPolicy::defaults();
+    std::fwrite(text.data(), 1, text.size(), stdout);
+    return std::fflush(stdout) == 0 ? kSuccess : kFailure;
+}
+
+int serve(const CommandLine& line) {
     if (const auto logging = lichendrift::cli::set_up_log(); !logging) {
-        std::fprintf(stderr, "lichendrift: %s\n", logging.error().c_str());
+        print_error(logging.error());
         return kUsage;
     }
-    auto settings = checked(path, features_path);
+    auto settings = load_settings(line);
     if (!settings) return kUsage;
-    if (!policy_path.empty()) {
-        auto policy = checked_policy(policy_path);
+    if (!line.policy_path().empty()) {
+        auto policy = load_policy(line.policy_path());
         if (!policy) return kUsage;
         settings->policy = std::move(*policy);
     }
     return lichendrift::cli::serve(*settings);
 }
 
+int run(const CommandLine& line) {
+    switch (line.command()) {
+        case Command::None:
+            print_error("nothing to do; see --help");
+            return kUsage;
+        case Command::Serve:
+            return serve(line);
+        case Command::CheckSettings:
+            return load_settings(line) ? kSuccess : kUsage;
+        case Command::ShowPolicy:
+            return show_policy();
+        case Command::CheckPolicy:
+            return load_policy(line.policy_path()) ? kSuccess : kUsage;
+    }
+    return kUsage;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
     try {
-        CLI::App app{
-            "lichendrift - a cluster scheduler; one of three or five controllers\n\n"
-            "Examples:\n"
-            "  lichendrift --config /etc/lichendrift/node.toml    run a controller\n"
-            "  lichendrift check /etc/lichendrift/node.toml       check a settings file\n"
-            "  lichendrift policy show > my.policy                the built-in policy, to edit\n"
-            "  lichendrift policy check my.policy                 check a policy file\n"
-            "  lichendrift --policy my.policy --config node.toml  run with it\n"
-            "  lichendrift --features features.toml --config node.toml\n"
-            "                                                     run with these features\n\n"
-            "LOG_LEVEL sets how much is logged on standard error: error, info or debug.\n"
-            "Exit codes: 0, 1 for a failure, 2 for wrong usage or bad input.",
-            "lichendrift"};
-        app.set_version_flag("--version", "lichendrift " LICHENDRIFT_VERSION);
-        std::string config;
-        app.add_option("--config", config, "run a controller with this settings file (TOML)");
-        std::string policy_path;
-        app.add_option("--policy", policy_path,
-                       "the operators' policy; without it the built-in one")
-            ->needs(app.get_option("--config"));
-        std::string features_path;
-        app.add_option("--features", features_path,
-                       "what is switched on beyond the settings; without it nothing is")
-            ->needs(app.get_option("--config"));
-        auto* policy = app.add_subcommand("policy", "show the built-in policy, or check a file");
-        policy->require_subcommand(1);
-        auto* policy_show = policy->add_subcommand("show", "print the built-in policy");
-        auto* policy_check = policy->add_subcommand("check", "check a policy file");
-        policy_check->add_option("FILE", policy_path, "the policy file")->required();
-        std::string check_path;
-        auto* check = app.add_subcommand("check", "check a settings file and say what is wrong");
-        check->add_option("FILE", check_path, "the settings file")->required();
-        check->add_option("--features", features_path, "a features file to check with it");
-        try {
-            app.parse(argc, argv);
-        } catch (const CLI::ParseError& error) {
-            const int code = app.exit(error);
-            return code == 0 ? 0 : kUsage;
-        }
-        if (check->parsed()) return checked(check_path, features_path) ? 0 : kUsage;
-        if (policy_show->parsed()) {
-            const auto text = lichendrift::control::OperatorPolicy::defaults();
-            std::fwrite(text.data(), 1, text.size(), stdout);
-            return std::fflush(stdout) == 0 ? 0 : kFailure;
-        }
-        if (policy_check->parsed()) return checked_policy(policy_path) ? 0 : kUsage;
-        if (config.empty()) {
-            std::fprintf(stderr, "lichendrift: nothing to do; see --help\n");
-            return kUsage;
-        }
-        return serve(config, policy_path, features_path);
+        CommandLine line;
+        if (const auto exit_code = line.parse(argc, argv)) return *exit_code;
+        return run(line);
     } catch (const std::exception& error) {
-        std::fprintf(stderr, "lichendrift: %s\n", error.what());
+        print_error(error.what());
         return kFailure;
     }
 }
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -1,14 +1,15 @@
+// The platform's settings file.
 #pragma once
 
 #include <string>
-#include <variant>
-#include <vector>
+#include <tl/expected.hpp>
 
 #include "cli/problems.h"
 #include "control/settings.h"
 
 namespace lichendrift::cli {
 
-std::variant<control::Settings, Problems> load_settings(const std::string& path);
+/// Reads and checks a settings file. Keys that are not known are ignored.
+[[nodiscard]] tl::expected<control::Settings, Problems> load_settings(const std::string& path);
 
 }  // namespace lichendrift::cli
--- a/src/cli/toml_file.cpp
+++ b/src/cli/toml_file.cpp
@@ -1,17 +1,18 @@
+// Files in TOML.
 #include "cli/toml_file.h"
 
 namespace lichendrift::cli {
 
-std::variant<toml::table, Problems> parse_toml_file(const std::string& path) {
+tl::expected<toml::table, Problems> parse_toml_file(const std::string& path) {
     try {
         return toml::parse_file(path);
     } catch (const toml::parse_error& error) {
-        const auto& at = error.source().begin;
+        const auto& position = error.source().begin;
         std::string where = path;
-        if (at.line > 0) {
-            where += ":" + std::to_string(at.line) + ":" + std::to_string(at.column);
+        if (position.line > 0) {
+            where += ":" + std::to_string(position.line) + ":" + std::to_string(position.column);
         }
-        return Problems{where + ": " + std::string(error.description())};
+        return tl::unexpected(Problems{{where, std::string(error.description())}});
     }
 }
 
--- a/tests/features_test.cpp
+++ b/tests/features_test.cpp
@@ -1,3 +1,4 @@
+// The operators' features file: what is read, and what is reported.
 #include "cli/features.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace lichendrift::cli {
 namespace {
 
-std::variant<control::Features, Problems> load(const std::string& text) {
+tl::expected<control::Features, Problems> load(const std::string& text) {
     const auto path = std::filesystem::temp_directory_path() /
                       ("lichendrift-features-" + std::to_string(::getpid()) + ".toml");
     {
@@ -23,18 +24,18 @@
 
 TEST(FeaturesFile, WhatIsLeftOutIsOff) {
     for (const auto* text : {"", "[duties]\n"}) {
-        const auto features = std::get<control::Features>(load(text));
-        EXPECT_FALSE(features.fenced_duties);
-        EXPECT_EQ(features.cleanup, control::CleanupMode::Off);
+        const auto features = load(text);
+        ASSERT_TRUE(features) << text;
+        EXPECT_FALSE(features->fenced_duties);
+        EXPECT_EQ(features->cleanup, control::CleanupMode::Off);
     }
 }
 
 TEST(FeaturesFile, TheOneThatIsDeployedIsGood) {
-    const auto loaded = load_features(LICHENDRIFT_DEPLOYED_FEATURES);
-    ASSERT_TRUE(std::holds_alternative<control::Features>(loaded));
-    const auto features = std::get<control::Features>(loaded);
-    EXPECT_TRUE(features.fenced_duties);
-    EXPECT_EQ(features.cleanup, control::CleanupMode::Remove);
+    const auto features = load_features(LICHENDRIFT_DEPLOYED_FEATURES);
+    ASSERT_TRUE(features);
+    EXPECT_TRUE(features->fenced_duties);
+    EXPECT_EQ(features->cleanup, control::CleanupMode::Remove);
 }
 
 TEST(FeaturesFile, ProblemsNameTheKey) {
@@ -51,13 +52,13 @@
         {"[duties]\ncleanup_page_s = 1e9\n", "duties.cleanup_page_s: expected a number"},
     };
     for (const auto& [text, expected] : cases) {
-        const auto loaded = load(text);
-        const auto* problems = std::get_if<Problems>(&loaded);
-        ASSERT_NE(problems, nullptr) << text;
-        ASSERT_EQ(problems->size(), 1U) << text;
-        EXPECT_TRUE(problems->front().starts_with(expected)) << problems->front();
+        const auto features = load(text);
+        ASSERT_FALSE(features) << text;
+        ASSERT_EQ(features.error().size(), 1U) << text;
+        const auto message = features.error().front().text();
+        EXPECT_TRUE(message.starts_with(expected)) << message;
     }
-    EXPECT_TRUE(std::holds_alternative<Problems>(load_features("/nonexistent/features.toml")));
+    EXPECT_FALSE(load_features("/nonexistent/features.toml"));
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// The platform's settings file: what is read, and what is reported.
 #include "cli/settings.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +49,7 @@
 
 class SettingsFile : public ::testing::Test {
   protected:
-    std::variant<control::Settings, Problems> load(const std::string& text) {
+    tl::expected<control::Settings, Problems> load(const std::string& text) {
         {
             std::ofstream out(path_);
             out << text;
@@ -58,31 +59,28 @@
         return loaded;
     }
     // The problems of the good file with one part changed.
-    Problems changed(const std::string& from, const std::string& to) {
+    Problems problems_with(const std::string& from, const std::string& to) {
         std::string text = kGood;
         text.replace(text.find(from), from.size(), to);
         auto loaded = load(text);
-        if (auto* problems = std::get_if<Problems>(&loaded)) return *problems;
-        return {};
+        return loaded ? Problems{} : loaded.error();
     }
     std::filesystem::path path_ = std::filesystem::temp_directory_path() /
                                   ("lichendrift-settings-" + std::to_string(::getpid()) + ".toml");
 };
 
 TEST_F(SettingsFile, GoodFileIsRead) {
-    auto loaded = load(kGood);
-    ASSERT_TRUE(std::holds_alternative<control::Settings>(loaded));
-    const auto& s = std::get<control::Settings>(loaded);
-    EXPECT_EQ(s.peers.at(0).address, "127.0.0.2:8081");
-    EXPECT_EQ(s.teams.at(0).guarantee.cpus, 1500);
-    EXPECT_EQ(s.teams.at(0).limit.gpus, 4000);
-    EXPECT_EQ(s.state_transaction_operations, 12U);
+    const auto settings = load(kGood);
+    ASSERT_TRUE(settings);
+    EXPECT_EQ(settings->peers.at(0).address, "127.0.0.2:8081");
+    EXPECT_EQ(settings->teams.at(0).guarantee.cpus, 1500);
+    EXPECT_EQ(settings->teams.at(0).limit.gpus, 4000);
+    EXPECT_EQ(settings->state_transaction_operations, 12U);
 }
 
 TEST_F(SettingsFile, SampleThatTheRepositoryShipsIsGood) {
-    const auto loaded = load_settings(LICHENDRIFT_SAMPLE_SETTINGS);
-    const auto* problems = std::get_if<Problems>(&loaded);
-    EXPECT_EQ(problems, nullptr) << (problems == nullptr ? "" : problems->front());
+    const auto settings = load_settings(LICHENDRIFT_SAMPLE_SETTINGS);
+    EXPECT_TRUE(settings) << (settings ? "" : settings.error().front().text());
 }
 
 TEST_F(SettingsFile, ProblemsNameTheKey) {
@@ -113,30 +111,30 @@
          "settings.resources.max_connections: expected at least"},
     };
     for (const auto& [from, to, expected] : cases) {
-        const auto problems = changed(from, to);
+        const auto problems = problems_with(from, to);
         ASSERT_EQ(problems.size(), 1U) << to;
-        EXPECT_TRUE(problems[0].starts_with(expected)) << problems[0];
+        EXPECT_TRUE(problems[0].text().starts_with(expected)) << problems[0].text();
     }
 }
 
-// Each limit to come may be there or not.
-TEST_F(SettingsFile, LimitsToComeMayBeLeftOut) {
+// Each later limit may be there or not.
+TEST_F(SettingsFile, LaterLimitsMayBeLeftOut) {
     std::string text = kGood;
     text.replace(text.find("[settings.cloud]"), 0, "[settings.state.next]\nvalue_kb = 2.0\n");
-    const auto loaded = load(text);
-    ASSERT_TRUE(std::holds_alternative<control::Settings>(loaded));
-    const auto& next = std::get<control::Settings>(loaded).state_next;
+    const auto settings = load(text);
+    ASSERT_TRUE(settings);
+    const auto& next = settings->state_next;
     EXPECT_EQ(next.value_kb, 2.0);
     EXPECT_FALSE(next.transaction_operations || next.write_rps || next.rps);
 }
 
 TEST_F(SettingsFile, BrokenTomlNamesTheLine) {
-    auto loaded = load("member = \n");
-    const auto& problems = std::get<Problems>(loaded);
-    ASSERT_EQ(problems.size(), 1U);
-    EXPECT_NE(problems[0].find(":1:"), std::string::npos) << problems[0];
-    auto missing = load_settings("/nonexistent/file.toml");
-    EXPECT_TRUE(std::holds_alternative<Problems>(missing));
+    const auto settings = load("member = \n");
+    ASSERT_FALSE(settings);
+    ASSERT_EQ(settings.error().size(), 1U);
+    const auto message = settings.error().front().text();
+    EXPECT_NE(message.find(":1:"), std::string::npos) << message;
+    EXPECT_FALSE(load_settings("/nonexistent/file.toml"));
 }
 
 }  // namespace
