--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -22,16 +22,27 @@
     /// Uses the settings of a file that check() found valid; the built-in ones for the rest.
     explicit OperatorPolicy(std::string_view file = "");
 
+    /// The settings `score_...` of a job.
     core::Weights weights(const core::JobFacts& job) override;
+    /// The setting `starving_after`, in seconds.
     double starvation_threshold_s(const core::JobFacts& job) override;
+    /// The setting `order`, in seconds.
     double order_s(const core::JobFacts& job) override;
+    /// The setting `rent_patience`, in seconds.
     double provision_patience_s(const core::JobFacts& job) override;
+    /// The setting `dear_patience`, at least provision_patience_s(), in seconds.
     double on_demand_patience_s(const core::JobFacts& job) override;
+    /// The setting `retry_after`, in seconds.
     double retry_s(const core::JobFacts& job) override;
+    /// The setting `idle_keep`, in seconds.
     double idle_keep_s(const core::MachineFacts& machine, const core::FleetFacts& fleet) override;
+    /// The setting `silent_patience`, in seconds.
     double silent_s(const core::FleetFacts& fleet) override;
+    /// The setting `spare_machines`.
     double spare_machines(const core::FleetFacts& fleet) override;
+    /// The setting `warm_for`, in seconds.
     double warm_capacity_s(const core::FleetFacts& fleet) override;
+    /// The settings that fell back since the last call, each reported once.
     std::vector<events::PolicyValueRejected> take_rejected_values() override;
 
   private:
--- a/src/control/policy_settings.cpp
+++ b/src/control/policy_settings.cpp
@@ -236,14 +236,15 @@
 std::string_view built_in_policy() { return kBuiltInPolicy; }
 
 const std::vector<policy::Setting>& policy_settings() {
-    static const std::vector<policy::Setting> kList = [] {
-        std::vector<policy::Setting> list;
+    static const std::vector<policy::Setting> list = [] {
+        std::vector<policy::Setting> settings;
+        settings.reserve(kSettings.size());
         for (const auto& row : kSettings) {
-            list.push_back({row.name, row.type, variables_of(row.scope)});
+            settings.push_back({row.name, row.type, variables_of(row.scope)});
         }
-        return list;
+        return settings;
     }();
-    return kList;
+    return list;
 }
 
 PolicyRange policy_range(PolicySetting setting) {
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -120,10 +120,10 @@
                                               control::text(reason));
                             });
     }
-    store_job(std::move(job), std::move(respond));
+    store_job(std::move(job), respond);
 }
 
-void UserApi::store_job(core::JobText job, net::Respond respond) {
+void UserApi::store_job(core::JobText job, const net::Respond& respond) {
     job.submitted_ms = runtime_.wall_ms();
     const auto job_id = job.id;
     const auto queued =
