--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -72,7 +72,7 @@
 }
 
 void CloudClient::provision(const duty::FencedProvision& provision, OnProvisioned done) {
-    call({"POST", "/rentals", wire::provision_body(provision.order(), provision.epoch()),
+    call({"POST", "/rentals", wire::provision_body(provision.request(), provision.epoch()),
           provision.not_after()},
          [this, done = std::move(done)](const net::HttpReply& reply) {
              const auto result = result_of(reply);
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -196,15 +196,15 @@
 void MachineDuties::carry_out(const duty::RequestProvision& action) {
     services_.cloud.provision(
         action.request,
-        [self = shared_from_this(), slot = action.slot, order = action.request.order()](
+        [self = shared_from_this(), slot = action.slot, request = action.request.request()](
             cloud::Result result, const std::vector<std::string>& machines) {
             if (self->stopped_) return;
-            if (result == cloud::Result::StaleEpoch) self->log_stale_epoch(order.request);
-            self->holder_.on_provisioned(slot, order.request, cloud_outcome(result),
+            if (result == cloud::Result::StaleEpoch) self->log_stale_epoch(request.request);
+            self->holder_.on_provisioned(slot, request.request, cloud_outcome(result),
                                          self->services_.runtime.now());
-            const bool too_few = result == cloud::Result::Ok && machines.size() < order.number;
+            const bool too_few = result == cloud::Result::Ok && machines.size() < request.number;
             const bool refused = too_few || result == cloud::Result::NoCapacity;
-            self->services_.listener.on_provisioned(order, machines, refused, result);
+            self->services_.listener.on_provisioned(request, machines, refused, result);
         });
 }
 
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -24,7 +24,7 @@
     virtual void on_released(const std::vector<std::string>& machines) = 0;
     /// The cloud responded to a provisioning request with these machines. `refused`: there were
     /// not enough of this kind.
-    virtual void on_provisioned(const duty::ProvisionRequest& order,
+    virtual void on_provisioned(const duty::ProvisionRequest& request,
                                 const std::vector<std::string>& machines, bool refused,
                                 cloud::Result result) = 0;
     /// A write failed because another controller is the leader.
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -83,7 +83,7 @@
 class FencedProvision {
   public:
     /// What is requested.
-    [[nodiscard]] const ProvisionRequest& order() const { return order_; }
+    [[nodiscard]] const ProvisionRequest& request() const { return request_; }
     /// Epoch of the holder; 0: not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
     /// Not sent after this steady time.
@@ -91,10 +91,10 @@
 
   private:
     friend class IntentLedger;
-    FencedProvision(const Permit& permit, ProvisionRequest order)
-        : order_(std::move(order)), epoch_(permit.epoch()), not_after_(permit.not_after()) {}
+    FencedProvision(const Permit& permit, ProvisionRequest request)
+        : request_(std::move(request)), epoch_(permit.epoch()), not_after_(permit.not_after()) {}
 
-    ProvisionRequest order_;
+    ProvisionRequest request_;
     Epoch epoch_;
     Millis not_after_;
 };
--- a/src/duty/pending_provision.cpp
+++ b/src/duty/pending_provision.cpp
@@ -33,9 +33,9 @@
 void PendingProvision::on_outcome(CloudOutcome outcome, bool inherited, Millis now) {
     in_flight_ = false;
     unanswered_ |= outcome == CloudOutcome::NoAnswer;
-    const bool answered = outcome == CloudOutcome::Done || outcome == CloudOutcome::NoCapacity;
+    const bool responded = outcome == CloudOutcome::Done || outcome == CloudOutcome::NoCapacity;
     const auto max_attempts = inherited ? kMaxInheritedAttempts : kMaxQuickAttempts;
-    settled_ = answered || !unanswered_ || attempts_ > max_attempts;
+    settled_ = responded || !unanswered_ || attempts_ > max_attempts;
     retry_at_ = now + (attempts_ > kMaxQuickAttempts ? kSlowRetryMs : kRetryMs);
 }
 
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -1,7 +1,7 @@
-// All interleavings, up to a depth, of controllers that lead one after the other, with requests
-// that are lost, late or time out at any point. The controllers run the daemon's own
+// All interleavings, up to a depth, of controllers that become leader one after the other, with
+// requests that are lost, late or time out at any point. The controllers run the daemon's own
 // duty::MachineDutyHolder. Their clocks are not trusted at all: one that was replaced goes on
-// acting until a condition tells it, as if it had frozen after every look at the clock.
+// acting until a condition fails, as if it had been stopped after every reading of the clock.
 #include <gtest/gtest.h>
 
 #include <array>
