--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "wire/stored_values.h"
 #include "core/state_keys.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
--- a/src/control/submission_batcher.cpp
+++ b/src/control/submission_batcher.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "core/state_keys.h"
+#include "wire/stored_values.h"
 
 namespace lichendrift::control {
 
