--- a/src/core/allocation.h
+++ b/src/core/allocation.h
@@ -23,7 +23,7 @@
     State state = State::Planned;          ///< how far its run has come
     TaskPhase phase = TaskPhase::Pulling;  ///< by the newest report
     bool reported = false;                 ///< a report of this term has shown it alive
-    bool stray = false;                    ///< found on a machine without a record of it
+    bool unexpected = false;               ///< found on a machine without a record of it
     bool stop = false;                     ///< to be halted
     double grace_s = 0;                    ///< time that the halt leaves it to save, seconds
     /// A direct run had no answer: it may still be carried out.
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -13,8 +13,10 @@
 constexpr std::uint64_t kAttemptsPerToken = 10'000'000;
 constexpr double kMinRestToMoveMs = 60'000;  // what ends sooner is not moved off a drained machine
 
+constexpr double kRoundingError = 1e-6;  // of decimal amounts as doubles, in thousandths
+
 std::int64_t need_thousandths(double amount) {
-    return static_cast<std::int64_t>(std::ceil(amount * 1000.0 - 1e-6));
+    return static_cast<std::int64_t>(std::ceil(amount * 1000.0 - kRoundingError));
 }
 
 }  // namespace
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -15,13 +15,17 @@
 
 namespace lichendrift::core {
 
+inline constexpr Millis kDefaultReportMs = 2'000;   ///< where the settings say nothing
+inline constexpr Millis kDefaultLeaseMs = 10'000;   ///< where the settings say nothing
+inline constexpr Millis kDefaultCancelMs = 30'000;  ///< where the settings say nothing
+
 /// What a cluster state needs of the settings.
 struct ClusterSettings {
     std::vector<Team> teams;               ///< teams with their quotas
     std::uint64_t token = 0;               ///< first fencing token of this term
-    Millis report_ms = 2000;               ///< interval between heartbeats
-    Millis lease_ms = 10000;               ///< lease of a worker
-    Millis cancel_ms = 30000;              ///< bound on the tasks of a cancelled job
+    Millis report_ms = kDefaultReportMs;   ///< interval between heartbeats
+    Millis lease_ms = kDefaultLeaseMs;     ///< lease of a worker
+    Millis cancel_ms = kDefaultCancelMs;   ///< bound on the tasks of a cancelled job
     double gang_peer_s = 4;                ///< a gang's tasks wait so long for each other, seconds
     std::uint32_t tasks_per_record = 100;  ///< tasks of an array in a placement record of layout 0
     std::vector<Objective> objectives;     ///< of the classes and guarantees
@@ -111,9 +115,13 @@
 
     /// Bounds on the next transaction of placement records.
     struct RecordLimits {
-        std::size_t records = 8;         ///< in one transaction
-        std::size_t bytes = 40'000;      ///< of the transaction
-        std::size_t value_bytes = 8192;  ///< of one record
+        static constexpr std::size_t kDefaultRecords = 8;         ///< in one transaction
+        static constexpr std::size_t kDefaultBytes = 40'000;      ///< of the transaction
+        static constexpr std::size_t kDefaultValueBytes = 8'192;  ///< of one record
+
+        std::size_t records = kDefaultRecords;         ///< in one transaction
+        std::size_t bytes = kDefaultBytes;             ///< of the transaction
+        std::size_t value_bytes = kDefaultValueBytes;  ///< of one record
         /// A job of which a record would exceed value_bytes gets a finer layout. Not allowed while
         /// a peer may be of a version that does not know of layouts.
         bool may_refine = false;
@@ -245,6 +253,8 @@
     void note_replica_exit(AllocationIndex index, bool failed, Millis now);
     void wake_replicas(Millis now);
     void stop_replicas(MachineIndex machine, Millis now);
+    void make_ready(const Job& job, const std::vector<PlacedTask>& placed_tasks);
+    void hold_back_incomplete_gang(const Job& job);
     void mark_dirty(Job& job, std::uint32_t task);
     void mark_lazy(Job& job, std::uint32_t task, Millis now);
     void stop_allocation(AllocationIndex index, double grace_s, Millis now);
@@ -280,7 +290,7 @@
     void reconcile_unmatched(Reconciliation& step);
     [[nodiscard]] bool is_allocated(MachineIndex machine, JobIndex job,
                                     const TaskReport& task) const;
-    void add_stray(Reconciliation& step, JobIndex index, const TaskReport& task);
+    void add_unexpected_allocation(Reconciliation& step, JobIndex index, const TaskReport& task);
     void collect_exited(Reconciliation& step);
 
     // Commands, see commands.cpp.
@@ -354,8 +364,9 @@
     std::unordered_map<std::string, MachineIndex> machine_ids_;
     std::vector<Allocation> allocations_;
     FailureDetector failure_detector_;
-    AdmissionCheck admission_check_;  // reads the members above
-    Millis drained_at_ = -1'000'000;
+    AdmissionCheck admission_check_;              // reads the members above
+    static constexpr Millis kNever = -1'000'000;  // before any time
+    Millis drained_at_ = kNever;
     std::vector<MachineIndex> free_machines_;
     std::vector<AllocationIndex> free_allocations_;
     std::set<RecordKey> dirty_;  // records to write, urgent jobs first
--- a/src/core/failure_detector.h
+++ b/src/core/failure_detector.h
@@ -19,7 +19,7 @@
     [[nodiscard]] virtual bool has_cancelled_work(const Machine& machine) const = 0;
 };
 
-/// Judges machines round by round by their heartbeats and by the effect of what they were sent.
+/// Checks machines round by round by their heartbeats and by the effect of what they were sent.
 /// Pure: it changes no machine; whoever owns them acts on its findings. Owns what is known of the
 /// fleet as a whole: zones that are cut off and times at which most machines were silent.
 class FailureDetector {
@@ -40,7 +40,7 @@
     FailureDetector(const Bounds& bounds, const WorkOnMachine& work)
         : bounds_(bounds), work_(work) {}
 
-    /// The leader lease may have expired: no machine is judged, and silence counts anew from the
+    /// The leader lease may have expired: no machine is checked, and silence counts anew from the
     /// next round.
     void suspend() { sure_since_ = -1; }
     /// Begins a round. `wanted_patience`: the policy's patience with silent machines, if any.
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -232,7 +232,7 @@
         const Job& job = found->second;
         if (task->phase != TaskPhase::Exited) {
             if (!is_allocated(step.machine, attempt.job, *task)) {
-                add_stray(step, attempt.job, *task);
+                add_unexpected_allocation(step, attempt.job, *task);
             }
             continue;
         }
@@ -255,7 +255,8 @@
 }
 
 // A task on a machine without a record: it counts as there until gone, and is halted.
-void Cluster::add_stray(Reconciliation& step, JobIndex index, const TaskReport& task) {
+void Cluster::add_unexpected_allocation(Reconciliation& step, JobIndex index,
+                                        const TaskReport& task) {
     Job& job = jobs_.at(index);
     Allocation allocation;
     allocation.job = index;
@@ -265,7 +266,7 @@
     allocation.session = step.report.session;
     allocation.state = Allocation::State::Seen;
     allocation.phase = task.phase;
-    allocation.stray = true;
+    allocation.unexpected = true;
     allocation.reported = true;
     allocation.stop = true;
     allocation.since = step.now;
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -297,7 +297,17 @@
     for (auto [first, last] : write.record.done) {
         for (auto task = first; task <= last; ++task) job.done_flags[task] = 2;
     }
-    for (const auto& placed : write.record.placed) {
+    make_ready(job, write.record.placed);
+    if (job.spec.gang) hold_back_incomplete_gang(job);
+    job.to_move.erase(write.record_number);
+    if (job.layout > 0 && job.records.begin()->first < job.layout * kNumbersOfALayout) {
+        drop_superseded(write.job);
+    }
+}
+
+// Attempts that a durable record names may be sent.
+void Cluster::make_ready(const Job& job, const std::vector<PlacedTask>& placed_tasks) {
+    for (const auto& placed : placed_tasks) {
         const auto [from, to] = job.allocations.equal_range(placed.task);
         for (auto entry = from; entry != to; ++entry) {
             Allocation& allocation = allocations_[entry->second];
@@ -307,20 +317,17 @@
             }
         }
     }
-    if (job.spec.gang) {
-        // A gang in several records starts only once all of them are durable.
-        bool all = true;
-        for (auto& [number, other] : job.records) all &= !other.dirty && !other.writing;
-        for (auto& [task, allocation_index] : job.allocations) {
-            Allocation& allocation = allocations_[allocation_index];
-            if (is_unsent(allocation)) {
-                allocation.state = all ? Allocation::State::Ready : Allocation::State::Planned;
-            }
-        }
-    }
-    job.to_move.erase(write.record_number);
-    if (job.layout > 0 && job.records.begin()->first < job.layout * kNumbersOfALayout) {
-        drop_superseded(write.job);
+}
+
+// A gang in several records starts only once all of them are durable.
+void Cluster::hold_back_incomplete_gang(const Job& job) {
+    const bool all_durable =
+        std::none_of(job.records.begin(), job.records.end(),
+                     [](const auto& entry) { return entry.second.dirty || entry.second.writing; });
+    for (const auto& [task, allocation_index] : job.allocations) {
+        Allocation& allocation = allocations_[allocation_index];
+        if (!is_unsent(allocation)) continue;
+        allocation.state = all_durable ? Allocation::State::Ready : Allocation::State::Planned;
     }
 }
 
--- a/src/core/safety_guards.h
+++ b/src/core/safety_guards.h
@@ -53,7 +53,7 @@
 
     /// What waited too long goes first and reserves resources ("Exceptions to the plain rule", 1).
     bool claims = true;
-    /// A machine that nothing sent reaches gets no work ("What judges a machine", effect).
+    /// A machine that nothing sent reaches gets no work ("Failure detection", unreachable).
     bool command_effect_check = true;
 
     // ---- upgrades ("Layouts of placement records") ----
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -7,6 +7,13 @@
 
 namespace {
 
+// How long a job waits for resources that are about to be free, without an operators' policy.
+constexpr double kProvisionShareOfSlack = 0.5;
+constexpr double kMinProvisionPatienceS = 3;
+constexpr double kMaxProvisionPatienceS = 20;
+constexpr double kOnDemandShareOfSlack = 0.6;
+constexpr double kMaxOnDemandPatienceS = 60;
+
 constexpr Millis kWarmFor = 600'000;
 constexpr std::size_t kMachinesThatProveAMistake = 3;
 constexpr double kReplicaSlack = 2;  // seconds
@@ -291,8 +298,10 @@
     // A replica that waits is lost time, however long its service has been up.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlack);
     item.order_s = item.slack_s;
-    item.provision_patience_s = std::clamp(item.slack_s * 0.5, 3.0, 20.0);
-    item.on_demand_patience_s = std::clamp(item.slack_s * 0.6, item.provision_patience_s, 60.0);
+    item.provision_patience_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
+                                           kMinProvisionPatienceS, kMaxProvisionPatienceS);
+    item.on_demand_patience_s = std::clamp(item.slack_s * kOnDemandShareOfSlack,
+                                           item.provision_patience_s, kMaxOnDemandPatienceS);
     if (settings_.policy) {
         auto about = facts(job);
         about.slack_s = item.slack_s;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -159,6 +159,9 @@
     double within_s = 0;   ///< seconds from the submission
 };
 
+/// Boot time of a machine type for which the cloud gives none, seconds.
+inline constexpr double kDefaultBootS = 60;
+
 /// A machine type that the cloud offers.
 struct MachineType {
     std::string name;                ///< the cloud's name
@@ -167,7 +170,7 @@
     double fetch_gb_s = 1;           ///< fetches images so fast, GB a second
     double hourly = 0;               ///< price of an on-demand machine
     double spot_hourly = 0;          ///< price of a spot machine
-    double boot_s = 60;              ///< from the request to the first report, seconds
+    double boot_s = kDefaultBootS;   ///< from the request to the first report, seconds
     std::vector<std::string> zones;  ///< where it can be provisioned
     /// Field by field.
     auto operator<=>(const MachineType&) const = default;
