--- a/src/control/command_dispatcher.cpp
+++ b/src/control/command_dispatcher.cpp
@@ -32,7 +32,7 @@
     const auto now = term_.runtime.now();
     const auto limit = kMaxCallsInFlight - calls_in_flight_;
     const auto machines = term_.cluster->with_lock(
-        [&](core::Cluster& cluster) { return cluster.machines_to_ask(limit, now); });
+        [&](core::Cluster& cluster) { return cluster.machines_to_probe(limit, now); });
     for (const auto& machine : machines) call(machine);
 }
 
@@ -64,7 +64,7 @@
         }));
 }
 
-void CommandDispatcher::on_answer(const core::Cluster::Direct& commands,
+void CommandDispatcher::on_answer(const core::Cluster::DirectCommand& commands,
                                   const net::HttpReply& reply) {
     --calls_in_flight_;
     const auto now = term_.runtime.now();
--- a/src/control/command_dispatcher.h
+++ b/src/control/command_dispatcher.h
@@ -26,7 +26,7 @@
 
   private:
     void call(const std::string& machine);
-    void on_answer(const core::Cluster::Direct& commands, const net::HttpReply& reply);
+    void on_answer(const core::Cluster::DirectCommand& commands, const net::HttpReply& reply);
 
     Term& term_;
     std::function<void()> on_cluster_changed_;
--- a/src/control/failover_reader.cpp
+++ b/src/control/failover_reader.cpp
@@ -29,7 +29,7 @@
     open_jobs_read_ = true;
     const auto now = term_.runtime.now();
     term_.cluster->with_lock([&](core::Cluster& cluster) {
-        cluster.records_to_come();
+        cluster.await_records();
         for (const auto& [id, job] : job_watcher_.open_jobs()) {
             cluster.add_job(job.text, job.revision, now, false, term_.age_of(job.text));
         }
--- a/src/control/feasibility.cpp
+++ b/src/control/feasibility.cpp
@@ -15,7 +15,7 @@
     return static_cast<std::int64_t>(std::ceil(amount * kThousandths - kRoundingError));
 }
 
-bool allows(const core::JobText& job, const core::MachineType& type) {
+bool allows(const core::JobDescription& job, const core::MachineType& type) {
     if (job.types &&
         std::find(job.types->begin(), job.types->end(), type.name) == job.types->end()) {
         return false;
@@ -41,7 +41,7 @@
 }
 
 tl::expected<void, InfeasibleReason> check_feasibility(
-    const core::JobText& job, const std::vector<core::Team>& teams,
+    const core::JobDescription& job, const std::vector<core::Team>& teams,
     const std::vector<core::MachineType>& types) {
     const auto team = std::find_if(teams.begin(), teams.end(),
                                    [&](const auto& known) { return known.name == job.team; });
@@ -49,7 +49,7 @@
 
     const core::Resources task{rounded_up(job.cpus), rounded_up(job.gpus), rounded_up(job.mem_gb)};
     const bool fits = std::any_of(types.begin(), types.end(), [&](const auto& type) {
-        return allows(job, type) && type.room.covers(task);
+        return allows(job, type) && type.capacity.covers(task);
     });
     if (!fits) return tl::unexpected(InfeasibleReason::NoMachineTypeFits);
 
--- a/src/control/feasibility.h
+++ b/src/control/feasibility.h
@@ -23,7 +23,7 @@
 /// Whether the job could run on an otherwise empty cluster of these machine types. A gang and a
 /// service count whole against their team's limit, of an array only one task.
 [[nodiscard]] tl::expected<void, InfeasibleReason> check_feasibility(
-    const core::JobText& job, const std::vector<core::Team>& teams,
+    const core::JobDescription& job, const std::vector<core::Team>& teams,
     const std::vector<core::MachineType>& types);
 
 }  // namespace lichendrift::control
--- a/src/control/fleet_sync.cpp
+++ b/src/control/fleet_sync.cpp
@@ -158,7 +158,7 @@
 void FleetSync::on_releases_inherited(const std::vector<std::string>& machines) {
     const auto now = term_.runtime.now();
     term_.cluster->with_lock(
-        [&](core::Cluster& cluster) { cluster.release_pending(machines, now); });
+        [&](core::Cluster& cluster) { cluster.on_pending_releases(machines, now); });
     term_.host.log(events::ReleasesInherited{machines.size(), machines.front()});
 }
 
@@ -186,8 +186,9 @@
     if (refused) {
         const auto type = term_.cluster->type_index(request.type);
         const auto zone = term_.cluster->zone_index(request.zone);
-        term_.cluster->with_lock(
-            [&](core::Cluster& cluster) { cluster.on_refused(type, zone, request.spot, now); });
+        term_.cluster->with_lock([&](core::Cluster& cluster) {
+            cluster.on_provision_refused(type, zone, request.spot, now);
+        });
     }
     term_.host.log(events::ProvisionCompleted{request.request, machines.size(),
                                               result == cloud::Result::NoCapacity});
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -216,7 +216,7 @@
     }
 }
 
-void JobWatcher::on_open_written(const core::JobText& text, std::uint64_t revision) {
+void JobWatcher::on_open_written(const core::JobDescription& text, std::uint64_t revision) {
     // A read may have brought this, and what came after it, already.
     if (revision <= revision_ || terminal_states_.contains(text.id)) return;
     open_[text.id] = {text, revision};
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -41,13 +41,13 @@
   public:
     /// An open job as stored.
     struct OpenJob {
-        core::JobText text;          ///< its description
+        core::JobDescription text;   ///< its description
         std::uint64_t revision = 0;  ///< of its key, the condition of later transactions
     };
     /// Gets every change while a leader is active. Called while the copy is being updated.
     struct Listener {
         /// A job is open; may repeat a job that is known. Arguments: description, revision.
-        std::function<void(const core::JobText&, std::uint64_t)> on_open;
+        std::function<void(const core::JobDescription&, std::uint64_t)> on_open;
         /// A job has ended; may repeat. If only its absence is known, Aborted is given: its tasks
         /// have to end either way.
         std::function<void(const std::string& job_id, TerminalState)> on_terminal;
@@ -86,7 +86,7 @@
     [[nodiscard]] Millis read_at() const { return read_at_; }
 
     /// This node has stored a new job at `revision`.
-    void on_open_written(const core::JobText& text, std::uint64_t revision);
+    void on_open_written(const core::JobDescription& text, std::uint64_t revision);
     /// This node has stored a terminal state at `revision`.
     void on_terminal_state_written(const std::string& job_id, TerminalState state,
                                    std::uint64_t revision);
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -51,7 +51,7 @@
 
 void Leader::follow_jobs() {
     job_watcher_.start_watching(
-        {term_.callbacks.bind([this](const core::JobText& job, std::uint64_t revision) {
+        {term_.callbacks.bind([this](const core::JobDescription& job, std::uint64_t revision) {
              on_job_opened(job, revision);
          }),
          term_.callbacks.bind([this](const std::string& job_id, TerminalState state) {
@@ -59,7 +59,7 @@
          })});
 }
 
-void Leader::on_job_opened(const core::JobText& job, std::uint64_t revision) {
+void Leader::on_job_opened(const core::JobDescription& job, std::uint64_t revision) {
     const auto now = term_.runtime.now();
     const auto age_ms = term_.age_of(job);
     term_.cluster->with_lock(
@@ -71,7 +71,7 @@
 void Leader::on_job_over(const std::string& job_id, TerminalState state) {
     const auto now = term_.runtime.now();
     term_.cluster->with_lock([&](core::Cluster& cluster) {
-        cluster.job_over(job_id, state == TerminalState::Aborted, now);
+        cluster.on_job_terminal(job_id, state == TerminalState::Aborted, now);
     });
     on_cluster_changed();
 }
@@ -139,7 +139,7 @@
     const auto applied =
         term_.cluster->with_lock([&](core::Cluster& cluster) { return cluster.apply(plan, now); });
     for (const auto& event : applied.events) term_.host.log(event);
-    if (applied.starts + applied.stops > 0) {
+    if (applied.starts + applied.preemptions > 0) {
         write_records();
         dispatch_commands();
     }
@@ -162,7 +162,7 @@
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         outcome = cluster.on_report(report, true, now);
         // A late copy gets no commands: nobody waits for its answer.
-        if (may_renew && outcome.fresh && !cluster.calling(report.machine)) {
+        if (may_renew && outcome.fresh && !cluster.direct_in_flight(report.machine)) {
             answer.commands =
                 cluster.heartbeat_commands(report.machine, report.seq, may_start, now);
         }
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -64,7 +64,7 @@
 
   private:
     void follow_jobs();
-    void on_job_opened(const core::JobText& job, std::uint64_t revision);
+    void on_job_opened(const core::JobDescription& job, std::uint64_t revision);
     void on_job_over(const std::string& job_id, TerminalState state);
     void on_state_read();
     void tick();
--- a/src/control/locked_cluster.h
+++ b/src/control/locked_cluster.h
@@ -51,15 +51,15 @@
     }
 
   private:
-    static core::Names names_of(const std::vector<std::string>& names) {
-        core::Names interned;
+    static core::NameTable names_of(const std::vector<std::string>& names) {
+        core::NameTable interned;
         for (const auto& name : names) interned.intern(name);
         return interned;
     }
 
     std::mutex mutex_;
-    core::Names types_;
-    core::Names zones_;
+    core::NameTable types_;
+    core::NameTable zones_;
     core::Cluster cluster_;
 };
 
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -142,10 +142,11 @@
     const auto now = term_.runtime.now();
     const auto max_records = term_.store.max_transaction_operations() - kTerminalOperations;
     return term_.cluster->with_lock([&](core::Cluster& cluster) -> std::optional<TerminalWrite> {
-        auto write = cluster.next_final_write(max_records, now);
+        auto write = cluster.next_terminal_state_write(max_records, now);
         if (!write) return std::nullopt;
         TerminalWrite terminal{std::move(*write), {}};
-        if (terminal.write.with_job) terminal.job = cluster.jobs().at(terminal.write.job).text;
+        if (terminal.write.with_job)
+            terminal.job = cluster.jobs().at(terminal.write.job).description;
         return terminal;
     });
 }
@@ -183,14 +184,14 @@
     }
 }
 
-void RecordWriter::on_terminal_state_written(const core::FinalWrite& write,
+void RecordWriter::on_terminal_state_written(const core::TerminalStateWrite& write,
                                              const store::TransactionResult& result) {
     --terminal_writes_in_flight_;
     if (term_.step_down_if_replaced(result)) return;
     const bool ok = result.outcome == store::Outcome::Ok;
     const auto now = term_.runtime.now();
     term_.cluster->with_lock(
-        [&](core::Cluster& cluster) { cluster.final_written(write, ok, now); });
+        [&](core::Cluster& cluster) { cluster.on_terminal_state_written(write, ok, now); });
     if (ok) {
         term_.host.log(events::JobCompleted{write.job_id});
         job_watcher_.on_terminal_state_written(write.job_id, TerminalState::Done, result.revision);
--- a/src/control/record_writer.h
+++ b/src/control/record_writer.h
@@ -34,8 +34,8 @@
         std::vector<wire::Change> changes;
     };
     struct TerminalWrite {
-        core::FinalWrite write;
-        core::JobText job;  // if it is stored with the terminal state
+        core::TerminalStateWrite write;
+        core::JobDescription job;  // if it is stored with the terminal state
     };
     [[nodiscard]] core::Cluster::RecordLimits record_limits() const;
     [[nodiscard]] Transaction placement_transaction(const RecordWrites& writes) const;
@@ -50,7 +50,7 @@
                       const wire::Item& item);
     [[nodiscard]] std::optional<TerminalWrite> next_terminal_write();
     void write_terminal_states();
-    void on_terminal_state_written(const core::FinalWrite& write,
+    void on_terminal_state_written(const core::TerminalStateWrite& write,
                                    const store::TransactionResult& result);
     void remove_orphaned_records();
 
--- a/src/control/submission_batcher.cpp
+++ b/src/control/submission_batcher.cpp
@@ -35,7 +35,8 @@
 SubmissionBatcher::SubmissionBatcher(store::StoreClient& store, JobWatcher& job_watcher)
     : store_(store), job_watcher_(job_watcher) {}
 
-tl::expected<void, EnqueueError> SubmissionBatcher::enqueue(core::JobText job, OnResult done) {
+tl::expected<void, EnqueueError> SubmissionBatcher::enqueue(core::JobDescription job,
+                                                            OnResult done) {
     if (const auto earlier = callbacks_.find(job.id); earlier != callbacks_.end()) {
         if (earlier->second.size() > kMaxDuplicates) {
             return tl::unexpected(EnqueueError::TooManyDuplicates);
--- a/src/control/submission_batcher.h
+++ b/src/control/submission_batcher.h
@@ -43,11 +43,11 @@
     SubmissionBatcher(store::StoreClient& store, JobWatcher& job_watcher);
 
     /// Queues a job. On an error `done` is not called.
-    tl::expected<void, EnqueueError> enqueue(core::JobText job, OnResult done);
+    tl::expected<void, EnqueueError> enqueue(core::JobDescription job, OnResult done);
 
   private:
     struct Submission {
-        core::JobText job;
+        core::JobDescription job;
         std::string value;  // as stored
     };
     struct Batch {
--- a/src/control/term.h
+++ b/src/control/term.h
@@ -36,7 +36,7 @@
     bool step_down_if_replaced(const store::TransactionResult& result);
 
     /// Milliseconds since the job's submission, by the time of day.
-    [[nodiscard]] Millis age_of(const core::JobText& job) const {
+    [[nodiscard]] Millis age_of(const core::JobDescription& job) const {
         return runtime.wall_ms() - job.submitted_ms;
     }
 };
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -123,7 +123,7 @@
     store_job(std::move(job), respond);
 }
 
-void UserApi::store_job(core::JobText job, const net::Respond& respond) {
+void UserApi::store_job(core::JobDescription job, const net::Respond& respond) {
     job.submitted_ms = runtime_.wall_ms();
     const auto job_id = job.id;
     const auto queued =
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -53,7 +53,7 @@
     using OnUnknownJob = std::function<void(const net::Respond&)>;
 
     void submit(const std::string& body, net::Respond respond);
-    void store_job(core::JobText job, const net::Respond& respond);
+    void store_job(core::JobDescription job, const net::Respond& respond);
     void on_submission_result(const std::string& job_id, const net::Respond& respond,
                               SubmissionResult result);
     void on_enqueue_error(const net::Respond& respond, EnqueueError error);
--- a/src/core/admission_check.cpp
+++ b/src/core/admission_check.cpp
@@ -12,16 +12,16 @@
 }  // namespace
 
 bool AdmissionCheck::is_usable(const Machine& machine, Millis now) const {
-    return machine.life == Machine::Life::Up && machine.synced && !machine.drain.any() &&
-           !machine.taken_at && machine.type != kInvalidIndex && machine.quarantine_until <= now &&
-           machine.unreachable_since == 0 &&
+    return machine.lifecycle == Machine::Lifecycle::Up && machine.synced && !machine.drain.any() &&
+           !machine.reclaim_at && machine.type != kInvalidIndex &&
+           machine.quarantine_until <= now && machine.unreachable_since == 0 &&
            now - machine.last_heartbeat_at <= report_ms_ * 2 + kUsableMargin;
 }
 
 tl::expected<void, StartRefusal> AdmissionCheck::check_start(
     const Job& job, const std::vector<TaskPlacement>& placements, Millis now) const {
     const JobSpec& spec = job.spec;
-    if (job.over || job.finishing || spec.team == kInvalidIndex) {
+    if (job.terminal || job.writing_terminal_state || spec.team == kInvalidIndex) {
         return tl::unexpected(StartRefusal::JobNotOpen);
     }
     std::map<MachineIndex, Resources> free;
@@ -39,7 +39,7 @@
         if (!meets_constraints(spec, machine)) {
             return tl::unexpected(StartRefusal::ConstraintViolated);
         }
-        const auto [it, fresh] = free.try_emplace(index, state_.types[machine.type].room);
+        const auto [it, fresh] = free.try_emplace(index, state_.types[machine.type].capacity);
         if (fresh) it->second -= machine.used;
         if (!it->second.covers(spec.need)) return tl::unexpected(StartRefusal::NoCapacity);
         it->second -= spec.need;
@@ -62,11 +62,11 @@
 // `zones`: how many tasks of the job would be in each.
 bool AdmissionCheck::zones_allowed(const JobSpec& spec,
                                    const std::map<ZoneIndex, std::uint32_t>& zones) {
-    if (!spec.one_zone && !spec.apart) return true;
+    if (!spec.one_zone && !spec.spread_zones) return true;
     // Tasks on machines whose zone is not known could be anywhere.
     if (zones.contains(kInvalidIndex)) return false;
     if (spec.one_zone && zones.size() > 1) return false;
-    if (!spec.apart) return true;
+    if (!spec.spread_zones) return true;
     return std::all_of(zones.begin(), zones.end(),
                        [&](const auto& zone) { return zone.second <= (spec.count + 1) / 2; });
 }
--- a/src/core/allocation.h
+++ b/src/core/allocation.h
@@ -24,17 +24,17 @@
     TaskPhase phase = TaskPhase::Pulling;  ///< by the newest report
     bool reported = false;                 ///< a report of this term has shown it alive
     bool unexpected = false;               ///< found on a machine without a record of it
-    bool stop = false;                     ///< to be halted
+    bool stop_requested = false;           ///< to be halted
     double grace_s = 0;                    ///< time that the halt leaves it to save, seconds
     /// A direct run had no answer: it may still be carried out.
     bool direct_unconfirmed = false;
-    std::uint64_t direct_open = 0;    ///< direct runs under way
-    std::uint64_t direct_token = 0;   ///< token of the newest direct run
-    std::uint64_t heartbeat_seq = 0;  ///< newest heartbeat whose answer carried the run
-    std::uint64_t halt_seq = 0;       ///< newest heartbeat whose answer carried the halt
-    Millis since = 0;                 ///< when it was made
-    Millis running_since = 0;         ///< when it was first seen running; 0: not so far
-    Millis stop_since = 0;            ///< when it was to be halted first
+    std::uint64_t direct_runs_in_flight = 0;  ///< direct runs under way
+    std::uint64_t direct_token = 0;           ///< token of the newest direct run
+    std::uint64_t heartbeat_seq = 0;          ///< newest heartbeat whose answer carried the run
+    std::uint64_t halt_seq = 0;               ///< newest heartbeat whose answer carried the halt
+    Millis created_at = 0;                    ///< when it was made
+    Millis running_since = 0;                 ///< when it was first seen running; 0: not so far
+    Millis stop_requested_at = 0;             ///< when it was to be halted first
 };
 
 /// Whether no run of it was sent so far: it can be taken back without a proof.
--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -30,7 +30,7 @@
     job.allocations.emplace(allocation.task, index);
     machines_[allocation.machine].allocations.push_back(index);
     machines_[allocation.machine].used += job.spec.need;
-    attention_.insert(allocation.machine);
+    pending_machines_.insert(allocation.machine);
     if (job.spec.team != kInvalidIndex) team_used_[job.spec.team] += job.spec.need;
     return index;
 }
@@ -52,9 +52,9 @@
     }
     allocations_[index] = Allocation{};
     free_allocations_.push_back(index);
-    if (requeue && !job.over && job.done_flags[allocation.task] == 0 &&
+    if (requeue && !job.terminal && job.done_flags[allocation.task] == 0 &&
         !job.allocations.contains(allocation.task)) {
-        if (allocation.task < job.next_fresh) job.again.insert(allocation.task);
+        if (allocation.task < job.next_unplaced) job.requeued.insert(allocation.task);
         if (job.allocations.empty() || !job.spec.gang) job.waiting_since = now;
         // One task of a gang is gone: the rest cannot go on without it.
         if (job.spec.gang && job.done == 0) {
@@ -65,7 +65,7 @@
             }
         }
     }
-    drop_if_gone(allocation.job);
+    forget_if_finished(allocation.job);
 }
 
 void Cluster::release_all(MachineIndex machine_index, std::uint64_t below_session, Millis now) {
@@ -84,15 +84,15 @@
 
 // A task that was placed does not wait any more; those before it were not tried yet, and go on
 // waiting.
-void Cluster::take_from_waiting(Job& job, std::uint32_t task) {
-    while (job.next_fresh <= task) job.again.insert(job.next_fresh++);
-    job.again.erase(task);
+void Cluster::remove_from_waiting(Job& job, std::uint32_t task) {
+    while (job.next_unplaced <= task) job.requeued.insert(job.next_unplaced++);
+    job.requeued.erase(task);
 }
 
-void Cluster::drop_if_gone(JobIndex index) {
+void Cluster::forget_if_finished(JobIndex index) {
     auto it = jobs_.find(index);
-    if (it == jobs_.end() || !it->second.over || !it->second.allocations.empty()) return;
-    if (records_to_come_ && settings_.guards.kept_until_loaded) return;
+    if (it == jobs_.end() || !it->second.terminal || !it->second.allocations.empty()) return;
+    if (awaiting_records_ && settings_.guards.kept_until_loaded) return;
     for (const auto& [number, record] : it->second.records) {
         // A write in flight may still create the record: removing it later is harmless.
         if (record.revision != 0 || record.writing || record.dirty) {
@@ -111,7 +111,7 @@
         if (job.done_flags[number] != 0) return;
         job.done_flags[number] = 1;
         ++job.done;
-        take_from_waiting(job, number);
+        remove_from_waiting(job, number);
         mark_lazy(job, number, now);
     };
     if (job.spec.gang) {
@@ -130,11 +130,11 @@
         release(index, true, now);
         return;
     }
-    attention_.insert(allocation.machine);
-    if (!allocation.stop) {
-        allocation.stop = true;
+    pending_machines_.insert(allocation.machine);
+    if (!allocation.stop_requested) {
+        allocation.stop_requested = true;
         allocation.grace_s = grace_s;
-        allocation.stop_since = now;
+        allocation.stop_requested_at = now;
     } else {
         allocation.grace_s = std::min(allocation.grace_s, grace_s);
     }
@@ -143,14 +143,14 @@
 // A run that was sent and surely comes to nothing. What is to be stopped by now is over with it:
 // kept as one to be sent, it would be neither sent nor halted and would count against its machine
 // for ever.
-void Cluster::run_came_to_nothing(AllocationIndex index, Millis now) {
+void Cluster::on_run_not_executed(AllocationIndex index, Millis now) {
     Allocation& allocation = allocations_[index];
-    if (allocation.stop) {
+    if (allocation.stop_requested) {
         release(index, true, now);
         return;
     }
     allocation.state = Allocation::State::Ready;
-    attention_.insert(allocation.machine);
+    pending_machines_.insert(allocation.machine);
 }
 
 void Cluster::stop_with_gang(AllocationIndex index, double grace_s, Millis now) {
@@ -171,25 +171,26 @@
     const Allocation allocation = allocations_[index];
     Job& job = jobs_[allocation.job];
     Machine& machine = machines_[allocation.machine];
-    if (job.spec.service && (task.why == ExitWhy::Done || task.why == ExitWhy::Error)) {
-        note_replica_exit(index, task.why == ExitWhy::Error, now);
+    if (job.spec.service &&
+        (task.exit_reason == ExitReason::Done || task.exit_reason == ExitReason::Error)) {
+        note_replica_exit(index, task.exit_reason == ExitReason::Error, now);
         return;
     }
-    switch (task.why) {
-        case ExitWhy::Done:
+    switch (task.exit_reason) {
+        case ExitReason::Done:
             machine.failed_jobs.clear();
             job.failures = 0;
-            if (!job.over) mark_done(allocation.job, allocation.task, now);
+            if (!job.terminal) mark_done(allocation.job, allocation.task, now);
             break;
-        case ExitWhy::Error:
+        case ExitReason::Error:
             note_failure(job, allocation.machine, now);
             break;
-        case ExitWhy::Full:
-        case ExitWhy::Busy:
+        case ExitReason::InsufficientResources:
+        case ExitReason::OtherAttemptPresent:
             machine.quarantine_until = std::max(machine.quarantine_until, now + 1000);
             break;
-        case ExitWhy::Unknown:
-        case ExitWhy::Alone:
+        case ExitReason::Unknown:
+        case ExitReason::PeersMissing:
             job.retry_at = std::max(job.retry_at, now + kStartRefusedPause);
             break;
         default:
@@ -216,19 +217,19 @@
     release(index, true, now);
     const auto found = jobs_.find(job_index);
     if (failures_in_a_row <= 1 || found == jobs_.end()) return;
-    if (found->second.again.erase(task) == 0) return;
+    if (found->second.requeued.erase(task) == 0) return;
     const auto pause = std::min<Millis>(kFirstReplicaPause << std::min(failures_in_a_row - 2, 10U),
                                         kLongestReplicaPause);
-    resting_.emplace(now + pause, job_index, task);
+    replica_backoffs_.emplace(now + pause, job_index, task);
 }
 
-void Cluster::wake_replicas(Millis now) {
-    while (!resting_.empty() && std::get<0>(*resting_.begin()) <= now) {
-        const auto [due, job_index, task] = *resting_.begin();
-        resting_.erase(resting_.begin());
+void Cluster::end_replica_backoffs(Millis now) {
+    while (!replica_backoffs_.empty() && std::get<0>(*replica_backoffs_.begin()) <= now) {
+        const auto [due, job_index, task] = *replica_backoffs_.begin();
+        replica_backoffs_.erase(replica_backoffs_.begin());
         const auto found = jobs_.find(job_index);
         if (found == jobs_.end() || found->second.allocations.contains(task)) continue;
-        found->second.again.insert(task);
+        found->second.requeued.insert(task);
     }
 }
 
@@ -238,19 +239,19 @@
     const auto allocated = machines_[machine_index].allocations;
     for (auto allocation_index : allocated) {
         const Allocation& allocation = allocations_[allocation_index];
-        if (allocation.job != kInvalidIndex && !allocation.stop &&
+        if (allocation.job != kInvalidIndex && !allocation.stop_requested &&
             jobs_[allocation.job].spec.service)
             stop_allocation(allocation_index, 0, now);
     }
 }
 
 std::uint32_t Cluster::waiting(const Job& job) const {
-    if (job.over || job.finishing || job.spec.team == kInvalidIndex) return 0;
+    if (job.terminal || job.writing_terminal_state || job.spec.team == kInvalidIndex) return 0;
     if (job.spec.gang) return job.allocations.empty() && job.done == 0 ? job.spec.count : 0;
-    return static_cast<std::uint32_t>(job.again.size()) + (job.spec.count - job.next_fresh);
+    return static_cast<std::uint32_t>(job.requeued.size()) + (job.spec.count - job.next_unplaced);
 }
 
-std::vector<std::uint32_t> Cluster::take_waiting(const Job& job, std::uint32_t limit) const {
+std::vector<std::uint32_t> Cluster::next_waiting_tasks(const Job& job, std::uint32_t limit) const {
     std::vector<std::uint32_t> out;
     if (job.spec.gang) {
         for (std::uint32_t task = 0; task < std::min(limit, job.spec.count); ++task) {
@@ -258,11 +259,11 @@
         }
         return out;
     }
-    for (const auto task : job.again) {
+    for (const auto task : job.requeued) {
         if (out.size() >= limit) return out;
         out.push_back(task);
     }
-    for (auto task = job.next_fresh; task < job.spec.count && out.size() < limit; ++task) {
+    for (auto task = job.next_unplaced; task < job.spec.count && out.size() < limit; ++task) {
         out.push_back(task);
     }
     return out;
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Cluster::Cluster(ClusterSettings settings, Names& types, Names& zones)
+Cluster::Cluster(ClusterSettings settings, NameTable& types, NameTable& zones)
     : settings_(std::move(settings)),
       types_(types),
       zones_(zones),
@@ -34,7 +34,7 @@
         team_list_.push_back(team);
     }
     team_used_.resize(team_list_.size());
-    team_busy_.resize(team_list_.size(), -1);
+    team_last_active_.resize(team_list_.size(), -1);
     settings_.tuning.reservations = settings_.guards.claims;
     for (const auto& objective : settings_.objectives) {
         if (objective.kind == Objective::Kind::Guarantee) guarantee_s_ = objective.within_s;
@@ -50,17 +50,17 @@
     }
 }
 
-void Cluster::add_job(const JobText& text, std::uint64_t open_revision, Millis now, bool over,
-                      Millis age_ms) {
+void Cluster::add_job(const JobDescription& text, std::uint64_t open_revision, Millis now,
+                      bool terminal, Millis age_ms) {
     if (job_ids_.contains(text.id)) return;
     const auto index = next_job_++;
     job_ids_.emplace(text.id, index);
     Job& job = jobs_[index];
     job.id = text.id;
-    job.text = text;
+    job.description = text;
     job.open_revision = open_revision;
-    job.over = over;
-    job.aborted = over;
+    job.terminal = terminal;
+    job.cancelled = terminal;
     // A new leader goes on counting: with a change of leader every few minutes nothing would ever
     // have waited long enough to go first.
     job.waiting_since = now - std::max<Millis>(age_ms, 0);
@@ -80,7 +80,7 @@
     if (spec.has_start_objective) note_arrival(spec, now);
 }
 
-JobSpec Cluster::make_spec(const JobText& text) {
+JobSpec Cluster::make_spec(const JobDescription& text) {
     JobSpec spec;
     spec.cls = classes_.intern(text.cls);
     spec.team = teams_.find(text.team);
@@ -101,7 +101,7 @@
     }
     spec.zone = text.zone ? zones_.intern(*text.zone) : kInvalidIndex;
     spec.one_zone = text.one_zone;
-    spec.apart = text.apart;
+    spec.spread_zones = text.spread_zones;
     spec.spot = text.spot;
     spec.estimate_s = text.estimate_s;
     spec.checkpoint_s = text.checkpoint_s;
@@ -130,27 +130,27 @@
 
 // What keeps capacity warm for the next jobs of the class.
 void Cluster::note_arrival(const JobSpec& spec, Millis now) {
-    warm_[spec.image] = now;
+    recent_images_[spec.image] = now;
     Arrivals& arrivals = arrivals_[spec.cls];
-    const double passed = static_cast<double>(now - arrivals.at) / kRateFor;
-    arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kRateFor;
+    const double passed = static_cast<double>(now - arrivals.at) / kArrivalRateWindowMs;
+    arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kArrivalRateWindowMs;
     arrivals.at = now;
     arrivals.spec = spec;
-    if (warm_.size() <= kMaxWarm) return;
-    warm_.erase(std::min_element(
-        warm_.begin(), warm_.end(),
+    if (recent_images_.size() <= kMaxWarm) return;
+    recent_images_.erase(std::min_element(
+        recent_images_.begin(), recent_images_.end(),
         [](const auto& one, const auto& other) { return one.second < other.second; }));
 }
 
-void Cluster::job_over(const std::string& job_id, bool aborted, Millis now) {
+void Cluster::on_job_terminal(const std::string& job_id, bool cancelled, Millis now) {
     auto found = job_ids_.find(job_id);
     if (found == job_ids_.end()) return;
     const auto index = found->second;
     Job& job = jobs_[index];
-    if (job.over) return;
-    job.over = true;
-    job.aborted = aborted;
-    job.finishing = false;
+    if (job.terminal) return;
+    job.terminal = true;
+    job.cancelled = cancelled;
+    job.writing_terminal_state = false;
     std::vector<AllocationIndex> allocated;
     for (const auto& [task, allocation_index] : job.allocations) {
         allocated.push_back(allocation_index);
@@ -159,11 +159,11 @@
         const Allocation& allocation = allocations_[allocation_index];
         if (is_unsent(allocation)) {
             release(allocation_index, false, now);
-        } else if (aborted) {
+        } else if (cancelled) {
             stop_allocation(allocation_index, 0, now);
         }
     }
-    drop_if_gone(index);
+    forget_if_finished(index);
 }
 
 std::vector<events::PolicyValueRejected> Cluster::take_rejected_policy_values() {
@@ -177,11 +177,12 @@
     for (const auto& preemption : plan.preemptions) apply_preemption(preemption, applied, now);
     for (const auto index : plan.releases) apply_release(machines_[index], applied);
     if (plan.capacity_short) cancel_consolidation(applied);
-    const bool may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
+    const bool may_drain = now - last_drain_at_ >= settings_.tuning.drain_interval_ms;
     for (const auto index : plan.drains) {
         Machine& machine = machines_[index];
-        if (machine.life != Machine::Life::Up || machine.drain.any() || !may_drain) continue;
-        drained_at_ = now;
+        if (machine.lifecycle != Machine::Lifecycle::Up || machine.drain.any() || !may_drain)
+            continue;
+        last_drain_at_ = now;
         machine.drain.add(DrainReason::Consolidation);
         applied.events.emplace_back(events::MachineDrainStarted{machine.name});
         move_work_off(index, now);
@@ -196,7 +197,7 @@
     Job& job = it->second;
     const auto limit = static_cast<std::uint32_t>(start.machines.size());
     if (waiting(job) < limit || job.retry_at > now) return;
-    const auto tasks = take_waiting(job, limit);
+    const auto tasks = next_waiting_tasks(job, limit);
     if (job.spec.gang && tasks.size() != job.spec.count) return;
     std::vector<TaskPlacement> placements;
     placements.reserve(tasks.size());
@@ -218,9 +219,9 @@
         allocation.attempt = attempt;
         allocation.machine = machine;
         allocation.session = machines_[machine].session;
-        allocation.since = now;
+        allocation.created_at = now;
         if (!settings_.guards.record_first) allocation.state = Allocation::State::Ready;
-        take_from_waiting(job, task);
+        remove_from_waiting(job, task);
         add_allocation(allocation);
         mark_dirty(job, task);
     }
@@ -234,7 +235,7 @@
     const auto& images = machines_[placements.front().machine].images;
     events::JobPlaced event;
     event.job = job.id;
-    event.job_class = job.text.cls;
+    event.job_class = job.description.cls;
     event.waited_s = (now - job.waiting_since) / 1000;
     event.image_present = std::find(images.begin(), images.end(), job.spec.image) != images.end();
     event.score_percent = std::lround(start.score * 100);
@@ -251,7 +252,7 @@
     const auto index = preemption.allocation;
     if (index >= allocations_.size()) return;
     const Allocation& allocation = allocations_[index];
-    if (allocation.attempt != preemption.attempt || allocation.stop) return;
+    if (allocation.attempt != preemption.attempt || allocation.stop_requested) return;
     const Job& job = jobs_.at(allocation.job);
     // Saving is worth its time only if more than that would be lost.
     const bool save = job.spec.checkpoint_s > 0 && allocation.phase == TaskPhase::Running &&
@@ -261,11 +262,11 @@
         events::TaskPreempted{job.id, allocation.task, machines_[allocation.machine].name,
                               winner == jobs_.end() ? std::string() : winner->second.id});
     stop_with_gang(index, save ? job.spec.save_s : 0, now);
-    ++applied.stops;
+    ++applied.preemptions;
 }
 
 void Cluster::apply_release(Machine& machine, Applied& applied) {
-    if (machine.life != Machine::Life::Up || !machine.allocations.empty()) return;
+    if (machine.lifecycle != Machine::Lifecycle::Up || !machine.allocations.empty()) return;
     machine.start_release();
     applied.events.emplace_back(
         events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
@@ -276,7 +277,7 @@
 void Cluster::cancel_consolidation(Applied& applied) {
     for (auto& machine : machines_) {
         if (!machine.drain.contains(DrainReason::Consolidation) ||
-            machine.life != Machine::Life::Up) {
+            machine.lifecycle != Machine::Lifecycle::Up) {
             continue;
         }
         machine.drain.remove(DrainReason::Consolidation);
@@ -306,7 +307,7 @@
 std::vector<std::pair<std::string, Cluster::Counts>> Cluster::job_counts(bool all) {
     std::vector<std::pair<std::string, Counts>> out;
     for (auto& [job_index, job] : jobs_) {
-        if (job.over) continue;
+        if (job.terminal) continue;
         Counts counts{job.done, 0};
         for (const auto& [task, allocation_index] : job.allocations) {
             if (allocations_[allocation_index].phase == TaskPhase::Running) ++counts.running;
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -47,7 +47,7 @@
 class Cluster : private WorkOnMachine {
   public:
     /// `types` and `zones` are shared with the owner and have to outlive the cluster state.
-    Cluster(ClusterSettings settings, Names& types, Names& zones);
+    Cluster(ClusterSettings settings, NameTable& types, NameTable& zones);
     ~Cluster() override = default;
     Cluster(const Cluster&) = delete;
     Cluster& operator=(const Cluster&) = delete;
@@ -58,16 +58,16 @@
     void set_types(const std::vector<MachineType>& types);
     /// An open job, or one that is over and may still have tasks somewhere. `age_ms`: since its
     /// submission, by the time of day.
-    void add_job(const JobText& text, std::uint64_t open_revision, Millis now, bool over = false,
-                 Millis age_ms = 0);
+    void add_job(const JobDescription& text, std::uint64_t open_revision, Millis now,
+                 bool terminal = false, Millis age_ms = 0);
     /// A placement record that an earlier leader has written. Its job has to be known.
     void load_record(const std::string& job_id, std::uint32_t record_number,
                      const PlacementRecord& record, std::uint64_t revision, Millis now);
-    /// A job has a terminal state: it was cancelled (`aborted`) or is done.
-    void job_over(const std::string& job_id, bool aborted, Millis now);
+    /// A job has a terminal state: it was cancelled (`cancelled`) or is done.
+    void on_job_terminal(const std::string& job_id, bool cancelled, Millis now);
     /// Until the records of earlier leaders are read, a job that is over may have tasks that only a
     /// record names: it is not forgotten before.
-    void records_to_come() { records_to_come_ = true; }
+    void await_records() { awaiting_records_ = true; }
     /// All records of earlier leaders are read.
     void records_loaded();
     /// A worker's report: in a heartbeat, or in the response to a direct command.
@@ -80,7 +80,7 @@
     void on_provisioned(const std::string& type, const std::string& zone, bool spot,
                         const std::vector<std::string>& names, Millis now);
     /// The cloud has no capacity of this kind now.
-    void on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now);
+    void on_provision_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now);
 
     /// Commands for the answer to a heartbeat. `may_start` is false while the leader cannot be sure
     /// that it still leads.
@@ -89,7 +89,7 @@
     /// The fencing token that every message to this machine carries; read after its commands.
     [[nodiscard]] std::uint64_t token_for(const std::string& machine) const;
     /// A direct command: a message to a worker outside the answers to its heartbeats.
-    struct Direct {
+    struct DirectCommand {
         std::string machine;            ///< name of the machine
         std::string endpoint;           ///< address of its worker
         std::uint64_t session = 0;      ///< the worker's session that it is meant for
@@ -99,7 +99,7 @@
     /// Machines for which commands are due, at most `limit`.
     std::vector<std::string> machines_with_commands(bool may_start, std::size_t limit, Millis now);
     /// The direct command for a machine, which counts as being called until direct_result().
-    Direct direct_commands(const std::string& machine, bool may_start, Millis now);
+    DirectCommand direct_commands(const std::string& machine, bool may_start, Millis now);
     /// What came of a direct command.
     enum class DirectResult : std::uint8_t {
         Executed,     ///< carried out
@@ -107,11 +107,11 @@
         NoAnswer,     ///< unconfirmed: it may have been carried out or may still be
     };
     /// A direct command has ended.
-    void direct_result(const Direct& direct, DirectResult result, Millis now);
+    void direct_result(const DirectCommand& direct, DirectResult result, Millis now);
     /// Machines to ask for a report: silent, unreachable or not synced; at most `limit`.
-    std::vector<std::string> machines_to_ask(std::size_t limit, Millis now);
+    std::vector<std::string> machines_to_probe(std::size_t limit, Millis now);
     /// Whether a direct command to the machine is under way.
-    [[nodiscard]] bool calling(const std::string& machine) const;
+    [[nodiscard]] bool direct_in_flight(const std::string& machine) const;
 
     /// Bounds on the next transaction of placement records.
     struct RecordLimits {
@@ -133,16 +133,17 @@
     std::vector<RecordWrite> next_record_writes(const RecordLimits& limits, bool lazy, Millis now);
     /// The write was executed, or (not `ok`) certainly not.
     void on_record_written(const RecordWrite& write, bool ok, std::uint64_t revision, Millis now);
-    /// Certainly not written, since a condition failed: of its own job (`job_over`), or of another
-    /// in its transaction.
-    void on_record_refused(const RecordWrite& write, bool job_over, Millis now);
+    /// Certainly not written, since a condition failed: of its own job (`job_not_open`), or of
+    /// another in its transaction.
+    void on_record_refused(const RecordWrite& write, bool job_not_open, Millis now);
     /// A write without an answer was read back. The nonce tells whether it was executed.
     void on_record_reread(const RecordWrite& write, std::uint64_t revision, std::uint64_t nonce,
                           Millis now);
     /// The terminal state of a job whose tasks are all done, if one is to be written now.
-    std::optional<FinalWrite> next_final_write(std::size_t max_records, Millis now);
+    std::optional<TerminalStateWrite> next_terminal_state_write(std::size_t max_records,
+                                                                Millis now);
     /// The terminal state is durable, or (not `ok`) certainly not written.
-    void final_written(const FinalWrite& write, bool ok, Millis now);
+    void on_terminal_state_written(const TerminalStateWrite& write, bool ok, Millis now);
     /// Keys of placement records that nothing needs any more, to be removed.
     std::vector<std::string> next_orphans(std::size_t limit);
     /// These keys are removed, or (not `ok`) to be tried again.
@@ -155,7 +156,7 @@
     /// The cloud has confirmed the release (`ok`): their allocations end.
     void on_released(const std::vector<std::string>& names, bool ok, Millis now);
     /// An earlier leader may have asked for the release of these: nothing is placed there.
-    void release_pending(const std::vector<std::string>& names, Millis now);
+    void on_pending_releases(const std::vector<std::string>& names, Millis now);
     /// Whether anything counts as being on the machine.
     [[nodiscard]] bool has_tasks(const std::string& name) const;
 
@@ -171,7 +172,7 @@
     /// What was applied of a plan.
     struct Applied {
         std::uint32_t starts = 0;           ///< starts, each of one or more tasks
-        std::uint32_t stops = 0;            ///< tasks preempted
+        std::uint32_t preemptions = 0;      ///< tasks preempted
         std::uint32_t refused = 0;          ///< starts that the admission check refused
         std::vector<Provision> provisions;  ///< what the cloud is to be asked for
         std::vector<events::Event> events;  ///< for the log, formatted outside the lock
@@ -190,7 +191,7 @@
     /// Of all jobs, or only of those whose counts have changed since the last call.
     std::vector<std::pair<std::string, Counts>> job_counts(bool all);
     /// Machines and allocations visited so far, for the tests of how the cost grows.
-    [[nodiscard]] std::uint64_t work() const { return work_; }
+    [[nodiscard]] std::uint64_t entries_visited() const { return entries_visited_; }
     /// Number of known jobs, those that are over and have tasks among them.
     [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
     /// Number of machines whose release is not confirmed.
@@ -211,8 +212,8 @@
     [[nodiscard]] bool has_job(const std::string& id) const { return job_ids_.contains(id); }
 
   private:
-    static constexpr double kRateFor = 120'000;   // ms over which arrivals are counted
-    static constexpr int kUnreachableMisses = 2;  // a single answer may be lost or late
+    static constexpr double kArrivalRateWindowMs = 120'000;  // ms over which arrivals are counted
+    static constexpr int kUnreachableMisses = 2;             // a single answer may be lost or late
 
     struct Reconciliation;  // a report on its way through on_report(), see heartbeats.cpp
     // The message that commands go into: an answer to a heartbeat, or a direct command.
@@ -244,37 +245,37 @@
     [[nodiscard]] std::uint32_t record_of(const Job& job, std::uint32_t task) const;
     [[nodiscard]] RecordWrite make_record_write(JobIndex index, std::uint32_t number);
     void refine_layout(JobIndex index);
-    void move_records(JobIndex index);
-    void drop_superseded(JobIndex index);
+    void rewrite_records(JobIndex index);
+    void remove_superseded_records(JobIndex index);
     void take_lazy_records(std::size_t limit, Millis due_now);
     [[nodiscard]] RecordState* find_record(const RecordWrite& write);
     [[nodiscard]] bool has_attempt(const Job& job, const PlacedTask& placed,
                                    MachineIndex machine) const;
     void note_replica_exit(AllocationIndex index, bool failed, Millis now);
-    void wake_replicas(Millis now);
+    void end_replica_backoffs(Millis now);
     void stop_replicas(MachineIndex machine, Millis now);
     void make_ready(const Job& job, const std::vector<PlacedTask>& placed_tasks);
     void hold_back_incomplete_gang(const Job& job);
     void mark_dirty(Job& job, std::uint32_t task);
     void mark_lazy(Job& job, std::uint32_t task, Millis now);
     void stop_allocation(AllocationIndex index, double grace_s, Millis now);
-    void run_came_to_nothing(AllocationIndex index, Millis now);
+    void on_run_not_executed(AllocationIndex index, Millis now);
     void stop_with_gang(AllocationIndex index, double grace_s, Millis now);
     void on_exit(AllocationIndex index, const TaskReport& task, Millis now);
     void note_failure(Job& job, MachineIndex machine, Millis now);
     void note_machine_failure(Job& job, MachineIndex machine, Millis now);
-    [[nodiscard]] bool has_run_well(const Job& job, Millis now) const;
-    [[nodiscard]] bool only_replicas(const Machine& machine) const;
+    [[nodiscard]] bool has_succeeded(const Job& job, Millis now) const;
+    [[nodiscard]] bool has_only_replicas(const Machine& machine) const;
     [[nodiscard]] bool has_replicas(const Machine& machine) const override;
     [[nodiscard]] JobFacts facts(const Job& job) const;
     [[nodiscard]] FleetFacts fleet_facts() const;
-    [[nodiscard]] bool raise(Machine& machine) const;
+    [[nodiscard]] bool raise_token(Machine& machine) const;
     void on_command_effect(MachineIndex index);
     void on_commands_missed(MachineIndex index, int count, Millis now);
     void note_image(Machine& machine, ImageIndex image);
-    void drop_if_gone(JobIndex index);
-    void notice(MachineIndex index, double notice_s, Millis now);
-    JobSpec make_spec(const JobText& text);
+    void forget_if_finished(JobIndex index);
+    void on_spot_notice(MachineIndex index, double notice_s, Millis now);
+    JobSpec make_spec(const JobDescription& text);
     const ClassObjectives& objectives_of(ClassIndex index, const std::string& name);
     void note_arrival(const JobSpec& spec, Millis now);
 
@@ -330,32 +331,33 @@
     [[nodiscard]] Millis idle_keep_ms(const Machine& machine, Millis age_ms,
                                       const FleetFacts& fleet) const;
     void add_allocations(MachineIndex machine, Snapshot& out) const;
-    void fill_item(const Job& job, double age_s, Millis now, WaitingJob& item) const;
+    void fill_waiting_job(const Job& job, double age_s, Millis now, WaitingJob& item) const;
     void add_zones(const Job& job, WaitingJob& item) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
-    std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t limit) const;
-    static void take_from_waiting(Job& job, std::uint32_t task);
+    std::vector<std::uint32_t> next_waiting_tasks(const Job& job, std::uint32_t limit) const;
+    static void remove_from_waiting(Job& job, std::uint32_t task);
     void fill_guarantees(Millis now);
     [[nodiscard]] bool has_cancelled_work(const Machine& machine) const override;
 
     ClusterSettings settings_;
-    Names& types_;
-    Names& zones_;
-    Names images_;
-    Names classes_;
-    Names teams_;
+    NameTable& types_;
+    NameTable& zones_;
+    NameTable images_;
+    NameTable classes_;
+    NameTable teams_;
     std::vector<Team> team_list_;
     std::vector<Resources> team_used_;
-    std::map<ImageIndex, Millis> warm_;  // last use by a class whose tasks should start soon
-    struct Arrivals {                    // of a class whose tasks should start soon
+    std::map<ImageIndex, Millis>
+        recent_images_;  // last use by a class whose tasks should start soon
+    struct Arrivals {    // of a class whose tasks should start soon
         JobSpec spec;
         double rate = 0;  // tasks a second, decaying
         Millis at = 0;
     };
     std::map<ClassIndex, Arrivals> arrivals_;
     std::vector<ClassObjectives> class_objectives_;
-    std::vector<Millis> team_busy_;  // when the team last had work; -1: never
-    double guarantee_s_ = 0;         // how soon work within a guarantee should start
+    std::vector<Millis> team_last_active_;  // when the team last had work; -1: never
+    double guarantee_s_ = 0;                // how soon work within a guarantee should start
     std::vector<MachineType> type_info_;
     std::map<JobIndex, Job> jobs_;
     JobIndex next_job_ = 0;
@@ -366,23 +368,23 @@
     FailureDetector failure_detector_;
     AdmissionCheck admission_check_;              // reads the members above
     static constexpr Millis kNever = -1'000'000;  // before any time
-    Millis drained_at_ = kNever;
+    Millis last_drain_at_ = kNever;
     std::vector<MachineIndex> free_machines_;
     std::vector<AllocationIndex> free_allocations_;
     std::set<RecordKey> dirty_;  // records to write, urgent jobs first
     std::set<std::tuple<Millis, JobIndex, std::uint32_t>> lazy_;
     std::set<JobIndex> all_done_;  // whose terminal state is to be written
     // Replicas that failed again and again rest until then: time, job, task.
-    std::set<std::tuple<Millis, JobIndex, std::uint32_t>> resting_;
-    std::size_t ask_from_ = 0;          // where machines_to_ask() goes on
-    std::set<MachineIndex> attention_;  // machines that may have commands due
+    std::set<std::tuple<Millis, JobIndex, std::uint32_t>> replica_backoffs_;
+    std::size_t next_probe_ = 0;               // where machines_to_probe() goes on
+    std::set<MachineIndex> pending_machines_;  // machines that may have commands due
     std::vector<std::string> orphans_;
     std::vector<std::string> orphans_writing_;
-    std::map<ProvisioningPool, std::pair<Millis, Millis>> refused_;  // until, step
-    std::uint64_t work_ = 0;
+    std::map<ProvisioningPool, std::pair<Millis, Millis>> refused_pools_;  // until, step
+    std::uint64_t entries_visited_ = 0;
     std::uint64_t attempts_ = 0;
     std::uint64_t nonces_ = 0;
-    bool records_to_come_ = false;
+    bool awaiting_records_ = false;
     std::unordered_map<std::string, std::vector<TaskReport>> exited_;  // machine -> to reap
 };
 
--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -50,7 +50,7 @@
             continue;
         }
         // Whether this attempt was run directly or another, it costs no more to raise once.
-        if (message.direct || !raise(machine) || awaits_durable_result(task)) continue;
+        if (message.direct || !raise_token(machine) || awaits_durable_result(task)) continue;
         out.push_back({Command::Kind::Reap, task.job, task.task, task.attempt, 0});
     }
     if (!message.direct) exited_.erase(it);
@@ -59,9 +59,9 @@
 // The result has to be durable before the worker may forget it. A replica has none: it runs again.
 bool Cluster::awaits_durable_result(const TaskReport& task) const {
     const auto found = job_ids_.find(task.job);
-    if (found == job_ids_.end() || task.why != ExitWhy::Done) return false;
+    if (found == job_ids_.end() || task.exit_reason != ExitReason::Done) return false;
     const Job& job = jobs_.at(found->second);
-    return !job.over && !job.spec.service && task.task < job.spec.count &&
+    return !job.terminal && !job.spec.service && task.task < job.spec.count &&
            job.done_flags[task.task] != 2;
 }
 
@@ -70,11 +70,11 @@
     Machine& machine = machines_[allocation.machine];
     if (allocation.session != machine.session) return;
     const Job& job = jobs_.at(allocation.job);
-    if (allocation.stop && !is_unsent(allocation)) {
+    if (allocation.stop_requested && !is_unsent(allocation)) {
         // Unconfirmed and unwanted: with a higher token the late run comes to nothing.
         if (allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed &&
             !message.direct) {
-            (void)raise(machine);
+            (void)raise_token(machine);
         }
         out.push_back(
             {Command::Kind::Halt, job.id, allocation.task, allocation.attempt, allocation.grace_s});
@@ -84,18 +84,18 @@
     const bool unconfirmed =
         allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed;
     if (allocation.state != Allocation::State::Ready && !unconfirmed) return;
-    const bool is_ready = machine.life == Machine::Life::Up && machine.synced;
-    if (job.over || allocation.stop || !message.may_start || !is_ready) return;
+    const bool is_ready = machine.lifecycle == Machine::Lifecycle::Up && machine.synced;
+    if (job.terminal || allocation.stop_requested || !message.may_start || !is_ready) return;
     out.push_back({Command::Kind::Run, job.id, allocation.task, allocation.attempt, 0});
     allocation.state = Allocation::State::Sent;
     if (message.direct) {
-        ++allocation.direct_open;
+        ++allocation.direct_runs_in_flight;
         allocation.direct_token = machine.token;
-        machine.ran_direct = true;
+        machine.direct_run_sent = true;
     } else {
         allocation.heartbeat_seq = message.heartbeat_seq;
     }
-    if (allocation.since == 0) allocation.since = message.now;
+    if (allocation.created_at == 0) allocation.created_at = message.now;
 }
 
 std::vector<Command> Cluster::heartbeat_commands(const std::string& name, std::uint64_t seq,
@@ -103,7 +103,7 @@
     const auto it = machine_ids_.find(name);
     // A late copy of an old heartbeat gets no commands: its worker is not waiting for them.
     if (it == machine_ids_.end() || machines_[it->second].seq != seq) return {};
-    if (!machines_[it->second].synced) machines_[it->second].owed_token_seq = seq;
+    if (!machines_[it->second].synced) machines_[it->second].token_sent_seq = seq;
     return commands_for(it->second, {false, seq, may_start, now});
 }
 
@@ -111,15 +111,16 @@
                                                          Millis now) {
     // Only machines where something was placed or stopped are visited, not the fleet.
     std::vector<std::string> out;
-    for (auto it = attention_.begin(); it != attention_.end() && out.size() < limit;) {
-        ++work_;
+    for (auto it = pending_machines_.begin();
+         it != pending_machines_.end() && out.size() < limit;) {
+        ++entries_visited_;
         const Machine& machine = machines_[*it];
         const auto [due, later] = pending_commands(machine, may_start);
-        if (due && machine.life == Machine::Life::Up && machine.synced && !machine.calling &&
-            machine.call_after <= now) {
+        if (due && machine.lifecycle == Machine::Lifecycle::Up && machine.synced &&
+            !machine.direct_in_flight && machine.next_direct_at <= now) {
             out.push_back(machine.name);
         }
-        it = later ? std::next(it) : attention_.erase(it);
+        it = later ? std::next(it) : pending_machines_.erase(it);
     }
     return out;
 }
@@ -127,21 +128,22 @@
 Cluster::PendingCommands Cluster::pending_commands(const Machine& machine, bool may_start) {
     PendingCommands pending;
     for (const auto index : machine.allocations) {
-        ++work_;
+        ++entries_visited_;
         const Allocation& allocation = allocations_[index];
-        const bool run = allocation.state == Allocation::State::Ready && !allocation.stop;
-        const bool halt = allocation.stop && allocation.state == Allocation::State::Seen &&
-                          allocation.phase != TaskPhase::Saving &&
-                          allocation.phase != TaskPhase::Exited;
-        pending.later |=
-            run || halt || allocation.state == Allocation::State::Planned || allocation.stop;
+        const bool run = allocation.state == Allocation::State::Ready && !allocation.stop_requested;
+        const bool halt =
+            allocation.stop_requested && allocation.state == Allocation::State::Seen &&
+            allocation.phase != TaskPhase::Saving && allocation.phase != TaskPhase::Exited;
+        pending.later |= run || halt || allocation.state == Allocation::State::Planned ||
+                         allocation.stop_requested;
         pending.due |= allocation.session == machine.session && ((run && may_start) || halt);
     }
     return pending;
 }
 
-Cluster::Direct Cluster::direct_commands(const std::string& name, bool may_start, Millis now) {
-    Direct direct;
+Cluster::DirectCommand Cluster::direct_commands(const std::string& name, bool may_start,
+                                                Millis now) {
+    DirectCommand direct;
     auto it = machine_ids_.find(name);
     if (it == machine_ids_.end()) return direct;
     Machine& machine = machines_[it->second];
@@ -150,7 +152,7 @@
     direct.session = machine.session;
     direct.token = machine.token;
     if (direct.endpoint.empty()) return direct;
-    machine.calling = true;
+    machine.direct_in_flight = true;
     direct.commands = commands_for(it->second, {true, 0, may_start, now});
     return direct;
 }
@@ -164,27 +166,27 @@
 // more, and a copy of its run, even of one that was answered, would start it again. So an answer to
 // a heartbeat that reaps carries a higher token than the runs that went there directly: their
 // copies are refused from then on. False: the term has no token left for it.
-bool Cluster::raise(Machine& machine) const {
-    if (!machine.ran_direct || !settings_.guards.reap_raises) return true;
+bool Cluster::raise_token(Machine& machine) const {
+    if (!machine.direct_run_sent || !settings_.guards.reap_raises) return true;
     if (machine.token + 1 >= settings_.token + kFencingTokensPerTerm) return false;
     ++machine.token;
-    machine.ran_direct = false;
+    machine.direct_run_sent = false;
     return true;
 }
 
-bool Cluster::calling(const std::string& name) const {
+bool Cluster::direct_in_flight(const std::string& name) const {
     auto it = machine_ids_.find(name);
-    return it != machine_ids_.end() && machines_[it->second].calling;
+    return it != machine_ids_.end() && machines_[it->second].direct_in_flight;
 }
 
-void Cluster::direct_result(const Direct& direct, DirectResult result, Millis now) {
+void Cluster::direct_result(const DirectCommand& direct, DirectResult result, Millis now) {
     const auto it = machine_ids_.find(direct.machine);
     if (it == machine_ids_.end()) return;
     Machine& machine = machines_[it->second];
-    machine.calling = false;
+    machine.direct_in_flight = false;
     // Commands reach it; whether answers do as well shows when its next lease ends or not.
     if (result == DirectResult::Executed) on_command_effect(it->second);
-    machine.call_after = now + pause_after(result);
+    machine.next_direct_at = now + pause_after(result);
     for (const auto& command : direct.commands) {
         if (command.kind == Command::Kind::Run) on_run_result(it->second, command, result, now);
     }
@@ -202,32 +204,33 @@
             allocation.task != run.task || jobs_.at(allocation.job).id != run.job) {
             continue;
         }
-        if (allocation.direct_open > 0) --allocation.direct_open;
+        if (allocation.direct_runs_in_flight > 0) --allocation.direct_runs_in_flight;
         if (result == DirectResult::NoAnswer && settings_.guards.unconfirmed_allocated) {
             allocation.direct_unconfirmed = true;
         }
-        const bool only_this_run = !allocation.direct_unconfirmed && allocation.direct_open == 0 &&
+        const bool only_this_run = !allocation.direct_unconfirmed &&
+                                   allocation.direct_runs_in_flight == 0 &&
                                    allocation.heartbeat_seq == 0;
         if (result == DirectResult::NotExecuted && only_this_run &&
             allocation.state == Allocation::State::Sent) {
-            run_came_to_nothing(allocation_index, now);
+            on_run_not_executed(allocation_index, now);
         }
     }
 }
 
-std::vector<std::string> Cluster::machines_to_ask(std::size_t limit, Millis now) {
+std::vector<std::string> Cluster::machines_to_probe(std::size_t limit, Millis now) {
     std::vector<std::string> out;
     // From where the last call ended: asked for a few at a time, a failover that began anew each
     // time visited half of the fleet for each machine.
     for (std::size_t left = machines_.size(); left > 0 && out.size() < limit; --left) {
-        if (ask_from_ >= machines_.size()) ask_from_ = 0;
-        const auto& machine = machines_[ask_from_++];
-        ++work_;
-        if (machine.life == Machine::Life::Gone || machine.endpoint.empty()) continue;
-        if (machine.calling || machine.call_after > now) continue;
+        if (next_probe_ >= machines_.size()) next_probe_ = 0;
+        const auto& machine = machines_[next_probe_++];
+        ++entries_visited_;
+        if (machine.lifecycle == Machine::Lifecycle::Gone || machine.endpoint.empty()) continue;
+        if (machine.direct_in_flight || machine.next_direct_at > now) continue;
         // One that has gone silent is asked directly as well: its way here may be what has failed.
         const bool silent =
-            machine.life == Machine::Life::Up &&
+            machine.lifecycle == Machine::Lifecycle::Up &&
             now - machine.last_heartbeat_at > settings_.report_ms * 3 / 2 + kSilentMargin;
         if (machine.synced && !silent && machine.unreachable_since == 0) continue;
         out.push_back(machine.name);
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -43,8 +43,9 @@
     std::vector<Reporting> zones(zone_count);
     for (const auto& machine : machines) {
         if (machine.zone >= zones.size()) continue;
-        const bool is_up = machine.life == Machine::Life::Up;
-        if (!is_up && !(machine.life == Machine::Life::Booting && machine.running)) continue;
+        const bool is_up = machine.lifecycle == Machine::Lifecycle::Up;
+        if (!is_up && !(machine.lifecycle == Machine::Lifecycle::Booting && machine.running))
+            continue;
         Reporting& zone = zones[machine.zone];
         ++zone.total;
         if (is_up && now - machine.last_heartbeat_at < heartbeat_due_ms()) ++zone.reporting;
@@ -67,7 +68,7 @@
     round_ = {};
     round_.now = now;
     for (const auto& machine : machines) {
-        if (machine.life != Machine::Life::Up) continue;
+        if (machine.lifecycle != Machine::Lifecycle::Up) continue;
         ++round_.up;
         // With a wider bound some still counted as reporting when the first were released, although
         // all had fallen silent at once.
@@ -146,8 +147,8 @@
 // its silence would show.
 std::optional<FailureDetector::Failure> FailureDetector::check_notice(
     const Machine& machine) const {
-    if (!machine.taken_at || round_.now <= *machine.taken_at + kNoticeMargin ||
-        machine.last_heartbeat_at >= *machine.taken_at) {
+    if (!machine.reclaim_at || round_.now <= *machine.reclaim_at + kNoticeMargin ||
+        machine.last_heartbeat_at >= *machine.reclaim_at) {
         return std::nullopt;
     }
     return Failure{events::ReleaseReason::NoticeExpired, 0};
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -43,7 +43,7 @@
     }
     const auto index = machine_for(report.machine, report.type, report.zone, report.spot, now);
     const Machine& machine = machines_[index];
-    if (machine.life == Machine::Life::Gone) return outcome;
+    if (machine.lifecycle == Machine::Lifecycle::Gone) return outcome;
     // "What a report may settle", not newer than one seen: nothing.
     if (std::pair(report.session, report.seq) <= std::pair(machine.session, machine.seq)) {
         return outcome;
@@ -62,8 +62,8 @@
     }
     reconcile_unmatched(step);
     if (step.trusted) collect_exited(step);
-    if (report.notice_s && !machine.taken_at) {
-        notice(index, *report.notice_s, now);
+    if (report.notice_s && !machine.reclaim_at) {
+        on_spot_notice(index, *report.notice_s, now);
         step.changed = true;
     }
     outcome.changed = step.changed;
@@ -90,11 +90,11 @@
     if (machine.session == 0) return;
     // "Failure detection", unreachable: its lease ended though its reports came. Until something is
     // seen to reach it, nothing is placed there. After a fault of ours a single command clears it.
-    if (machine.life == Machine::Life::Up) {
+    if (machine.lifecycle == Machine::Lifecycle::Up) {
         on_commands_missed(step.machine, kUnreachableMisses, step.now);
-        const bool again = step.now - machine.session_at < settings_.lease_ms * 3;
+        const bool again = step.now - machine.session_started_at < settings_.lease_ms * 3;
         machine.lost_leases = again ? machine.lost_leases + 1 : 1;
-        machine.session_at = step.now;
+        machine.session_started_at = step.now;
     }
     machine.images.clear();
 }
@@ -109,16 +109,16 @@
     // that late copies do not hold off the release of a machine that is gone.
     if (synced || machine.last_heartbeat_at == 0) machine.last_heartbeat_at = step.now;
     const bool token_missed =
-        machine.owed_token_seq != 0 && report.seq > machine.owed_token_seq && !synced;
+        machine.token_sent_seq != 0 && report.seq > machine.token_sent_seq && !synced;
     if (step.is_heartbeat && token_missed) on_commands_missed(step.machine, 1, step.now);
     if (synced && !machine.synced) on_command_effect(step.machine);
     // A session that outlives a lease had answers: with the direct way closed, as between two
     // zones, nothing else shows it.
-    if (machine.unreachable_since != 0 && machine.unreachable_since == machine.session_at &&
-        step.now - machine.session_at > settings_.lease_ms + settings_.report_ms) {
+    if (machine.unreachable_since != 0 && machine.unreachable_since == machine.session_started_at &&
+        step.now - machine.session_started_at > settings_.lease_ms + settings_.report_ms) {
         on_command_effect(step.machine);
     }
-    if (synced) machine.owed_token_seq = 0;
+    if (synced) machine.token_sent_seq = 0;
     if (synced != machine.synced) step.changed = true;
     machine.synced = synced;
 }
@@ -149,7 +149,7 @@
 void Cluster::reconcile_allocations(Reconciliation& step) {
     // A copy, as an attempt that ends here may take others of its gang with it.
     const auto allocated = machines_[step.machine].allocations;
-    work_ += 1 + allocated.size() + step.report.tasks.size();
+    entries_visited_ += 1 + allocated.size() + step.report.tasks.size();
     for (const auto index : allocated) {
         const Allocation& allocation = allocations_[index];
         // Released with its gang.
@@ -178,7 +178,7 @@
     step.command_seen |= allocation.state == Allocation::State::Sent;
     const bool halt_answered =
         allocation.halt_seq != 0 && step.is_heartbeat && step.report.seq > allocation.halt_seq;
-    if (allocation.stop && halt_answered && task.phase != TaskPhase::Saving) {
+    if (allocation.stop_requested && halt_answered && task.phase != TaskPhase::Saving) {
         step.command_missed = true;
         allocation.halt_seq = 0;
     }
@@ -199,7 +199,7 @@
     const auto seq = step.report.seq;
     // What was sent under a lower token than its worker has seen can't act any more.
     if (step.report.token > allocation.direct_token) allocation.direct_unconfirmed = false;
-    const bool unconfirmed = allocation.direct_unconfirmed || allocation.direct_open > 0;
+    const bool unconfirmed = allocation.direct_unconfirmed || allocation.direct_runs_in_flight > 0;
     switch (allocation.state) {
         case Allocation::State::Planned:
         case Allocation::State::Ready:
@@ -209,7 +209,7 @@
             // direct run without an answer stays unconfirmed.
             if (unconfirmed || !step.is_heartbeat || seq <= allocation.heartbeat_seq) return;
             step.command_missed |= allocation.heartbeat_seq != 0;
-            run_came_to_nothing(index, step.now);
+            on_run_not_executed(index, step.now);
             break;
         case Allocation::State::Seen:
             if (unconfirmed) return;
@@ -237,7 +237,7 @@
             continue;
         }
         step.to_reap.push_back(*task);
-        if (step.trusted && task->why == ExitWhy::Done && !job.over &&
+        if (step.trusted && task->exit_reason == ExitReason::Done && !job.terminal &&
             job.done_flags[attempt.task] == 0) {
             mark_done(attempt.job, attempt.task, step.now);
             step.changed = true;
@@ -268,9 +268,9 @@
     allocation.phase = task.phase;
     allocation.unexpected = true;
     allocation.reported = true;
-    allocation.stop = true;
-    allocation.since = step.now;
-    take_from_waiting(job, task.task);
+    allocation.stop_requested = true;
+    allocation.created_at = step.now;
+    remove_from_waiting(job, task.task);
     add_allocation(allocation);
     mark_dirty(job, task.task);
     step.changed = true;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -27,20 +27,20 @@
 
 /// What the leader knows of one job.
 struct Job {
-    std::string id;                      ///< as given by its user
-    JobSpec spec;                        ///< what placement looks at
-    JobText text;                        ///< as submitted
-    std::uint64_t open_revision = 0;     ///< of its record under `open/`
-    bool over = false;                   ///< cancelled or done: only waits for its tasks to be gone
-    bool aborted = false;                ///< cancelled; its tasks are halted
-    bool finishing = false;              ///< its terminal state is being written
-    Millis finish_retry_at = 0;          ///< its terminal state is not written before
-    std::uint32_t done = 0;              ///< number of tasks that have completed
-    std::uint32_t reported_done = 0;     ///< as given out last by job_counts()
-    std::uint32_t reported_running = 0;  ///< as given out last by job_counts()
+    std::string id;                   ///< as given by its user
+    JobSpec spec;                     ///< what placement looks at
+    JobDescription description;       ///< as submitted
+    std::uint64_t open_revision = 0;  ///< of its record under `open/`
+    bool terminal = false;            ///< cancelled or done: only waits for its tasks to be gone
+    bool cancelled = false;           ///< cancelled; its tasks are halted
+    bool writing_terminal_state = false;   ///< its terminal state is being written
+    Millis terminal_state_retry_at = 0;    ///< its terminal state is not written before
+    std::uint32_t done = 0;                ///< number of tasks that have completed
+    std::uint32_t reported_done = 0;       ///< as given out last by job_counts()
+    std::uint32_t reported_running = 0;    ///< as given out last by job_counts()
     std::vector<std::uint8_t> done_flags;  ///< by task; 0: not done, 1: done, 2: durably so
-    std::uint32_t next_fresh = 0;          ///< tasks from here on were never placed
-    std::set<std::uint32_t> again;         ///< tasks before next_fresh that wait
+    std::uint32_t next_unplaced = 0;       ///< tasks from here on were never placed
+    std::set<std::uint32_t> requeued;      ///< tasks before next_unplaced that wait
     std::multimap<std::uint32_t, AllocationIndex> allocations;  ///< by task
     std::map<std::uint32_t, RecordState> records;               ///< placement records by number
     Millis waiting_since = 0;                                   ///< since when it waits
@@ -52,7 +52,7 @@
     std::uint32_t layout = 0;          ///< of its placement records; never goes back
     /// Records of the present layout that have to be durable before those of earlier layouts may
     /// be removed.
-    std::set<std::uint32_t> to_move;
+    std::set<std::uint32_t> records_to_move;
     std::map<std::uint32_t, std::uint32_t> replica_failures;  ///< of a service, in a row, by task
 };
 
@@ -68,7 +68,7 @@
 };
 
 /// The write of a job's terminal state after its last task is done.
-struct FinalWrite {
+struct TerminalStateWrite {
     JobIndex job = kInvalidIndex;               ///< which job
     std::string job_id;                         ///< its id
     std::uint64_t open_revision = 0;            ///< condition: revision of the job under `open/`
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -56,7 +56,7 @@
 void Cluster::on_command_effect(MachineIndex index) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
-    machine.misses = 0;
+    machine.missed_commands = 0;
     machine.unreachable_since = 0;
 }
 
@@ -64,8 +64,8 @@
 void Cluster::on_commands_missed(MachineIndex index, int count, Millis now) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
-    machine.misses += count;
-    if (machine.misses >= kUnreachableMisses && machine.unreachable_since == 0) {
+    machine.missed_commands += count;
+    if (machine.missed_commands >= kUnreachableMisses && machine.unreachable_since == 0) {
         machine.unreachable_since = now;
     }
 }
@@ -79,7 +79,7 @@
 void Cluster::note_failure(Job& job, MachineIndex index, Millis now) {
     job.failures++;
     note_machine_failure(job, index, now);
-    const bool sound = has_run_well(job, now);
+    const bool sound = has_succeeded(job, now);
     // The first failure is mostly the machine's; a job that fails everywhere waits longer.
     if (!sound && job.failed_on.size() >= 2) {
         const double backoff_s = settings_.policy
@@ -91,7 +91,7 @@
 
 // A job of which a task has completed has no mistake in it: its failures are the machines', and the
 // rest of it must not wait for them. Of a service, a replica that goes on running says the same.
-bool Cluster::has_run_well(const Job& job, Millis now) const {
+bool Cluster::has_succeeded(const Job& job, Millis now) const {
     if (!job.spec.service) return job.done > 0;
     return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& allocated) {
         const Allocation& allocation = allocations_[allocated.second];
@@ -105,7 +105,7 @@
     // A service lives for long: what failed for it long ago says nothing any more.
     if (job.spec.service && job.failed_on.size() >= kMaxFailedOn) job.failed_on.clear();
     job.failed_on.insert(index);
-    if (job.failed_on.size() > 2 && !has_run_well(job, now)) return;
+    if (job.failed_on.size() > 2 && !has_succeeded(job, now)) return;
     Machine& machine = machines_[index];
     machine.failed_jobs.insert(static_cast<JobIndex>(job_ids_[job.id]));
     machine.quarantine_until = now + kFailedPause;
@@ -115,13 +115,13 @@
     }
 }
 
-void Cluster::notice(MachineIndex index, double notice_s, Millis now) {
+void Cluster::on_spot_notice(MachineIndex index, double notice_s, Millis now) {
     Machine& machine = machines_[index];
-    machine.taken_at = now + static_cast<Millis>(notice_s * 1000);
+    machine.reclaim_at = now + static_cast<Millis>(notice_s * 1000);
     const auto allocated = machine.allocations;
     for (auto allocation_index : allocated) {
         const Allocation& allocation = allocations_[allocation_index];
-        if (allocation.job == kInvalidIndex || allocation.stop) continue;
+        if (allocation.job == kInvalidIndex || allocation.stop_requested) continue;
         const auto& spec = jobs_[allocation.job].spec;
         const double ran_s =
             allocation.running_since > 0 ? (now - allocation.running_since) / 1000.0 : 0;
@@ -144,7 +144,7 @@
         if (machine.endpoint.empty()) machine.endpoint = listed.endpoint;
         if (listed.state == ListedMachine::State::Running) machine.running = true;
         if (listed.state == ListedMachine::State::Failed && !machine.failed &&
-            machine.life != Machine::Life::Gone) {
+            machine.lifecycle != Machine::Lifecycle::Gone) {
             machine.failed = true;
             machine.start_release();
         }
@@ -156,7 +156,7 @@
         // "Failure detection", stale machine entries. A record names it and newer machines are
         // listed, it is not: it was released before its tasks were placed anew. Only its release
         // proves that, but nothing has to be waited for.
-        if (machine.life == Machine::Life::Booting && !machine.listed &&
+        if (machine.lifecycle == Machine::Lifecycle::Booting && !machine.listed &&
             !machine.allocations.empty() && machine.last_heartbeat_at == 0 && !names.empty() &&
             machine.name < *names.rbegin()) {
             machine.start_release();
@@ -165,7 +165,7 @@
         // A late copy of a report makes a machine look up that was gone before this term.
         const bool stale = !machine.listed && !machine.allocations.empty() &&
                            now - machine.first_seen > kUnlistedFor + settings_.report_ms;
-        if (machine.life != Machine::Life::Up || !(machine.listed || stale) ||
+        if (machine.lifecycle != Machine::Lifecycle::Up || !(machine.listed || stale) ||
             names.contains(machine.name)) {
             continue;
         }
@@ -183,11 +183,11 @@
 void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
                              const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) machine_for(name, type, zone, spot, now);
-    refused_.erase({types_.intern(type), zones_.intern(zone), spot});
+    refused_pools_.erase({types_.intern(type), zones_.intern(zone), spot});
 }
 
-void Cluster::on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
-    auto& [until, step] = refused_[{type, zone, spot}];
+void Cluster::on_provision_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
+    auto& [until, step] = refused_pools_[{type, zone, spot}];
     step = std::min<Millis>(step == 0 ? kFirstRefusedPause : step * 2, kMaxRefusedPause);
     until = now + step;
 }
@@ -196,7 +196,7 @@
     std::vector<std::string> out;
     for (auto& machine : machines_) {
         if (out.size() >= limit) break;
-        if (machine.life != Machine::Life::Releasing) continue;
+        if (machine.lifecycle != Machine::Lifecycle::Releasing) continue;
         if (machine.release_requested_at != 0 &&
             now - machine.release_requested_at < kReleaseRetryPause)
             continue;
@@ -215,13 +215,13 @@
         machine.on_released();
         // The cloud has capacity for one of its kind again: an earlier refusal says nothing any
         // more.
-        refused_.erase({machine.type, machine.zone, machine.spot});
+        refused_pools_.erase({machine.type, machine.zone, machine.spot});
         exited_.erase(name);
         release_all(it->second, std::numeric_limits<std::uint64_t>::max(), now);
     }
 }
 
-void Cluster::release_pending(const std::vector<std::string>& names, Millis now) {
+void Cluster::on_pending_releases(const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) {
         Machine& machine = machines_[machine_for(name, "", "", false, now)];
         machine.start_release();
@@ -247,16 +247,16 @@
     }
     failure_detector_.begin_round(machines_, zones_.size(), wanted_patience(), now);
     for (auto& machine : machines_) {
-        switch (machine.life) {
-            case Machine::Life::Gone:
+        switch (machine.lifecycle) {
+            case Machine::Lifecycle::Gone:
                 forget_released(machine, now);
                 break;
-            case Machine::Life::Releasing:
+            case Machine::Lifecycle::Releasing:
                 break;
-            case Machine::Life::Up:
+            case Machine::Lifecycle::Up:
                 check_up(machine, events, now);
                 break;
-            case Machine::Life::Booting: {
+            case Machine::Lifecycle::Booting: {
                 const bool known = machine.type != kInvalidIndex;
                 const double boot_s = known ? type_info_[machine.type].boot_s : 0;
                 if (const auto failure = failure_detector_.check_booting(machine, boot_s)) {
@@ -300,17 +300,18 @@
         start_release(machine, *failure, events);
         return;
     }
-    if (machine.lost_leases > 0 && now - machine.session_at > settings_.lease_ms * 3) {
+    if (machine.lost_leases > 0 && now - machine.session_started_at > settings_.lease_ms * 3) {
         machine.lost_leases = 0;
     }
     if (machine.drain.any() && machine.allocations.empty()) machine.start_release();
     // Replicas never end by themselves and would keep it for ever.
-    if (machine.drain.any() && only_replicas(machine)) stop_replicas(index, now);
+    if (machine.drain.any() && has_only_replicas(machine)) stop_replicas(index, now);
     if (const auto failure = failure_detector_.check_notice(machine)) {
         start_release(machine, *failure, events);
         return;
     }
-    if (machine.taken_at && now > *machine.taken_at + kNoticeForgotten) machine.taken_at.reset();
+    if (machine.reclaim_at && now > *machine.reclaim_at + kNoticeForgotten)
+        machine.reclaim_at.reset();
     if (const auto* run = unwanted_unconfirmed_run(machine, now)) {
         machine.start_release();
         events.emplace_back(events::MachineReleaseStarted{
@@ -323,9 +324,9 @@
 const Allocation* Cluster::unwanted_unconfirmed_run(const Machine& machine, Millis now) const {
     for (const auto index : machine.allocations) {
         const Allocation& allocation = allocations_[index];
-        if (allocation.stop && allocation.state == Allocation::State::Sent &&
+        if (allocation.stop_requested && allocation.state == Allocation::State::Sent &&
             allocation.direct_unconfirmed &&
-            now - allocation.stop_since > settings_.cancel_ms / 3) {
+            now - allocation.stop_requested_at > settings_.cancel_ms / 3) {
             return &allocation;
         }
     }
@@ -339,7 +340,7 @@
                        });
 }
 
-bool Cluster::only_replicas(const Machine& machine) const {
+bool Cluster::has_only_replicas(const Machine& machine) const {
     return !machine.allocations.empty() &&
            std::all_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](AllocationIndex allocation_index) {
@@ -350,7 +351,7 @@
 bool Cluster::has_cancelled_work(const Machine& machine) const {
     return std::any_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](AllocationIndex allocation_index) {
-                           return jobs_.at(allocations_[allocation_index].job).aborted;
+                           return jobs_.at(allocations_[allocation_index].job).cancelled;
                        });
 }
 
@@ -358,7 +359,7 @@
     ImageHints out;
     for (std::size_t i = part; i < machines_.size(); i += parts) {
         const auto& machine = machines_[i];
-        if (machine.life != Machine::Life::Up || machine.images.empty()) continue;
+        if (machine.lifecycle != Machine::Lifecycle::Up || machine.images.empty()) continue;
         auto& [name, images] = out.emplace_back(machine.name, std::vector<std::string>{});
         for (auto image : machine.images) images.push_back(images_.name(image));
     }
@@ -373,9 +374,9 @@
 }
 
 std::size_t Cluster::machine_count() const {
-    return static_cast<std::size_t>(
-        std::count_if(machines_.begin(), machines_.end(),
-                      [](const Machine& machine) { return machine.life != Machine::Life::Gone; }));
+    return static_cast<std::size_t>(std::count_if(
+        machines_.begin(), machines_.end(),
+        [](const Machine& machine) { return machine.lifecycle != Machine::Lifecycle::Gone; }));
 }
 
 }  // namespace lichendrift::core
--- a/src/core/plan_drain.cpp
+++ b/src/core/plan_drain.cpp
@@ -81,8 +81,8 @@
     const auto& view = state_.allocations.view(at);
     const auto& spec = state_.allocations.job(at).spec;
     if (spec.service && view.ran_ms > kMinReplicaRunMs) return true;
-    return spec.checkpoint_s > 0 && spec.spot && spec.save_s < kMaxSaveToMoveS && !spec.apart &&
-           view.ran_ms > state_.snapshot.tuning.min_run_before_drain_ms &&
+    return spec.checkpoint_s > 0 && spec.spot && spec.save_s < kMaxSaveToMoveS &&
+           !spec.spread_zones && view.ran_ms > state_.snapshot.tuning.min_run_before_drain_ms &&
            view.remaining_s > kMinRemainingToMoveS;
 }
 
--- a/src/core/plan_filter.cpp
+++ b/src/core/plan_filter.cpp
@@ -11,9 +11,9 @@
 
 FailedFits::Key FailedFits::key_of(const QueuedJob& job) {
     const auto& spec = job.spec;
-    return {spec.need,     spec.types,    spec.zone,
-            spec.team,     spec.priority, spec.spot,
-            spec.one_zone, spec.apart,    job.waiting.in_guarantee};
+    return {spec.need,     spec.types,        spec.zone,
+            spec.team,     spec.priority,     spec.spot,
+            spec.one_zone, spec.spread_zones, job.waiting.in_guarantee};
 }
 
 // Whether nothing but its key decides where the job fits.
@@ -21,7 +21,7 @@
     const auto& waiting = job.waiting;
     return waiting.avoided_machines.empty() &&
            (!job.spec.one_zone || waiting.zone == kInvalidIndex) &&
-           (!job.spec.apart || !waiting.has_started);
+           (!job.spec.spread_zones || !waiting.has_started);
 }
 
 bool FailedFits::known(const PlacementRequest& request, CapacitySource source) const {
--- a/src/core/plan_filter.h
+++ b/src/core/plan_filter.h
@@ -64,7 +64,7 @@
         Priority priority = Priority::Normal;
         bool spot = false;
         bool one_zone = false;
-        bool apart = false;
+        bool spread_zones = false;
         bool in_guarantee = false;
         auto operator<=>(const Key&) const = default;
     };
--- a/src/core/plan_new_machines.cpp
+++ b/src/core/plan_new_machines.cpp
@@ -67,7 +67,7 @@
     for (TypeIndex index = 0; index < types.size() && index < kMaxTypes; ++index) {
         const auto& type = types[index];
         if ((spec.types >> index & 1) == 0 || type.zones.empty()) continue;
-        const auto fits = type.room.fits(spec.need);
+        const auto fits = type.capacity.fits(spec.need);
         if (fits == 0) continue;
         const auto price = (spot ? type.spot_hourly : type.hourly) / static_cast<double>(fits);
         for (const auto type_zone : state_.snapshot.type_zones[index]) {
@@ -79,7 +79,7 @@
             const auto cost = price * (1.0 + kZoneSpread * in_zone / fleet);
             if (cost >= lowest_cost) continue;
             lowest_cost = cost;
-            machine = NewMachine{pool, type.room};
+            machine = NewMachine{pool, type.capacity};
         }
     }
     return machine;
--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -66,7 +66,7 @@
         state_.count_step();
         auto& best = pop_best(candidates_);
         auto& in_zone = zone_counts[state_.snapshot.machines[best.machine].zone];
-        if (spec.apart && in_zone + 1 > max_tasks_in_zone(spec)) {
+        if (spec.spread_zones && in_zone + 1 > max_tasks_in_zone(spec)) {
             candidates_.pop_back();
             continue;
         }
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -72,7 +72,7 @@
         const auto taken = std::move(evictions_.back());
         evictions_.pop_back();
         auto& in_zone = zone_counts[state_.snapshot.machines[taken.machine].zone];
-        if (spec.apart && in_zone + 1 > max_tasks_in_zone(spec)) continue;
+        if (spec.spread_zones && in_zone + 1 > max_tasks_in_zone(spec)) continue;
         ++in_zone;
         cost += taken.cost;
         placement.machines.push_back(taken.machine);
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -9,7 +9,7 @@
 
 // Whether no zone may get more than half of the tasks, and any zone a part.
 bool spreads_over_zones(const JobSpec& spec) {
-    return spec.apart && !spec.one_zone && spec.zone == kInvalidIndex;
+    return spec.spread_zones && !spec.one_zone && spec.zone == kInvalidIndex;
 }
 
 }  // namespace
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -43,7 +43,7 @@
     std::uint64_t types = ~0ULL;           ///< allowed machine types, one bit for each
     ZoneIndex zone = kInvalidIndex;        ///< required zone; kInvalidIndex: any
     bool one_zone = false;                 ///< all tasks in the same zone
-    bool apart = false;                    ///< at most half of the tasks, rounded up, in a zone
+    bool spread_zones = false;             ///< at most half of the tasks, rounded up, in a zone
     bool spot = false;                     ///< may run on spot machines
     double estimate_s = 0;                 ///< estimated run time of a task, seconds
     double checkpoint_s = 0;               ///< seconds between checkpoints; 0: it saves none
@@ -119,7 +119,7 @@
     double on_demand_patience_s =
         kOnDemandPatienceS;          ///< the same before an on-demand machine is provisioned
     ZoneIndex zone = kInvalidIndex;  ///< with one_zone: the zone of its other tasks
-    /// Number of its tasks by zone, for `apart` and services; may be shorter than the zones.
+    /// Number of its tasks by zone, for `spread_zones` and services; may be shorter than the zones.
     std::vector<std::uint32_t> zone_counts;
     std::vector<MachineIndex> replica_machines;  ///< of a service: machines of its other replicas
     std::vector<MachineIndex> avoided_machines;  ///< machines on which it failed
--- a/src/core/record_layout.h
+++ b/src/core/record_layout.h
@@ -13,33 +13,33 @@
 namespace lichendrift::core {
 
 /// Record numbers of one layout; layout L begins at L times this.
-inline constexpr std::uint32_t kNumbersOfALayout = 1'000'000;
+inline constexpr std::uint32_t kRecordNumbersPerLayout = 1'000'000;
 /// Tasks in a record of layout 1, 2 and 3.
-inline constexpr std::array<std::uint32_t, 3> kFineSpans = {24, 8, 1};
+inline constexpr std::array<std::uint32_t, 3> kTasksPerFineRecord = {24, 8, 1};
 /// The finest layout that this version writes.
-inline constexpr auto kFinestLayout = static_cast<std::uint32_t>(kFineSpans.size());
+inline constexpr auto kFinestLayout = static_cast<std::uint32_t>(kTasksPerFineRecord.size());
 
 /// The layout that a record's number belongs to; above kFinestLayout: of a later version.
 [[nodiscard]] constexpr std::uint32_t layout_of(std::uint32_t number) {
-    return number / kNumbersOfALayout;
+    return number / kRecordNumbersPerLayout;
 }
 
 /// How many tasks a record of a layout holds.
-[[nodiscard]] constexpr std::uint32_t span_of(std::uint32_t layout,
-                                              std::uint32_t tasks_per_record) {
-    return layout == 0 ? tasks_per_record : kFineSpans.at(layout - 1);
+[[nodiscard]] constexpr std::uint32_t tasks_in_record(std::uint32_t layout,
+                                                      std::uint32_t tasks_per_record) {
+    return layout == 0 ? tasks_per_record : kTasksPerFineRecord.at(layout - 1);
 }
 
 /// The number of the record that holds a task.
 [[nodiscard]] constexpr std::uint32_t record_number(std::uint32_t layout, std::uint32_t task,
                                                     std::uint32_t tasks_per_record) {
-    return layout * kNumbersOfALayout + task / span_of(layout, tasks_per_record);
+    return layout * kRecordNumbersPerLayout + task / tasks_in_record(layout, tasks_per_record);
 }
 
 /// The first task that a record holds.
 [[nodiscard]] constexpr std::uint32_t first_task(std::uint32_t number,
                                                  std::uint32_t tasks_per_record) {
-    return number % kNumbersOfALayout * span_of(layout_of(number), tasks_per_record);
+    return number % kRecordNumbersPerLayout * tasks_in_record(layout_of(number), tasks_per_record);
 }
 
 }  // namespace lichendrift::core
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -51,7 +51,7 @@
         for (auto task = first; task <= last && task < job.spec.count; ++task) {
             if (job.done_flags[task] == 0) ++job.done;
             job.done_flags[task] = 2;
-            take_from_waiting(job, task);
+            remove_from_waiting(job, task);
         }
     }
     if (job.done == job.spec.count) all_done_.insert(found->second);
@@ -61,7 +61,7 @@
         // Records of two layouts may both name it, if a leader ended between writing them.
         if (has_attempt(job, placed, machine)) continue;
         job.started_at = now;
-        take_from_waiting(job, placed.task);
+        remove_from_waiting(job, placed.task);
         Allocation allocation;
         allocation.job = found->second;
         allocation.task = placed.task;
@@ -70,8 +70,8 @@
         allocation.session = placed.session;
         // An earlier leader may have started it: only a report can tell.
         allocation.state = Allocation::State::Seen;
-        allocation.since = now;
-        allocation.stop = job.over;
+        allocation.created_at = now;
+        allocation.stop_requested = job.terminal;
         add_allocation(allocation);
     }
 }
@@ -85,15 +85,15 @@
 }
 
 void Cluster::records_loaded() {
-    records_to_come_ = false;
-    std::vector<JobIndex> over;
+    awaiting_records_ = false;
+    std::vector<JobIndex> terminal;
     for (auto& [index, job] : jobs_) {
-        if (job.over) over.push_back(index);
+        if (job.terminal) terminal.push_back(index);
         const bool earlier =
             !job.records.empty() && layout_of(job.records.begin()->first) < job.layout;
-        if (!job.over && earlier) move_records(index);
+        if (!job.terminal && earlier) rewrite_records(index);
     }
-    for (auto index : over) drop_if_gone(index);
+    for (auto index : terminal) forget_if_finished(index);
 }
 
 // ---- layouts, see core/record_layout.h ----
@@ -105,14 +105,14 @@
 void Cluster::refine_layout(JobIndex index) {
     Job& job = jobs_.at(index);
     ++job.layout;
-    move_records(index);
+    rewrite_records(index);
 }
 
 // Has all that is known of a job written to records of its present layout; the earlier ones are
 // removed once these are durable. A leader that ends in between leaves records of both. They name
 // at least every allocation that there is, and what they name beyond that is found gone by the
 // machines' reports, so nothing runs twice.
-void Cluster::move_records(JobIndex index) {
+void Cluster::rewrite_records(JobIndex index) {
     Job& job = jobs_.at(index);
     bool earlier = false;
     for (auto& [number, record] : job.records) {
@@ -126,18 +126,18 @@
     for (std::uint32_t task = 0; task < job.spec.count && job.done > 0; ++task) {
         if (job.done_flags[task] != 0) needed.insert(record_of(job, task));
     }
-    job.to_move.clear();
+    job.records_to_move.clear();
     for (auto number : needed) {
         job.records[number].dirty = true;
         dirty_.insert(record_key(index, number));
-        if (earlier) job.to_move.insert(number);
+        if (earlier) job.records_to_move.insert(number);
     }
-    if (earlier) drop_superseded(index);
+    if (earlier) remove_superseded_records(index);
 }
 
-void Cluster::drop_superseded(JobIndex index) {
+void Cluster::remove_superseded_records(JobIndex index) {
     Job& job = jobs_.at(index);
-    if (!job.to_move.empty()) return;
+    if (!job.records_to_move.empty()) return;
     for (auto it = job.records.begin(); it != job.records.end();) {
         // A write in flight may still create the record: it is removed when that is known.
         if (layout_of(it->first) >= job.layout || it->second.writing) {
@@ -191,7 +191,7 @@
     write.record.term = settings_.token;
     write.record.nonce = settings_.token * kNoncesPerToken + ++nonces_;
     const auto first = first_task(number, settings_.tasks_per_record);
-    const auto span = span_of(layout_of(number), settings_.tasks_per_record);
+    const auto span = tasks_in_record(layout_of(number), settings_.tasks_per_record);
     const auto last = std::min(first + span, job.spec.count);
     for (auto held = job.allocations.lower_bound(first);
          held != job.allocations.end() && held->first < last; ++held) {
@@ -241,7 +241,7 @@
             break;
         }
         auto found = jobs_.find(job_index);
-        if (found == jobs_.end() || found->second.over) {
+        if (found == jobs_.end() || found->second.terminal) {
             it = dirty_.erase(it);
             continue;
         }
@@ -252,7 +252,7 @@
             continue;
         }
         RecordState& record = entry->second;
-        if (record.writing || record.retry_at > now || job.finishing ||
+        if (record.writing || record.retry_at > now || job.writing_terminal_state ||
             job.done == job.spec.count) {
             ++it;
             continue;
@@ -285,7 +285,7 @@
     record.writing = false;
     // Of an earlier layout: the records of the present one say the same and are on their way.
     const bool superseded = layout_of(write.record_number) < job.layout;
-    if (!ok && superseded) return drop_superseded(write.job);
+    if (!ok && superseded) return remove_superseded_records(write.job);
     if (!ok) {
         record.dirty = true;
         dirty_.insert(record_key(write.job, write.record_number));
@@ -299,9 +299,9 @@
     }
     make_ready(job, write.record.placed);
     if (job.spec.gang) hold_back_incomplete_gang(job);
-    job.to_move.erase(write.record_number);
-    if (job.layout > 0 && job.records.begin()->first < job.layout * kNumbersOfALayout) {
-        drop_superseded(write.job);
+    job.records_to_move.erase(write.record_number);
+    if (job.layout > 0 && job.records.begin()->first < job.layout * kRecordNumbersPerLayout) {
+        remove_superseded_records(write.job);
     }
 }
 
@@ -333,9 +333,10 @@
 
 // A job that is over, as the state service has it, is kept out of the next batches, which would
 // fail whole for it, until its terminal state is known here. The others of its batch need not wait.
-void Cluster::on_record_refused(const RecordWrite& write, bool job_over, Millis now) {
+void Cluster::on_record_refused(const RecordWrite& write, bool job_not_open, Millis now) {
     on_record_written(write, false, 0, now);
-    if (auto* record = find_record(write)) record->retry_at = now + (job_over ? kRefusedPause : 0);
+    if (auto* record = find_record(write))
+        record->retry_at = now + (job_not_open ? kRefusedPause : 0);
 }
 
 void Cluster::on_record_reread(const RecordWrite& write, std::uint64_t revision,
@@ -356,20 +357,21 @@
     return record == job->second.records.end() ? nullptr : &record->second;
 }
 
-std::optional<FinalWrite> Cluster::next_final_write(std::size_t max_records, Millis now) {
+std::optional<TerminalStateWrite> Cluster::next_terminal_state_write(std::size_t max_records,
+                                                                     Millis now) {
     for (auto it = all_done_.begin(); it != all_done_.end();) {
-        ++work_;
+        ++entries_visited_;
         const auto job_index = *it;
         auto found = jobs_.find(job_index);
-        if (found == jobs_.end() || found->second.over) {
+        if (found == jobs_.end() || found->second.terminal) {
             it = all_done_.erase(it);
             continue;
         }
         ++it;
         Job& job = found->second;
-        if (job.finishing || job.finish_retry_at > now) continue;
-        job.finishing = true;
-        FinalWrite write;
+        if (job.writing_terminal_state || job.terminal_state_retry_at > now) continue;
+        job.writing_terminal_state = true;
+        TerminalStateWrite write;
         write.job = job_index;
         write.job_id = job.id;
         write.open_revision = job.open_revision;
@@ -386,18 +388,18 @@
     return std::nullopt;
 }
 
-void Cluster::final_written(const FinalWrite& write, bool ok, Millis now) {
+void Cluster::on_terminal_state_written(const TerminalStateWrite& write, bool ok, Millis now) {
     auto it = jobs_.find(write.job);
     if (it == jobs_.end()) return;
-    it->second.finishing = false;
+    it->second.writing_terminal_state = false;
     if (!ok) {
-        it->second.finish_retry_at = now + kRetryPause;
+        it->second.terminal_state_retry_at = now + kRetryPause;
         return;
     }
     for (auto number : write.record_numbers) it->second.records[number].revision = 0;
     for (auto& [number, record] : it->second.records) record.dirty = false;
     const auto id = write.job_id;
-    job_over(id, false, now);
+    on_job_terminal(id, false, now);
 }
 
 std::vector<std::string> Cluster::next_orphans(std::size_t limit) {
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -71,9 +71,9 @@
     std::vector<std::vector<std::pair<std::int64_t, JobIndex>>> by_team(team_list_.size());
     for (auto& [index, job] : jobs_) {
         job.in_guarantee = false;
-        if (job.over || job.spec.team == kInvalidIndex) continue;
+        if (job.terminal || job.spec.team == kInvalidIndex) continue;
         by_team[job.spec.team].emplace_back(job.spec.submitted_ms, index);
-        team_busy_[job.spec.team] = now;
+        team_last_active_[job.spec.team] = now;
     }
     for (std::size_t team = 0; team < by_team.size(); ++team) {
         const Resources& guarantee = team_list_[team].guarantee;
@@ -92,8 +92,8 @@
 
 JobFacts Cluster::facts(const Job& job) const {
     JobFacts about;
-    about.cls = job.text.cls;
-    about.team = job.text.team;
+    about.cls = job.description.cls;
+    about.team = job.description.team;
     about.priority = job.spec.priority;
     about.gang = job.spec.gang;
     about.service = job.spec.service;
@@ -110,8 +110,8 @@
 FleetFacts Cluster::fleet_facts() const {
     FleetFacts fleet;
     for (const auto& machine : machines_) {
-        if (machine.life == Machine::Life::Booting) ++fleet.booting;
-        if (machine.life != Machine::Life::Up) continue;
+        if (machine.lifecycle == Machine::Lifecycle::Booting) ++fleet.booting;
+        if (machine.lifecycle != Machine::Lifecycle::Up) continue;
         ++fleet.machines;
         if (machine.allocations.empty()) ++fleet.idle;
     }
@@ -122,7 +122,7 @@
 }
 
 Snapshot Cluster::snapshot(Millis now, std::int64_t wall_ms) {
-    wake_replicas(now);
+    end_replica_backoffs(now);
     fill_guarantees(now);
     Snapshot out;
     out.now = now;
@@ -133,7 +133,7 @@
             static_cast<std::uint32_t>(settings_.policy->spare_machines(fleet));
         out.tuning.warm_capacity_s = settings_.policy->warm_capacity_s(fleet);
     }
-    out.may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
+    out.may_drain = now - last_drain_at_ >= settings_.tuning.drain_interval_ms;
     out.machines.reserve(machines_.size());
     out.allocations.reserve(allocations_.size());
     out.jobs.reserve(jobs_.size());
@@ -145,8 +145,8 @@
     add_refused(out);
     for (MachineIndex index = 0; index < machines_.size(); ++index) {
         const Machine& machine = machines_[index];
-        const bool there =
-            machine.life == Machine::Life::Up || machine.life == Machine::Life::Booting;
+        const bool there = machine.lifecycle == Machine::Lifecycle::Up ||
+                           machine.lifecycle == Machine::Lifecycle::Booting;
         if (!there || machine.type == kInvalidIndex) continue;
         out.machines.push_back(machine_view(index, fleet, now));
         add_allocations(index, out);
@@ -169,7 +169,7 @@
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], times,
                                 job.in_guarantee ? guarantee_s_ : 0);
-        fill_item(job, times.age_s, now, item);
+        fill_waiting_job(job, times.age_s, now, item);
         add_zones(job, item);
     }
     return out;
@@ -181,8 +181,8 @@
     out.guaranteed_start_s = guarantee_s_;
     for (std::size_t index = 0; index < team_list_.size(); ++index) {
         // Without a bound the resources of a team without work would be kept for ever.
-        if (team_busy_[index] >= 0 &&
-            out.now - team_busy_[index] < settings_.tuning.guarantee_retention_ms) {
+        if (team_last_active_[index] >= 0 &&
+            out.now - team_last_active_[index] < settings_.tuning.guarantee_retention_ms) {
             out.retained_guarantees += team_list_[index].guarantee;
         }
     }
@@ -191,8 +191,8 @@
 // "Exceptions to the plain rule", room kept warm.
 void Cluster::add_warm_capacity(Snapshot& out) const {
     for (const auto& [index, arrivals] : arrivals_) {
-        const double rate =
-            arrivals.rate * std::exp(-static_cast<double>(out.now - arrivals.at) / kRateFor);
+        const double rate = arrivals.rate * std::exp(-static_cast<double>(out.now - arrivals.at) /
+                                                     kArrivalRateWindowMs);
         // A class that has not been seen for minutes needs nothing kept.
         // Nor does a single service, which stays for long, say that another one comes soon.
         const double minimum = arrivals.spec.service ? kMinReplicasSoon : kMinTasksSoon;
@@ -200,7 +200,7 @@
         const auto tasks = static_cast<std::uint32_t>(std::ceil(rate * out.tuning.warm_capacity_s));
         out.warm_capacity.push_back({arrivals.spec, std::min(tasks, kMaxWarmTasks)});
     }
-    for (const auto& [image, used] : warm_) {
+    for (const auto& [image, used] : recent_images_) {
         if (out.now - used < kWarmFor) out.start_objective_images.push_back(image);
     }
 }
@@ -211,7 +211,7 @@
         auto& zones = out.type_zones.emplace_back();
         for (const auto& zone : type.zones) zones.push_back(zones_.intern(zone));
     }
-    for (const auto& [kind, until] : refused_) {
+    for (const auto& [kind, until] : refused_pools_) {
         if (until.first > out.now) out.refused_provisions.push_back(kind);
     }
     for (TypeIndex type = 0; type < out.type_zones.size(); ++type) {
@@ -232,7 +232,7 @@
     view.zone = machine.zone;
     view.spot = machine.spot;
     view.usable = admission_check_.is_usable(machine, now);
-    view.capacity = type.room;
+    view.capacity = type.capacity;
     view.free = view.capacity;
     view.free -= machine.used;
     view.age_ms = now - machine.provisioned_at;
@@ -240,12 +240,12 @@
         view.idle_ms = now - machine.idle_since;
         view.idle_retention_ms = idle_keep_ms(machine, view.age_ms, fleet);
     }
-    if (machine.life == Machine::Life::Booting) {
+    if (machine.lifecycle == Machine::Lifecycle::Booting) {
         const double age_s = static_cast<double>(view.age_ms) / 1000.0;
         view.booting = age_s < type.boot_s * kBootMargin + kBootMarginSeconds;
     } else if (!view.usable) {
         // No report under this token yet, or in quarantine: it will most likely be usable soon.
-        view.booting = !machine.drain.any() && !machine.taken_at &&
+        view.booting = !machine.drain.any() && !machine.reclaim_at &&
                        now - std::max(machine.last_heartbeat_at, machine.first_seen) < kSoonUsable;
     }
     view.images = machine.images;
@@ -276,7 +276,7 @@
         view.attempt = allocation.attempt;
         view.machine = machine;
         view.job = allocation.job;
-        view.stopping = allocation.stop;
+        view.stopping = allocation.stop_requested;
         const auto ran_ms = out.now - allocation.running_since;
         const double ran_s =
             allocation.running_since > 0 ? static_cast<double>(ran_ms) / 1000.0 : 0;
@@ -291,10 +291,10 @@
 
 // The order among what waits, and how long it waits for what is there before machines are
 // provisioned for it. The slack is set already.
-void Cluster::fill_item(const Job& job, double age_s, Millis now, WaitingJob& item) const {
+void Cluster::fill_waiting_job(const Job& job, double age_s, Millis now, WaitingJob& item) const {
     item.in_guarantee = job.in_guarantee;
     item.backing_off = job.retry_at > now;
-    item.has_started = job.next_fresh > 0;
+    item.has_started = job.next_unplaced > 0;
     // A replica that waits is lost time, however long its service has been up.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlack);
     item.order_s = item.slack_s;
@@ -314,14 +314,14 @@
     }
     // What fails everywhere has a mistake: to keep it off ever more machines would provision a new
     // one for each try, and leave it waiting beside capacity that fits.
-    if (has_run_well(job, now) || job.failed_on.size() < kMachinesThatProveAMistake) {
+    if (has_succeeded(job, now) || job.failed_on.size() < kMachinesThatProveAMistake) {
         item.avoided_machines.assign(job.failed_on.begin(), job.failed_on.end());
     }
 }
 
 // Where its other tasks are, if that matters for where the next ones may go.
 void Cluster::add_zones(const Job& job, WaitingJob& item) const {
-    if (!job.spec.one_zone && !job.spec.apart && !job.spec.service) return;
+    if (!job.spec.one_zone && !job.spec.spread_zones && !job.spec.service) return;
     item.zone_counts.resize(zones_.size());
     for (const auto& [task, index] : job.allocations) {
         const auto machine = allocations_[index].machine;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -88,7 +88,7 @@
 }
 
 /// Names of one kind as dense indices.
-class Names {
+class NameTable {
   public:
     /// The index of a name, which gets one if it has none.
     std::uint32_t intern(std::string_view name) {
@@ -121,7 +121,7 @@
 };
 
 /// A job as its user described it, before names become indices.
-struct JobText {
+struct JobDescription {
     std::string id;                                 ///< unique for ever
     std::string cls;                                ///< its class
     std::string team;                               ///< whose quota it counts against
@@ -137,7 +137,7 @@
     std::optional<std::vector<std::string>> types;  ///< allowed machine types; none: all
     std::optional<std::string> zone;                ///< the only zone allowed; none: any
     bool one_zone = false;                          ///< all tasks in one zone
-    bool apart = false;                             ///< at most half of the tasks in one zone
+    bool spread_zones = false;                      ///< at most half of the tasks in one zone
     bool spot = false;                              ///< may use spot machines
     double estimate_s = 0;                          ///< how long a task runs, seconds
     double checkpoint_s = 0;           ///< interval between checkpoints, seconds; 0: none
@@ -165,7 +165,7 @@
 /// A machine type that the cloud offers.
 struct MachineType {
     std::string name;                ///< the cloud's name
-    Resources room;                  ///< of one machine
+    Resources capacity;              ///< of one machine
     double local_gb = 0;             ///< local disk, GB
     double fetch_gb_s = 1;           ///< fetches images so fast, GB a second
     double hourly = 0;               ///< price of an on-demand machine
@@ -178,33 +178,33 @@
 
 /// What a task does, as its worker reports it.
 enum class TaskPhase : std::uint8_t {
-    Pulling,    ///< fetches its image
-    Gathering,  ///< of a gang: waits for its peers
-    Running,    ///< runs
-    Saving,     ///< was halted and saves its progress
-    Exited      ///< has ended; reported until it is reaped
+    Pulling,          ///< fetches its image
+    WaitingForPeers,  ///< of a gang: waits for its peers
+    Running,          ///< runs
+    Saving,           ///< was halted and saves its progress
+    Exited            ///< has ended; reported until it is reaped
 };
 /// How a task has ended, in the worker's terms (operators' protocol page).
-enum class ExitWhy : std::uint8_t {
-    None,    ///< it has not
-    Done,    ///< completed
-    Halted,  ///< by a command
-    Peers,   ///< a peer of its gang has ended
-    Alone,   ///< its peers did not come in time
-    Error,   ///< failed
-    Full,    ///< not started: the machine lacks the resources
-    Busy,    ///< not started: another attempt of it is there
+enum class ExitReason : std::uint8_t {
+    None,                   ///< it has not
+    Done,                   ///< completed
+    Halted,                 ///< by a command
+    PeerExited,             ///< a peer of its gang has ended
+    PeersMissing,           ///< its peers did not come in time
+    Error,                  ///< failed
+    InsufficientResources,  ///< not started: the machine lacks the resources
+    OtherAttemptPresent,    ///< not started: another attempt of it is there
     Unknown  ///< not started: the worker knows no such task; or a reason new to this version
 };
 
 /// One task in a report.
 struct TaskReport {
-    std::string job;                       ///< id of its job
-    std::uint32_t task = 0;                ///< number within the job
-    std::uint64_t attempt = 0;             ///< which attempt
-    TaskPhase phase = TaskPhase::Running;  ///< what it does
-    ExitWhy why = ExitWhy::None;           ///< how it ended, if it has
-    bool stored = false;                   ///< its progress is saved
+    std::string job;                            ///< id of its job
+    std::uint32_t task = 0;                     ///< number within the job
+    std::uint64_t attempt = 0;                  ///< which attempt
+    TaskPhase phase = TaskPhase::Running;       ///< what it does
+    ExitReason exit_reason = ExitReason::None;  ///< how it ended, if it has
+    bool progress_saved = false;                ///< its progress is saved
 };
 
 /// What a worker reports of its machine, in a heartbeat or in the response to a direct command.
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -27,7 +27,7 @@
     in.required(field::kCpus, cpus);
     in.required(field::kMemoryGb, memory_gb);
     in.optional(field::kGpus, gpus);
-    type.room = {to_thousandths(cpus), to_thousandths(gpus), to_thousandths(memory_gb)};
+    type.capacity = {to_thousandths(cpus), to_thousandths(gpus), to_thousandths(memory_gb)};
     in.optional(field::kLocalGb, type.local_gb);
     in.optional(field::kFetchGbPerS, type.fetch_gb_s);
     in.optional(field::kHourlyPrice, type.hourly);
@@ -59,9 +59,9 @@
 
 void write_type(json::Writer& out, const core::MachineType& type) {
     out.field(field::kTypeName, type.name);
-    out.field(field::kCpus, from_thousandths(type.room.cpus));
-    out.field(field::kGpus, from_thousandths(type.room.gpus));
-    out.field(field::kMemoryGb, from_thousandths(type.room.mem));
+    out.field(field::kCpus, from_thousandths(type.capacity.cpus));
+    out.field(field::kGpus, from_thousandths(type.capacity.gpus));
+    out.field(field::kMemoryGb, from_thousandths(type.capacity.mem));
     out.field(field::kZones, type.zones);
 }
 
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -117,19 +117,19 @@
 /// Phases of tasks.
 inline constexpr auto kTaskPhases =
     std::to_array<Named<core::TaskPhase>>({{"pulling", core::TaskPhase::Pulling},
-                                           {"gathering", core::TaskPhase::Gathering},
+                                           {"gathering", core::TaskPhase::WaitingForPeers},
                                            {"running", core::TaskPhase::Running},
                                            {"saving", core::TaskPhase::Saving},
                                            {"exited", core::TaskPhase::Exited}});
 /// Why tasks exited; any other text counts as unknown.
 inline constexpr auto kExitReasons =
-    std::to_array<Named<core::ExitWhy>>({{"done", core::ExitWhy::Done},
-                                         {"halted", core::ExitWhy::Halted},
-                                         {"peers", core::ExitWhy::Peers},
-                                         {"alone", core::ExitWhy::Alone},
-                                         {"error", core::ExitWhy::Error},
-                                         {"full", core::ExitWhy::Full},
-                                         {"busy", core::ExitWhy::Busy}});
+    std::to_array<Named<core::ExitReason>>({{"done", core::ExitReason::Done},
+                                            {"halted", core::ExitReason::Halted},
+                                            {"peers", core::ExitReason::PeerExited},
+                                            {"alone", core::ExitReason::PeersMissing},
+                                            {"error", core::ExitReason::Error},
+                                            {"full", core::ExitReason::InsufficientResources},
+                                            {"busy", core::ExitReason::OtherAttemptPresent}});
 /// Kinds of commands.
 inline constexpr auto kCommandKinds =
     std::to_array<Named<core::Command::Kind>>({{"run", core::Command::Kind::Run},
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -50,7 +50,8 @@
 template <>
 struct Layout<core::TaskReport> {
     static auto entries(auto& task) {
-        return std::tie(task.job, task.task, task.attempt, task.phase, task.why, task.stored);
+        return std::tie(task.job, task.task, task.attempt, task.phase, task.exit_reason,
+                        task.progress_saved);
     }
 };
 template <>
@@ -87,8 +88,8 @@
     static constexpr auto kValue = core::TaskPhase::Exited;
 };
 template <>
-struct MaxEnumerator<core::ExitWhy> {
-    static constexpr auto kValue = core::ExitWhy::Unknown;
+struct MaxEnumerator<core::ExitReason> {
+    static constexpr auto kValue = core::ExitReason::Unknown;
 };
 template <>
 struct MaxEnumerator<core::Command::Kind> {
--- a/src/wire/stored_values.cpp
+++ b/src/wire/stored_values.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kHintMachineBytes = 16;
 constexpr std::size_t kHintImageBytes = 8;
 
-void write_job(json::Writer& out, const core::JobText& job) {
+void write_job(json::Writer& out, const core::JobDescription& job) {
     namespace names = stored::job;
     out.field(names::kClass, job.cls);
     out.field(names::kTeam, job.team);
@@ -29,16 +29,16 @@
     if (job.types) out.field(names::kTypes, *job.types);
     if (job.zone) out.field(names::kZone, *job.zone);
     out.field(names::kOneZone, job.one_zone);
-    out.field(names::kApart, job.apart);
+    out.field(names::kApart, job.spread_zones);
     out.field(names::kSpot, job.spot);
     out.field(names::kDurationsS, std::array{job.estimate_s, job.checkpoint_s, job.save_s});
     if (job.deadline_s) out.field(names::kDeadlineS, *job.deadline_s);
     out.field(names::kSubmittedMs, job.submitted_ms);
 }
 
-core::JobText read_job(json::ObjectReader& in, std::string_view id) {
+core::JobDescription read_job(json::ObjectReader& in, std::string_view id) {
     namespace names = stored::job;
-    core::JobText job;
+    core::JobDescription job;
     job.id = id;
     std::uint64_t priority = 0;
     std::uint64_t count = 0;
@@ -56,7 +56,7 @@
     in.required(names::kImage, job.image);
     in.required(names::kImageGb, job.image_gb);
     in.required(names::kOneZone, job.one_zone);
-    in.required(names::kApart, job.apart);
+    in.required(names::kApart, job.spread_zones);
     in.required(names::kSpot, job.spot);
     in.required(names::kDurationsS, durations);
     in.optional(names::kService, job.service);
@@ -118,11 +118,11 @@
 
 }  // namespace
 
-std::string job_value(const core::JobText& job) {
+std::string job_value(const core::JobDescription& job) {
     return json::object_text([&](json::Writer& out) { write_job(out, job); });
 }
 
-std::optional<core::JobText> parse_job_value(std::string_view id, std::string_view value) {
+std::optional<core::JobDescription> parse_job_value(std::string_view id, std::string_view value) {
     json::Document document(value);
     auto in = document.root();
     return document.if_valid(read_job(in, id));
@@ -158,7 +158,7 @@
     return document.if_valid(std::move(record));
 }
 
-std::string terminal_state_value(bool aborted, const core::JobText* job) {
+std::string terminal_state_value(bool aborted, const core::JobDescription* job) {
     namespace names = stored::terminal;
     return json::object_text([&](json::Writer& out) {
         out.field(names::kState, aborted ? names::kAborted : names::kDone);
@@ -168,7 +168,7 @@
     });
 }
 
-std::string terminal_state_value_within(bool aborted, const core::JobText& job,
+std::string terminal_state_value_within(bool aborted, const core::JobDescription& job,
                                         std::size_t max_bytes) {
     auto value = terminal_state_value(aborted, &job);
     if (value.size() <= max_bytes) return value;
--- a/src/wire/stored_values.h
+++ b/src/wire/stored_values.h
@@ -18,10 +18,10 @@
 namespace lichendrift::wire {
 
 /// An open job: its description.
-[[nodiscard]] std::string job_value(const core::JobText& job);
+[[nodiscard]] std::string job_value(const core::JobDescription& job);
 /// The description of the open job `id`.
-[[nodiscard]] std::optional<core::JobText> parse_job_value(std::string_view id,
-                                                           std::string_view value);
+[[nodiscard]] std::optional<core::JobDescription> parse_job_value(std::string_view id,
+                                                                  std::string_view value);
 
 /// A placement record.
 [[nodiscard]] std::string placement_value(const core::PlacementRecord& record);
@@ -30,14 +30,15 @@
 
 /// How a job ended.
 struct TerminalState {
-    bool aborted = false;              ///< cancelled; otherwise completed
-    std::optional<core::JobText> job;  ///< description, kept while tasks may still be on machines
+    bool aborted = false;  ///< cancelled; otherwise completed
+    std::optional<core::JobDescription>
+        job;  ///< description, kept while tasks may still be on machines
 };
 /// A terminal state. `job` may be null.
-[[nodiscard]] std::string terminal_state_value(bool aborted, const core::JobText* job);
+[[nodiscard]] std::string terminal_state_value(bool aborted, const core::JobDescription* job);
 /// The same within a limit: a description that is too long is reduced to what its tasks take while
 /// they are still on machines, without the lists of where they might run.
-[[nodiscard]] std::string terminal_state_value_within(bool aborted, const core::JobText& job,
+[[nodiscard]] std::string terminal_state_value_within(bool aborted, const core::JobDescription& job,
                                                       std::size_t max_bytes);
 /// The terminal state of the job `id`. A damaged description is left out.
 [[nodiscard]] std::optional<TerminalState> parse_terminal_state_value(std::string_view id,
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -28,13 +28,13 @@
     if (value) out = *value;
 }
 
-void read_identity(json::ObjectReader& in, core::JobText& job) {
+void read_identity(json::ObjectReader& in, core::JobDescription& job) {
     in.required(field::kId, job.id, valid_job_id);
     in.required(field::kClass, job.cls, json::is_valid_name);
     in.required(field::kTeam, job.team, json::is_valid_name);
 }
 
-void read_kind(json::ObjectReader& in, core::JobText& job) {
+void read_kind(json::ObjectReader& in, core::JobDescription& job) {
     auto kind = text::JobKind::Array;
     read_named(in, field::kKind, text::kJobKinds, kind);
     job.service = kind == text::JobKind::Service;
@@ -46,7 +46,7 @@
     job.count = static_cast<std::uint32_t>(count);
 }
 
-void read_resources(json::ObjectReader& in, core::JobText& job) {
+void read_resources(json::ObjectReader& in, core::JobDescription& job) {
     in.required(field::kCpus, job.cpus, is_valid_amount);
     in.required(field::kGpus, job.gpus, is_valid_amount);
     in.required(field::kMemoryGb, job.mem_gb, is_valid_amount);
@@ -54,18 +54,18 @@
     in.required(field::kImageGb, job.image_gb, is_valid_amount);
 }
 
-void read_placement_rules(json::ObjectReader& in, core::JobText& job) {
+void read_placement_rules(json::ObjectReader& in, core::JobDescription& job) {
     in.nullable(field::kMachineTypes, job.types, [](const std::vector<std::string>& types) {
         return types.size() <= kMaxAllowedTypes &&
                std::all_of(types.begin(), types.end(), json::is_valid_name);
     });
     in.nullable(field::kZone, job.zone, json::is_valid_name);
     in.required(field::kOneZone, job.one_zone);
-    in.required(field::kApart, job.apart);
+    in.required(field::kApart, job.spread_zones);
     in.required(field::kSpot, job.spot);
 }
 
-void read_durations(json::ObjectReader& in, core::JobText& job) {
+void read_durations(json::ObjectReader& in, core::JobDescription& job) {
     in.required(field::kEstimateS, job.estimate_s, is_valid_amount);
     in.required(field::kCheckpointIntervalS, job.checkpoint_s, is_valid_amount);
     in.required(field::kSaveS, job.save_s, is_valid_amount);
@@ -86,10 +86,10 @@
     return id.find_first_not_of("0123456789", kPrefix.size()) == std::string_view::npos;
 }
 
-Parsed<core::JobText> parse_submission(std::string_view body) {
+Parsed<core::JobDescription> parse_submission(std::string_view body) {
     json::Document document(body);
     auto in = document.root();
-    core::JobText job;
+    core::JobDescription job;
     read_identity(in, job);
     read_kind(in, job);
     read_resources(in, job);
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -14,7 +14,7 @@
 [[nodiscard]] bool valid_job_id(std::string_view id);
 
 /// The job that the body of a submission describes. Fields that are not known are ignored.
-[[nodiscard]] Parsed<core::JobText> parse_submission(std::string_view body);
+[[nodiscard]] Parsed<core::JobDescription> parse_submission(std::string_view body);
 
 /// What a user is told about a submission with that error.
 [[nodiscard]] std::string error_text(const ParseError& error);
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -45,9 +45,9 @@
     if (phase) task.phase = *phase;
     if (task.phase == core::TaskPhase::Exited) {
         in.required(field::kExitReason, text);
-        task.why = text::find(text::kExitReasons, text).value_or(core::ExitWhy::Unknown);
+        task.exit_reason = text::find(text::kExitReasons, text).value_or(core::ExitReason::Unknown);
     }
-    in.optional(field::kSaved, task.stored);
+    in.optional(field::kSaved, task.progress_saved);
     return task;
 }
 
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -15,7 +15,7 @@
         : cluster_(with, types_, zones_) {
         MachineType type;
         type.name = "box";
-        type.room = {8000, 2000, 16000};
+        type.capacity = {8000, 2000, 16000};
         type.hourly = 4;
         type.spot_hourly = 1;
         type.zones = {"a"};
@@ -41,7 +41,7 @@
         cluster_.on_report(r, true, now);
     }
     // The first job, placed on these machines, with its record durable at 1300.
-    void start_recorded(const JobText& job, const std::vector<MachineIndex>& machines) {
+    void start_recorded(const JobDescription& job, const std::vector<MachineIndex>& machines) {
         cluster_.add_job(job, 1, 1000);
         Plan plan;
         plan.starts.push_back({0, machines, 0, {}});
@@ -53,8 +53,8 @@
     bool usable(std::size_t machine, Millis now) {
         return cluster_.snapshot(now, 0).machines.at(machine).usable;
     }
-    Names types_;
-    Names zones_;
+    NameTable types_;
+    NameTable zones_;
     Cluster cluster_;
 };
 
@@ -88,7 +88,7 @@
 // A late copy of a report makes a machine look up that was gone before this lead began; alone in
 // the fleet it counted as a trouble of ours, and its record kept a job waiting for ever.
 TEST_F(ClusterTest, GoneMachineThatALateCopyShowsIsReturnedOnceAListLacksIt) {
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.cpus = 1;
@@ -137,7 +137,7 @@
 TEST_P(RefusedStartTest, LetsGoOfATaskThatWasToBeStopped) {
     const bool cancelled = GetParam();
     heartbeat("host-1", 1, 1000);
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.cpus = 4;
@@ -145,7 +145,7 @@
     const auto direct = cluster_.direct_commands("host-1", true, 1300);
     ASSERT_EQ(direct.commands.size(), 1U);
     if (cancelled) {
-        cluster_.job_over(job.id, true, 1350);
+        cluster_.on_job_terminal(job.id, true, 1350);
     } else {
         const auto running = cluster_.snapshot(1350, 0).allocations;
         ASSERT_EQ(running.size(), 1U);
@@ -180,7 +180,7 @@
     const bool sound = GetParam();
     const std::vector<std::string> names{"host-0", "host-1", "host-2"};
     for (const auto& name : names) heartbeat(name, 1, 1000);
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.cpus = 4;
@@ -194,7 +194,7 @@
         for (const auto& order : direct.commands) {
             const bool done = sound && name == "host-0";
             exited.push_back({order.job, order.task, order.attempt, TaskPhase::Exited,
-                              done ? ExitWhy::Done : ExitWhy::Error, false});
+                              done ? ExitReason::Done : ExitReason::Error, false});
         }
         heartbeat(name, 2, 2000, 3, exited);
     }
@@ -232,7 +232,7 @@
 
 TEST_F(ClusterTest, GateRefusesWhatThePlannerMustNotAsk) {
     heartbeat("host-1", 1, 1000);
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.count = 2;
@@ -326,7 +326,7 @@
 // A new leader counts waiting from the submission: otherwise nothing ever waits long enough to go
 // first while leaders change every few minutes.
 TEST_F(ClusterTest, WaitingGoesOnOverAChangeOfLeader) {
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.count = 2;
@@ -352,7 +352,7 @@
     r.token = 3;
     r.notice_s = 3;
     cluster_.on_report(r, true, 2000);
-    cluster_.on_refused(0, 0, false, 2500);
+    cluster_.on_provision_refused(0, 0, false, 2500);
     heartbeat("host-2", 2, 4000);
     cluster_.tick(4500);
     EXPECT_TRUE(cluster_.next_releases(10, 4500).empty());
@@ -367,12 +367,12 @@
 // durable when their leader ended, and were all placed anew by the next.
 TEST_F(ClusterTest, RecordsOfServicesAreWrittenFirst) {
     heartbeat("host-1", 1, 1000);
-    JobText array;
+    JobDescription array;
     array.id = "job-000001";
     array.team = "core";
     array.count = 2;
     array.cpus = 1;
-    JobText service = array;
+    JobDescription service = array;
     service.id = "job-000002";
     service.service = true;
     cluster_.add_job(array, 1, 1000);
@@ -397,7 +397,7 @@
 // durable, and nothing is placed anew for it.
 TEST_F(ClusterTest, RecordThatExceedsTheLimitIsDividedInAFinerLayout) {
     heartbeat("host-1", 1, 1000);
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.count = 60;
@@ -431,12 +431,12 @@
 
 // A leader that ended between the two layouts left records of both.
 TEST_F(ClusterTest, RecordsOfBothLayoutsNameEachAttemptOnce) {
-    JobText job;
+    JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.count = 60;
     job.cpus = 0.1;
-    cluster_.records_to_come();
+    cluster_.await_records();
     cluster_.add_job(job, 1, 1000);
     PlacementRecord earlier;
     earlier.placed = {{0, 77, "host-1", 1}, {30, 78, "host-1", 1}};
@@ -462,7 +462,7 @@
 // The check with real processes found two idle machines rented for a minute after one service of
 // two replicas had come and gone.
 TEST_F(ClusterTest, OneServiceKeepsNoMachineWarmForTheNext) {
-    JobText service;
+    JobDescription service;
     service.id = "job-000001";
     service.cls = "standing";
     service.team = "core";
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -101,14 +101,14 @@
     EXPECT_EQ(core::record_number(2, 17, 102), 2'000'002U);
     EXPECT_EQ(core::record_number(3, 17, 102), 3'000'017U);
     // Those of layout 0 never reach those of the finer ones: at least 8 tasks are in each.
-    EXPECT_LT(core::record_number(0, 99'999, 8), core::kNumbersOfALayout);
+    EXPECT_LT(core::record_number(0, 99'999, 8), core::kRecordNumbersPerLayout);
     for (std::uint32_t layout = 0; layout <= core::kFinestLayout; ++layout) {
         for (std::uint32_t task : {0U, 7U, 8U, 23U, 24U, 500U, 99'999U}) {
             const auto number = core::record_number(layout, task, 102);
             EXPECT_EQ(core::layout_of(number), layout);
             const auto first = core::first_task(number, 102);
             EXPECT_LE(first, task);
-            EXPECT_LT(task, first + core::span_of(layout, 102));
+            EXPECT_LT(task, first + core::tasks_in_record(layout, 102));
         }
     }
 }
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -244,20 +244,20 @@
 // tasks yet, was forgotten, and its team's quota was given to others while its tasks ran on.
 TEST(FaultCombinations, CancelledAmidATakeOverItStillCountsUntilItsTasksAreGone) {
     for (const bool guarded : {true, false}) {
-        core::Names types;
-        core::Names zones;
+        core::NameTable types;
+        core::NameTable zones;
         core::ClusterSettings settings;
         settings.teams = {{"core", {}, {4000, 0, 0}}};
         settings.token = 7;
         settings.guards.kept_until_loaded = guarded;
         core::Cluster cluster(settings, types, zones);
-        core::JobText job;
+        core::JobDescription job;
         job.id = "job-000001";
         job.team = "core";
         job.cpus = 4;
-        cluster.records_to_come();
+        cluster.await_records();
         cluster.add_job(job, 1, 1000);
-        cluster.job_over(job.id, true, 1010);
+        cluster.on_job_terminal(job.id, true, 1010);
         EXPECT_EQ(cluster.has_job(job.id), guarded);
         cluster.load_record(job.id, 0, {3, 1, {{0, 30'000'001, "host-000001", 1}}, {}}, 5, 1020);
         cluster.records_loaded();
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -287,8 +287,8 @@
 
 // Capacity for a guarantee is kept while its team has work, and not for ever after.
 TEST(Faults, RoomForAGuaranteeIsGivenUpWhenItsTeamWentHome) {
-    core::Names types;
-    core::Names zones;
+    core::NameTable types;
+    core::NameTable zones;
     core::ClusterSettings settings;
     settings.teams = {{"core", {16000, 0, 0}, {}}};
     settings.token = 3;
@@ -296,7 +296,7 @@
     core::Cluster cluster(settings, types, zones);
     core::MachineType type;
     type.name = "box";
-    type.room = {8000, 2000, 16000};
+    type.capacity = {8000, 2000, 16000};
     type.hourly = 4;
     type.boot_s = 60;
     type.zones = {"a"};
@@ -316,14 +316,14 @@
         }
         return core::make_plan(cluster.snapshot(now, now)).releases.size();
     };
-    core::JobText job;
+    core::JobDescription job;
     job.id = "job-000001";
     job.team = "core";
     job.cpus = 100;  // fits nowhere, and goes on waiting
     releases(1000);
     cluster.add_job(job, 1, 1000);
     EXPECT_EQ(releases(200'000), 0U);
-    cluster.job_over("job-000001", true, 200'000);
+    cluster.on_job_terminal("job-000001", true, 200'000);
     EXPECT_EQ(releases(210'000), 0U);
     // One of the two stays as the spare machine.
     EXPECT_EQ(releases(210'000 + settings.tuning.guarantee_retention_ms + 60'000), 1U);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -20,7 +20,7 @@
     PlannerTest() {
         MachineType type;
         type.name = "box";
-        type.room = {kWholeMachine, 2000, 16000};
+        type.capacity = {kWholeMachine, 2000, 16000};
         type.hourly = 4;
         type.spot_hourly = 1;
         type.zones = {"a", "b"};
@@ -37,7 +37,7 @@
         machine.zone = zone;
         machine.spot = spot;
         machine.usable = true;
-        machine.capacity = snapshot_.types[0].room;
+        machine.capacity = snapshot_.types[0].capacity;
         machine.free = {free_cpus, 2000, 16000};
         snapshot_.machines.push_back(machine);
         return machine.index;
@@ -97,7 +97,7 @@
 TEST_F(PlannerTest, ProvisionsForApartJobOnlyInZoneWithoutCapacity) {
     add_machine(1, kWholeMachine);
     add_machine(1, kWholeMachine);
-    spec(add_gang(2, kWholeMachine)).apart = true;
+    spec(add_gang(2, kWholeMachine)).spread_zones = true;
     const auto made = plan();
     ASSERT_EQ(made.provisions.size(), 1U);
     EXPECT_EQ(made.provisions[0].zone, 0U);
@@ -111,7 +111,7 @@
 TEST_F(PlannerTest, ProvisionsBesideMachinesThatTheJobAvoids) {
     const auto failed = add_machine(0, kWholeMachine);
     add_machine(1, kWholeMachine);
-    spec(add_gang(2, kWholeMachine)).apart = true;
+    spec(add_gang(2, kWholeMachine)).spread_zones = true;
     waiting(0).avoided_machines = {failed};
     const auto made = plan();
     EXPECT_TRUE(made.starts.empty());
@@ -121,7 +121,7 @@
 
 // The rest of an array was provisioned in the zone of its last task, where it may not go.
 TEST_F(PlannerTest, ProvisionsForRestOfApartArrayInTheOtherZone) {
-    spec(add_array(4, kWholeMachine)).apart = true;
+    spec(add_array(4, kWholeMachine)).spread_zones = true;
     waiting(0).waiting_tasks = 2;
     waiting(0).has_started = true;
     waiting(0).zone_counts = {0, 2};
@@ -192,7 +192,7 @@
 TEST_F(PlannerTest, ApartJobHasAtMostHalfOfItsTasksInAZone) {
     add_machine(0, kWholeMachine);
     add_machine(1, kWholeMachine);
-    spec(add_gang(5, kCore)).apart = true;
+    spec(add_gang(5, kCore)).spread_zones = true;
     const auto made = plan();
     ASSERT_EQ(made.starts.size(), 1U);
     const auto& machines = made.starts[0].machines;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -16,7 +16,7 @@
 MachineType machine_type(std::vector<std::string> zones) {
     MachineType type;
     type.name = "box";
-    type.room = {24000, 2000, 192000};
+    type.capacity = {24000, 2000, 192000};
     type.zones = std::move(zones);
     return type;
 }
@@ -31,13 +31,13 @@
         cluster_.set_types({type});
         for (std::size_t machine = 0; machine < machines; ++machine) heartbeat(machine, {});
         // An array that fills the fleet.
-        JobText job = text(1, static_cast<std::uint32_t>(machines * 2));
+        JobDescription job = text(1, static_cast<std::uint32_t>(machines * 2));
         cluster_.add_job(job, 1, now_);
         place();
         heartbeat_of_each();
     }
-    static JobText text(std::size_t number, std::uint32_t count) {
-        JobText job;
+    static JobDescription text(std::size_t number, std::uint32_t count) {
+        JobDescription job;
         job.id = "job-" + std::to_string(100000 + number);
         job.cls = "any";
         job.team = "core";
@@ -92,13 +92,13 @@
     static std::string zone(std::size_t machine) { return machine % 2 == 0 ? "a" : "b"; }
 
     std::uint64_t work_of_heartbeats(std::size_t heartbeats) {
-        const auto before = cluster_.work();
+        const auto before = cluster_.entries_visited();
         const auto machines = cluster_.machine_count();
         for (std::size_t k = 0; k < heartbeats; ++k) {
             const auto machine = k * 7 % machines;
             heartbeat(machine, tasks_[machine]);
         }
-        return cluster_.work() - before;
+        return cluster_.entries_visited() - before;
     }
     std::uint64_t steps_with_waiting_jobs(std::size_t jobs) {
         for (std::size_t k = 0; k < jobs; ++k) {
@@ -127,8 +127,8 @@
         }
     }
 
-    Names types_;
-    Names zones_;
+    NameTable types_;
+    NameTable zones_;
     Cluster cluster_;
     Millis now_ = 1000;
     std::uint64_t seq_ = 0;
@@ -171,12 +171,12 @@
     const auto work = [](std::size_t jobs) {
         Fleet fleet(4000, kSlowHeartbeatsS);
         fleet.steps_with_waiting_jobs(jobs);
-        const auto before = fleet.cluster().work();
+        const auto before = fleet.cluster().entries_visited();
         for (int i = 0; i < 500; ++i) {
-            EXPECT_FALSE(fleet.cluster().next_final_write(8, 100'000));
+            EXPECT_FALSE(fleet.cluster().next_terminal_state_write(8, 100'000));
             fleet.cluster().machines_with_commands(true, 24, 100'000);
         }
-        return fleet.cluster().work() - before;
+        return fleet.cluster().entries_visited() - before;
     };
     EXPECT_LE(work(3000), work(30) + 100);
 }
@@ -184,8 +184,8 @@
 // A new leader asks each machine once, a few at a time.
 TEST(Scale, FailoverGrowsInProportionToTheFleet) {
     const auto work = [](std::size_t machines) {
-        Names types;
-        Names zones;
+        NameTable types;
+        NameTable zones;
         ClusterSettings settings;
         settings.token = 2 * kFencingTokensPerTerm;
         Cluster cluster(settings, types, zones);
@@ -200,10 +200,10 @@
         Millis now = 1000;
         cluster.on_list(list, now);
         std::size_t requested = 0;
-        std::deque<Cluster::Direct> under_way;
+        std::deque<Cluster::DirectCommand> under_way;
         for (;;) {
             // As the leader does it: whenever one of 24 calls ends, the next machine is asked.
-            for (const auto& name : cluster.machines_to_ask(24 - under_way.size(), now)) {
+            for (const auto& name : cluster.machines_to_probe(24 - under_way.size(), now)) {
                 under_way.push_back(cluster.direct_commands(name, true, now));
             }
             if (under_way.empty()) break;
@@ -222,7 +222,7 @@
             cluster.on_report(report, false, now);
         }
         EXPECT_EQ(requested, machines);
-        return cluster.work();
+        return cluster.entries_visited();
     };
     const auto base = work(200);
     EXPECT_LE(work(4000), base * 24);
@@ -232,13 +232,13 @@
 // them all.
 TEST(Scale, FailoverWithFullRecordsCostsTheSameForEachMachine) {
     const auto work = [](std::size_t machines) {
-        Names types;
-        Names zones;
+        NameTable types;
+        NameTable zones;
         ClusterSettings settings;
         settings.teams = {{"core", {}, {}}};
         settings.token = 2 * kFencingTokensPerTerm;
         Cluster cluster(settings, types, zones);
-        cluster.records_to_come();
+        cluster.await_records();
         cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
         for (std::uint32_t first = 0; first < machines; first += settings.tasks_per_record) {
             PlacementRecord record;
@@ -261,7 +261,7 @@
             report.tasks = {{"job-100001", static_cast<std::uint32_t>(machine), 77}};
             EXPECT_TRUE(cluster.on_report(report, true, 2000).fresh);
         }
-        return cluster.work();
+        return cluster.entries_visited();
     };
     const auto base = work(400);
     EXPECT_LE(work(4000), base * 11);
@@ -283,7 +283,7 @@
         machine.type = 0;
         machine.zone = 0;
         machine.usable = true;
-        machine.capacity = machine.free = type.room;
+        machine.capacity = machine.free = type.capacity;
         snapshot.machines.push_back(machine);
     }
     for (JobIndex index = 0; index < 20; ++index) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -21,8 +21,9 @@
     r.seq = 18446744073709551615ULL;
     r.token = 41;
     r.notice_s = 12.5;
-    r.tasks.push_back({"job-000412", 3, 2, core::TaskPhase::Running, core::ExitWhy::None, false});
-    r.tasks.push_back({"job-000398", 0, 1, core::TaskPhase::Exited, core::ExitWhy::Done, true});
+    r.tasks.push_back(
+        {"job-000412", 3, 2, core::TaskPhase::Running, core::ExitReason::None, false});
+    r.tasks.push_back({"job-000398", 0, 1, core::TaskPhase::Exited, core::ExitReason::Done, true});
     return r;
 }
 
@@ -34,7 +35,7 @@
     EXPECT_EQ(back->seq, r.seq);
     EXPECT_EQ(back->notice_s, r.notice_s);
     ASSERT_EQ(back->tasks.size(), 2U);
-    EXPECT_EQ(back->tasks[1].why, core::ExitWhy::Done);
+    EXPECT_EQ(back->tasks[1].exit_reason, core::ExitReason::Done);
     auto without = r;
     without.notice_s.reset();
     EXPECT_FALSE(decode_report(encode_report(without))->notice_s);
@@ -91,7 +92,7 @@
 }
 
 TEST(Json, JobsSurviveTheStore) {
-    core::JobText job;
+    core::JobDescription job;
     job.id = "job-000001";
     job.cls = "c";
     job.team = "t";
