--- a/src/core/state_keys.h
+++ b/src/core/state_keys.h
@@ -9,15 +9,16 @@
 /// read and write them too. The keys of the duties and intents are in duty/duty.h.
 namespace lichendrift::core::keys {
 
-/// The leader record. It names the leader and its fencing token and goes with the leader's lease.
+/// The leader record. It names the leader and its fencing token, and is attached to the leader's
+/// lease: it disappears when that lease ends.
 inline constexpr std::string_view kLeader = "leader";
-/// Prefix of the jobs that are open, each under its id.
+/// Prefix of the open jobs, each under its id.
 inline constexpr std::string_view kOpenJobs = "open/";
 /// Prefix of the terminal states of jobs, each under the job's id.
 inline constexpr std::string_view kTerminalStates = "over/";
 /// Prefix of the placement records: job id, '/', number of the record within the job.
 inline constexpr std::string_view kPlacementRecords = "place/";
-/// Prefix of the image hints, each part under its number.
+/// Prefix of the image hints, which say what images each machine has; each part under its number.
 inline constexpr std::string_view kImageHints = "images/";
 
 /// Key of an open job.
