--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -15,38 +15,39 @@
 
 namespace lichendrift::core {
 
-inline constexpr Millis kDefaultReportMs = 2'000;   ///< where the settings say nothing
-inline constexpr Millis kDefaultLeaseMs = 10'000;   ///< where the settings say nothing
-inline constexpr Millis kDefaultCancelMs = 30'000;  ///< where the settings say nothing
+inline constexpr Millis kDefaultReportMs = 2'000;   ///< default of ClusterSettings::report_ms
+inline constexpr Millis kDefaultLeaseMs = 10'000;   ///< default of ClusterSettings::lease_ms
+inline constexpr Millis kDefaultCancelMs = 30'000;  ///< default of ClusterSettings::cancel_ms
 
-/// What a cluster state needs of the settings.
+/// The part of the settings that the cluster state needs.
 struct ClusterSettings {
-    std::vector<Team> teams;               ///< teams with their quotas
-    std::uint64_t token = 0;               ///< first fencing token of this term
-    Millis report_ms = kDefaultReportMs;   ///< interval between heartbeats
-    Millis lease_ms = kDefaultLeaseMs;     ///< lease of a worker
-    Millis cancel_ms = kDefaultCancelMs;   ///< bound on the tasks of a cancelled job
-    double gang_peer_s = 4;                ///< a gang's tasks wait so long for each other, seconds
+    std::vector<Team> teams;              ///< teams with their quotas
+    std::uint64_t token = 0;              ///< first fencing token of this term
+    Millis report_ms = kDefaultReportMs;  ///< interval between heartbeats
+    Millis lease_ms = kDefaultLeaseMs;    ///< duration of a worker's lease
+    Millis cancel_ms = kDefaultCancelMs;  ///< bound on the end of the tasks of a cancelled job
+    double gang_peer_s = 4;  ///< time that the tasks of a gang wait for each other, seconds
     std::uint32_t tasks_per_record = 100;  ///< tasks of an array in a placement record of layout 0
-    std::vector<Objective> objectives;     ///< of the classes and guarantees
-    PlannerTuning tuning;                  ///< of the planner
+    std::vector<Objective> objectives;     ///< objectives of the classes and of the guarantees
+    PlannerTuning tuning;                  ///< settings of the planner
     SafetyGuards guards;                   ///< switched off by tests only
-    std::shared_ptr<Policy> policy;        ///< none: the tuning as it is
+    std::shared_ptr<Policy> policy;        ///< may be null: `tuning` then applies as it is
 };
 
-/// What a report has led to.
+/// The outcome of processing a report.
 struct ReportOutcome {
-    bool superseded = false;  ///< it carries a token of a later term
-    bool fresh = false;       ///< newer than all known ones: its worker waits for an answer
-    bool changed = false;     ///< worth planning again
+    bool superseded = false;  ///< the report carries a token of a later term
+    bool fresh = false;       ///< newer than all reports so far; its worker waits for an answer
+    bool changed = false;     ///< the cluster state changed in a way that is worth a new plan
 };
 
-/// The leader's cluster state. Pure: events and a time go in, commands and records to write come
-/// out. Each decision of the planner is checked here again before it is applied. Not thread-safe:
-/// the owner locks it (docs/design.md, "Parts"). All times are steady, in milliseconds.
+/// The leader's cluster state. It does no I/O and reads no clock: callers pass in events and the
+/// time, and get the commands to send and the records to write. Each decision of the planner is
+/// checked here again before it is applied. Not thread-safe: the owner locks it (docs/design.md,
+/// "Parts"). All times are steady-clock times in milliseconds.
 class Cluster : private WorkOnMachine {
   public:
-    /// `types` and `zones` are shared with the owner and have to outlive the cluster state.
+    /// `types` and `zones` are shared with the owner and must outlive the cluster state.
     Cluster(ClusterSettings settings, NameTable& types, NameTable& zones);
     ~Cluster() override = default;
     Cluster(const Cluster&) = delete;
@@ -54,153 +55,167 @@
     Cluster(Cluster&&) = delete;
     Cluster& operator=(Cluster&&) = delete;
 
-    /// The machine types that the cloud offers.
+    /// Sets the machine types that the cloud offers.
     void set_types(const std::vector<MachineType>& types);
-    /// An open job, or one that is over and may still have tasks somewhere. `age_ms`: since its
-    /// submission, by the time of day.
+    /// Adds an open job, or one in a terminal state that may still have tasks on machines.
+    /// `age_ms`: wall-clock time since its submission.
     void add_job(const JobDescription& text, std::uint64_t open_revision, Millis now,
                  bool terminal = false, Millis age_ms = 0);
-    /// A placement record that an earlier leader has written. Its job has to be known.
+    /// Adds a placement record that an earlier leader has written. Ignored if its job is not known.
     void load_record(const std::string& job_id, std::uint32_t record_number,
                      const PlacementRecord& record, std::uint64_t revision, Millis now);
-    /// A job has a terminal state: it was cancelled (`cancelled`) or is done.
+    /// A job has reached a terminal state: it was cancelled (`cancelled`) or is done.
     void on_job_terminal(const std::string& job_id, bool cancelled, Millis now);
-    /// Until the records of earlier leaders are read, a job that is over may have tasks that only a
-    /// record names: it is not forgotten before.
+    /// Until records_loaded(), a job in a terminal state is not forgotten: a record of an earlier
+    /// leader that is not read yet may name tasks of it.
     void await_records() { awaiting_records_ = true; }
-    /// All records of earlier leaders are read.
+    /// All records of earlier leaders have been read.
     void records_loaded();
-    /// A worker's report: in a heartbeat, or in the response to a direct command.
+    /// Processes a worker's report from a heartbeat or from the response to a direct command.
     ReportOutcome on_report(const Report& report, bool is_heartbeat, Millis now);
-    /// One page of the cloud's list of machines.
+    /// Processes one page of the cloud's list of machines.
     void on_list(const std::vector<ListedMachine>& page, Millis now);
-    /// The list was read to its end and has these names.
+    /// The last page of the list was read. `names`: all machines in it.
     void on_list_complete(const std::set<std::string>& names, Millis now);
     /// The cloud has provisioned these machines.
     void on_provisioned(const std::string& type, const std::string& zone, bool spot,
                         const std::vector<std::string>& names, Millis now);
-    /// The cloud has no capacity of this kind now.
+    /// The cloud has no capacity for such machines at present.
     void on_provision_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now);
 
-    /// Commands for the answer to a heartbeat. `may_start` is false while the leader cannot be sure
-    /// that it still leads.
+    /// Commands for the answer to a heartbeat. `may_start` is false while the leader is not certain
+    /// that it still leads: no tasks are started then.
     std::vector<Command> heartbeat_commands(const std::string& machine, std::uint64_t seq,
                                             bool may_start, Millis now);
-    /// The fencing token that every message to this machine carries; read after its commands.
+    /// The fencing token that each message to this machine carries. To be called after the function
+    /// that returns the commands, which may raise the token.
     [[nodiscard]] std::uint64_t token_for(const std::string& machine) const;
-    /// A direct command: a message to a worker outside the answers to its heartbeats.
+    /// A direct command: a message that the leader sends to a worker by itself, besides the answers
+    /// to the worker's heartbeats.
     struct DirectCommand {
         std::string machine;            ///< name of the machine
         std::string endpoint;           ///< address of its worker
-        std::uint64_t session = 0;      ///< the worker's session that it is meant for
-        std::uint64_t token = 0;        ///< its fencing token
-        std::vector<Command> commands;  ///< may be empty: only the token is raised
+        std::uint64_t session = 0;      ///< session of the worker that it is meant for
+        std::uint64_t token = 0;        ///< fencing token of the message
+        std::vector<Command> commands;  ///< may be empty: it then only raises the token
     };
-    /// Machines for which commands are due, at most `limit`.
+    /// Machines that should get a direct command now, at most `limit`.
     std::vector<std::string> machines_with_commands(bool may_start, std::size_t limit, Millis now);
-    /// The direct command for a machine, which counts as being called until direct_result().
+    /// The direct command for a machine. It counts as in flight until direct_result() is called.
     DirectCommand direct_commands(const std::string& machine, bool may_start, Millis now);
-    /// What came of a direct command.
+    /// Outcome of a direct command.
     enum class DirectResult : std::uint8_t {
-        Executed,     ///< carried out
-        NotExecuted,  ///< certainly not carried out
-        NoAnswer,     ///< unconfirmed: it may have been carried out or may still be
+        Executed,     ///< executed
+        NotExecuted,  ///< certainly not executed
+        NoAnswer,     ///< not known: it may have been executed, or may still be
     };
-    /// A direct command has ended.
+    /// Reports the outcome of a direct command.
     void direct_result(const DirectCommand& direct, DirectResult result, Millis now);
-    /// Machines to ask for a report: silent, unreachable or not synced; at most `limit`.
+    /// Machines to ask for a report, as they are silent, unreachable or not synced; at most
+    /// `limit`.
     std::vector<std::string> machines_to_probe(std::size_t limit, Millis now);
-    /// Whether a direct command to the machine is under way.
+    /// Whether a direct command to the machine is in flight.
     [[nodiscard]] bool direct_in_flight(const std::string& machine) const;
 
     /// Bounds on the next transaction of placement records.
     struct RecordLimits {
-        static constexpr std::size_t kDefaultRecords = 8;         ///< in one transaction
-        static constexpr std::size_t kDefaultBytes = 40'000;      ///< of the transaction
-        static constexpr std::size_t kDefaultValueBytes = 8'192;  ///< of one record
+        static constexpr std::size_t kDefaultRecords = 8;         ///< default of `records`
+        static constexpr std::size_t kDefaultBytes = 40'000;      ///< default of `bytes`
+        static constexpr std::size_t kDefaultValueBytes = 8'192;  ///< default of `value_bytes`
 
-        std::size_t records = kDefaultRecords;         ///< in one transaction
-        std::size_t bytes = kDefaultBytes;             ///< of the transaction
-        std::size_t value_bytes = kDefaultValueBytes;  ///< of one record
-        /// A job of which a record would exceed value_bytes gets a finer layout. Not allowed while
-        /// a peer may be of a version that does not know of layouts.
+        std::size_t records = kDefaultRecords;  ///< largest number of records in a transaction
+        /// Size of the transaction from which on no record is added.
+        std::size_t bytes = kDefaultBytes;
+        /// Largest size of a record before its job gets a finer layout.
+        std::size_t value_bytes = kDefaultValueBytes;
+        /// A job with a record that would exceed value_bytes gets a finer layout. Not allowed while
+        /// a peer may run a version that does not know layouts.
         bool may_refine = false;
-        bool urgent_only =
-            false;  ///< only records for which starts of services or critical jobs wait
+        /// Only records that starts of services or critical jobs wait for.
+        bool urgent_only = false;
     };
-    /// Records to write in one transaction. With `lazy` also those that only add done tasks: they
-    /// have to be durable before the workers may forget the results, but not soon.
+    /// Records to write in one transaction. With `lazy` also those that only add completed tasks:
+    /// they have to be durable before the workers may forget the results, but can wait.
     std::vector<RecordWrite> next_record_writes(const RecordLimits& limits, bool lazy, Millis now);
-    /// The write was executed, or (not `ok`) certainly not.
+    /// The write was executed, or (not `ok`) certainly not executed.
     void on_record_written(const RecordWrite& write, bool ok, std::uint64_t revision, Millis now);
-    /// Certainly not written, since a condition failed: of its own job (`job_not_open`), or of
-    /// another in its transaction.
+    /// The record was certainly not written, as a condition failed: its own job is not open
+    /// (`job_not_open`), or the condition was one of another record in the transaction.
     void on_record_refused(const RecordWrite& write, bool job_not_open, Millis now);
-    /// A write without an answer was read back. The nonce tells whether it was executed.
+    /// After a write without an answer, the record was read back with this revision and nonce. The
+    /// nonce tells whether the write was executed.
     void on_record_reread(const RecordWrite& write, std::uint64_t revision, std::uint64_t nonce,
                           Millis now);
-    /// The terminal state of a job whose tasks are all done, if one is to be written now.
+    /// The terminal state of a job whose tasks are all done, if one has to be written now. At most
+    /// `max_records` placement records are removed with it.
     std::optional<TerminalStateWrite> next_terminal_state_write(std::size_t max_records,
                                                                 Millis now);
-    /// The terminal state is durable, or (not `ok`) certainly not written.
+    /// The terminal state is durable, or (not `ok`) was certainly not written.
     void on_terminal_state_written(const TerminalStateWrite& write, bool ok, Millis now);
-    /// Keys of placement records that nothing needs any more, to be removed.
+    /// Keys of placement records that are no longer needed and have to be removed, at most `limit`.
+    /// None while those of an earlier call are being removed.
     std::vector<std::string> next_orphans(std::size_t limit);
-    /// These keys are removed, or (not `ok`) to be tried again.
+    /// These keys have been removed, or (not `ok`) have to be removed again.
     void orphans_removed(const std::vector<std::string>& keys, bool ok);
-    /// A key found during the failover that nothing needs.
+    /// Adds the key of a record that was found during the failover and is not needed.
     void add_orphan(const std::string& key) { orphans_.push_back(key); }
 
-    /// Machines to release now, at most `limit`; each again after a pause until it is confirmed.
+    /// Machines to release now, at most `limit`. Each is returned again after a pause until its
+    /// release is confirmed.
     std::vector<std::string> next_releases(std::size_t limit, Millis now);
-    /// The cloud has confirmed the release (`ok`): their allocations end.
+    /// The cloud has confirmed the release of these machines (`ok`): their allocations end.
     void on_released(const std::vector<std::string>& names, bool ok, Millis now);
-    /// An earlier leader may have asked for the release of these: nothing is placed there.
+    /// An earlier leader may have requested the release of these machines. Nothing is placed there,
+    /// and the release is requested again.
     void on_pending_releases(const std::vector<std::string>& names, Millis now);
-    /// Whether anything counts as being on the machine.
+    /// Whether any task counts as being on the machine.
     [[nodiscard]] bool has_tasks(const std::string& name) const;
 
-    /// Which images are on which machines: a hint for the score, kept over a change of leader.
+    /// Machines with the images that they have. Hints for the placement score that are stored, so
+    /// that they survive a change of leader.
     using ImageHints = std::vector<std::pair<std::string, std::vector<std::string>>>;
-    /// The hints of one of `parts` fixed parts of the machines.
+    /// The hints on the machines of one part, if the machines are divided into `parts` parts by
+    /// index.
     [[nodiscard]] ImageHints image_hints(std::size_t part, std::size_t parts) const;
-    /// Hints that an earlier leader has written.
+    /// Adds hints that an earlier leader has written.
     void load_image_hints(const ImageHints& hints, Millis now);
 
-    /// What the planner works on. `wall_ms`: time of day, for the ages of jobs.
+    /// The input of the planner. `wall_ms`: wall-clock time, for the ages of jobs.
     Snapshot snapshot(Millis now, std::int64_t wall_ms);
-    /// What was applied of a plan.
+    /// The part of a plan that was applied.
     struct Applied {
         std::uint32_t starts = 0;           ///< starts, each of one or more tasks
-        std::uint32_t preemptions = 0;      ///< tasks preempted
+        std::uint32_t preemptions = 0;      ///< preemptions, each of a task or a whole gang
         std::uint32_t refused = 0;          ///< starts that the admission check refused
-        std::vector<Provision> provisions;  ///< what the cloud is to be asked for
-        std::vector<events::Event> events;  ///< for the log, formatted outside the lock
+        std::vector<Provision> provisions;  ///< machines to request from the cloud
+        std::vector<events::Event> events;  ///< for the log; formatted outside the lock
     };
-    /// Applies what of a plan is still allowed, and leaves out the rest.
+    /// Applies the decisions of a plan that are still allowed and drops the others.
     Applied apply(const Plan& plan, Millis now);
-    /// Runs failure detection. A leader that is not `sure` to lead releases nothing: it may be cut
-    /// off itself.
-    std::vector<events::Event> tick(Millis now, bool sure = true);
+    /// Runs failure detection and returns events for the log. Without a valid leader lease nothing
+    /// is released: the leader itself may be partitioned from the others.
+    std::vector<events::Event> tick(Millis now, bool lease_valid = true);
 
-    /// Tasks of a job, for its users.
+    /// Numbers of tasks of a job, for its users.
     struct Counts {
-        std::uint32_t done = 0;     ///< completed
-        std::uint32_t running = 0;  ///< running
+        std::uint32_t done = 0;     ///< completed tasks
+        std::uint32_t running = 0;  ///< running tasks
     };
-    /// Of all jobs, or only of those whose counts have changed since the last call.
+    /// Counts of all open jobs that are not zero, or (not `all`) only of the jobs whose counts have
+    /// changed since the last call.
     std::vector<std::pair<std::string, Counts>> job_counts(bool all);
-    /// Machines and allocations visited so far, for the tests of how the cost grows.
+    /// Number of machines, allocations and jobs visited so far, for tests of how the cost scales.
     [[nodiscard]] std::uint64_t entries_visited() const { return entries_visited_; }
-    /// Number of known jobs, those that are over and have tasks among them.
+    /// Number of known jobs, including those in a terminal state that still have tasks.
     [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
     /// Number of machines whose release is not confirmed.
     [[nodiscard]] std::size_t machine_count() const;
-    /// Values of the operators' policy that were out of range, each reported once.
+    /// Values of the operators' policy that were out of range since the last call, each reported
+    /// once.
     std::vector<events::PolicyValueRejected> take_rejected_policy_values();
     /// The known jobs.
     [[nodiscard]] const std::map<JobIndex, Job>& jobs() const { return jobs_; }
-    /// Machines by index; entries that are Gone may be free.
+    /// Machines by index. An entry in the state Gone may be free.
     [[nodiscard]] const std::vector<Machine>& machines() const { return machines_; }
     /// First fencing token of this term.
     [[nodiscard]] std::uint64_t token() const { return settings_.token; }
@@ -212,20 +227,21 @@
     [[nodiscard]] bool has_job(const std::string& id) const { return job_ids_.contains(id); }
 
   private:
-    static constexpr double kArrivalRateWindowMs = 120'000;  // ms over which arrivals are counted
-    static constexpr int kUnreachableMisses = 2;             // a single answer may be lost or late
+    // Time constant of the exponential decay of arrival rates.
+    static constexpr double kArrivalRateWindowMs = 120'000;
+    static constexpr int kUnreachableMisses = 2;  // as a single answer may be lost or late
 
-    struct Reconciliation;  // a report on its way through on_report(), see heartbeats.cpp
-    // The message that commands go into: an answer to a heartbeat, or a direct command.
+    struct Reconciliation;  // state of one on_report() call, see heartbeats.cpp
+    // The message that carries commands: the answer to a heartbeat, or a direct command.
     struct CommandMessage {
         bool direct = false;
-        std::uint64_t heartbeat_seq = 0;  // of the heartbeat that is answered
-        bool may_start = false;           // the leader is sure that it still leads
+        std::uint64_t heartbeat_seq = 0;  // heartbeat that is answered
+        bool may_start = false;           // the leader is certain that it still leads
         Millis now = 0;
     };
     struct PendingCommands {
         bool due = false;    // a command could be sent now
-        bool later = false;  // the machine has to be looked at again
+        bool later = false;  // the machine has to be checked again
     };
 
     MachineIndex machine_for(const std::string& name, const std::string& type,
@@ -234,7 +250,7 @@
     void release(AllocationIndex index, bool requeue, Millis now);
     void release_all(MachineIndex machine, std::uint64_t below_session, Millis now);
     void mark_done(JobIndex job, std::uint32_t task, Millis now);
-    // A record that is to be written; more urgent jobs first, then older ones.
+    // A record that has to be written. Orders by urgency of the job, then by its age.
     struct RecordKey {
         std::uint8_t rank = 0;
         JobIndex job = kInvalidIndex;
@@ -347,17 +363,18 @@
     NameTable teams_;
     std::vector<Team> team_list_;
     std::vector<Resources> team_used_;
-    std::map<ImageIndex, Millis>
-        recent_images_;  // last use by a class whose tasks should start soon
-    struct Arrivals {    // of a class whose tasks should start soon
+    // By image: when a job with a start objective last arrived with it.
+    std::map<ImageIndex, Millis> recent_images_;
+    struct Arrivals {  // jobs of one class with a start objective
         JobSpec spec;
-        double rate = 0;  // tasks a second, decaying
+        double rate = 0;  // tasks per second, decaying exponentially
         Millis at = 0;
     };
     std::map<ClassIndex, Arrivals> arrivals_;
     std::vector<ClassObjectives> class_objectives_;
-    std::vector<Millis> team_last_active_;  // when the team last had work; -1: never
-    double guarantee_s_ = 0;                // how soon work within a guarantee should start
+    std::vector<Millis> team_last_active_;  // by team: when it last had work; -1: never
+    // Seconds within which work in a guarantee should start; 0: no objective.
+    double guarantee_s_ = 0;
     std::vector<MachineType> type_info_;
     std::map<JobIndex, Job> jobs_;
     JobIndex next_job_ = 0;
@@ -366,26 +383,30 @@
     std::unordered_map<std::string, MachineIndex> machine_ids_;
     std::vector<Allocation> allocations_;
     FailureDetector failure_detector_;
-    AdmissionCheck admission_check_;              // reads the members above
-    static constexpr Millis kNever = -1'000'000;  // before any time
+    AdmissionCheck admission_check_;              // refers to members above
+    static constexpr Millis kNever = -1'000'000;  // earlier than any time that occurs
     Millis last_drain_at_ = kNever;
     std::vector<MachineIndex> free_machines_;
     std::vector<AllocationIndex> free_allocations_;
-    std::set<RecordKey> dirty_;  // records to write, urgent jobs first
+    std::set<RecordKey> dirty_;  // records to write, most urgent first
+    // Records with a delayed write: when it is due, job, number of the record.
     std::set<std::tuple<Millis, JobIndex, std::uint32_t>> lazy_;
-    std::set<JobIndex> all_done_;  // whose terminal state is to be written
-    // Replicas that failed again and again rest until then: time, job, task.
+    std::set<JobIndex> all_done_;  // jobs whose terminal state has to be written
+    // Replicas that ended early several times in a row and wait for their backoff: its end, job,
+    // task.
     std::set<std::tuple<Millis, JobIndex, std::uint32_t>> replica_backoffs_;
-    std::size_t next_probe_ = 0;               // where machines_to_probe() goes on
-    std::set<MachineIndex> pending_machines_;  // machines that may have commands due
+    std::size_t next_probe_ = 0;               // machine at which machines_to_probe() continues
+    std::set<MachineIndex> pending_machines_;  // machines for which commands may be due
     std::vector<std::string> orphans_;
     std::vector<std::string> orphans_writing_;
-    std::map<ProvisioningPool, std::pair<Millis, Millis>> refused_pools_;  // until, step
+    // By pool: the end of the backoff, and its length.
+    std::map<ProvisioningPool, std::pair<Millis, Millis>> refused_pools_;
     std::uint64_t entries_visited_ = 0;
     std::uint64_t attempts_ = 0;
     std::uint64_t nonces_ = 0;
     bool awaiting_records_ = false;
-    std::unordered_map<std::string, std::vector<TaskReport>> exited_;  // machine -> to reap
+    // By machine: tasks to reap, or to halt if their job is not known.
+    std::unordered_map<std::string, std::vector<TaskReport>> exited_;
 };
 
 }  // namespace lichendrift::core
