--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -1,4 +1,4 @@
-// Jobs as they come and go, and the plans of the planner as they are checked and applied.
+// Adding and ending jobs, and checking and applying the plans of the planner.
 #include "core/cluster.h"
 
 #include <cmath>
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr Millis kStarvingGang = 60'000;
-constexpr Millis kStarvingArray = 120'000;
-constexpr std::size_t kMaxWarm = 16;  // images
+constexpr Millis kGangStarvationThreshold = 60'000;
+constexpr Millis kArrayStarvationThreshold = 120'000;
+constexpr std::size_t kMaxRecentImages = 16;  // images with a recent arrival that are remembered
 constexpr std::uint64_t kAttemptsPerToken = 10'000'000;
-constexpr double kMinRestToMoveMs = 60'000;  // what ends sooner is not moved off a drained machine
+constexpr double kMinRemainingToMoveMs = 60'000;  // tasks that end sooner are not moved by a drain
 
-constexpr double kRoundingError = 1e-6;  // of decimal amounts as doubles, in thousandths
+constexpr double kRoundingError = 1e-6;  // of decimal amounts stored as doubles, in thousandths
 
 std::int64_t need_thousandths(double amount) {
     return static_cast<std::int64_t>(std::ceil(amount * 1000.0 - kRoundingError));
@@ -61,21 +61,21 @@
     job.open_revision = open_revision;
     job.terminal = terminal;
     job.cancelled = terminal;
-    // A new leader goes on counting: with a change of leader every few minutes nothing would ever
-    // have waited long enough to go first.
+    // The waiting time counts from the submission, not from the start of the term. With a change of
+    // leader every few minutes, no job would ever reach its starvation threshold otherwise.
     job.waiting_since = now - std::max<Millis>(age_ms, 0);
     job.done_flags.resize(text.count);
     job.spec = make_spec(text);
     JobSpec& spec = job.spec;
     const ClassObjectives& objectives = objectives_of(spec.cls, text.cls);
-    // A replica that is not up is a loss for as long as it is not.
+    // Replicas should always start soon, as their service suffers for as long as they are down.
     spec.has_start_objective = spec.service || !objectives.start_within_s.empty();
-    spec.starvation_threshold_ms = spec.gang ? kStarvingGang : kStarvingArray;
+    spec.starvation_threshold_ms = spec.gang ? kGangStarvationThreshold : kArrayStarvationThreshold;
     if (settings_.policy) {
-        const auto about = facts(job);
-        spec.weights = settings_.policy->weights(about);
+        const auto job_facts = facts(job);
+        spec.weights = settings_.policy->weights(job_facts);
         spec.starvation_threshold_ms =
-            static_cast<Millis>(settings_.policy->starvation_threshold_s(about) * 1000);
+            static_cast<Millis>(settings_.policy->starvation_threshold_s(job_facts) * 1000);
     }
     if (spec.has_start_objective) note_arrival(spec, now);
 }
@@ -111,7 +111,7 @@
     return spec;
 }
 
-// The objectives of a class are collected when the first job of it comes.
+// Collects the objectives of a class when its first job is added.
 const ClassObjectives& Cluster::objectives_of(ClassIndex index, const std::string& name) {
     if (class_objectives_.size() > index) return class_objectives_[index];
     class_objectives_.resize(index + 1);
@@ -128,7 +128,8 @@
     return objectives;
 }
 
-// What keeps capacity warm for the next jobs of the class.
+// Updates the arrival rate and the recent images, from which follows what capacity is kept warm for
+// the next jobs of the class.
 void Cluster::note_arrival(const JobSpec& spec, Millis now) {
     recent_images_[spec.image] = now;
     Arrivals& arrivals = arrivals_[spec.cls];
@@ -136,7 +137,7 @@
     arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kArrivalRateWindowMs;
     arrivals.at = now;
     arrivals.spec = spec;
-    if (recent_images_.size() <= kMaxWarm) return;
+    if (recent_images_.size() <= kMaxRecentImages) return;
     recent_images_.erase(std::min_element(
         recent_images_.begin(), recent_images_.end(),
         [](const auto& one, const auto& other) { return one.second < other.second; }));
@@ -254,13 +255,14 @@
     const Allocation& allocation = allocations_[index];
     if (allocation.attempt != preemption.attempt || allocation.stop_requested) return;
     const Job& job = jobs_.at(allocation.job);
-    // Saving is worth its time only if more than that would be lost.
+    // A checkpoint is only worth its time if more work than that would be lost without it: half of
+    // the checkpoint interval on average.
     const bool save = job.spec.checkpoint_s > 0 && allocation.phase == TaskPhase::Running &&
                       job.spec.checkpoint_s / 2 > job.spec.save_s;
-    const auto winner = jobs_.find(preemption.preemptor);
+    const auto preemptor = jobs_.find(preemption.preemptor);
     applied.events.emplace_back(
         events::TaskPreempted{job.id, allocation.task, machines_[allocation.machine].name,
-                              winner == jobs_.end() ? std::string() : winner->second.id});
+                              preemptor == jobs_.end() ? std::string() : preemptor->second.id});
     stop_with_gang(index, save ? job.spec.save_s : 0, now);
     ++applied.preemptions;
 }
@@ -272,8 +274,9 @@
         events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
 }
 
-// Draining several machines in a row left jobs waiting beside half-empty machines that took nothing
-// any more: one in a while, and all are kept as soon as resources are short.
+// Withdraws all drains for consolidation, as capacity is short. When several machines in a row were
+// drained, jobs waited beside half-empty machines that took no new work. For the same reason only
+// one plan in a drain interval may drain machines.
 void Cluster::cancel_consolidation(Applied& applied) {
     for (auto& machine : machines_) {
         if (!machine.drain.contains(DrainReason::Consolidation) ||
@@ -285,8 +288,8 @@
     }
 }
 
-// From a machine that is drained to save its price, what saves its progress and would run for long
-// is moved. The rest ends there.
+// Moves work off a machine that is drained for consolidation: replicas, and tasks that save
+// checkpoints and would still run for long. Other tasks finish on the machine.
 void Cluster::move_work_off(MachineIndex index, Millis now) {
     const auto allocated = machines_[index].allocations;
     for (const auto allocation_index : allocated) {
@@ -299,7 +302,7 @@
         }
         if (spec.checkpoint_s <= 0 || allocation.phase != TaskPhase::Running) continue;
         const auto ran_ms = static_cast<double>(now - allocation.running_since);
-        if (spec.estimate_s * 1000 - ran_ms < kMinRestToMoveMs) continue;
+        if (spec.estimate_s * 1000 - ran_ms < kMinRemainingToMoveMs) continue;
         stop_with_gang(allocation_index, spec.save_s, now);
     }
 }
