--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -1,4 +1,4 @@
-// The records of the state service: what is to be written, and what came of it.
+// Records in the state service: which of them have to be written, and the outcomes of the writes.
 #include "core/cluster.h"
 #include "core/record_layout.h"
 #include "core/state_keys.h"
@@ -8,11 +8,13 @@
 namespace {
 
 constexpr Millis kLazyDelay = 8000;
-constexpr Millis kRefusedPause = 2000;
-constexpr Millis kMaxLazyDelay = 20000;  // beyond that delay, even if other writes wait
+constexpr Millis kJobNotOpenRetryDelay = 2000;
+// Added to kLazyDelay; lazy records are then written even if other writes wait.
+constexpr Millis kMaxExtraLazyDelay = 20000;
 
-constexpr Millis kRetryPause = 300;     // after a write that failed
-constexpr std::size_t kKeyBytes = 200;  // of a record in a transaction, with its conditions
+constexpr Millis kWriteRetryDelay = 300;  // after a write that failed
+// Size of the key and the conditions of a record in a transaction.
+constexpr std::size_t kKeyBytes = 200;
 constexpr std::uint64_t kNoncesPerToken = 1'000'000;
 constexpr std::uint8_t kUrgentRank = 0;
 
@@ -22,14 +24,14 @@
     return count;
 }
 
-// At least as many bytes as the value of the record will have.
+// An upper bound on the size of the value of the record.
 std::size_t value_bytes(const PlacementRecord& record) {
-    constexpr std::size_t kFrame = 64;  // names of the fields, term and nonce
-    constexpr std::size_t kMarks = 8;   // brackets, commas and quotes of one entry
-    std::size_t bytes = kFrame;
+    constexpr std::size_t kFixedBytes = 64;       // names of the fields, term and nonce
+    constexpr std::size_t kPunctuationBytes = 8;  // brackets, commas and quotes of one entry
+    std::size_t bytes = kFixedBytes;
     for (const auto& placed : record.placed) {
-        bytes += kMarks + digits(placed.task) + digits(placed.attempt) + placed.machine.size() +
-                 digits(placed.session);
+        bytes += kPunctuationBytes + digits(placed.task) + digits(placed.attempt) +
+                 placed.machine.size() + digits(placed.session);
     }
     for (const auto& [first, last] : record.done) bytes += 2 + digits(first) + digits(last);
     return bytes;
@@ -46,7 +48,8 @@
     job.records[record_number].nonce = record.nonce;
     job.layout = std::max(job.layout, std::min(layout_of(record_number), kFinestLayout));
     for (auto [first, last] : record.done) {
-        // A leader of a version without services may have taken a replica's end for its completion.
+        // A leader of a version without services may have recorded the exit of a replica as its
+        // completion.
         if (job.spec.service) break;
         for (auto task = first; task <= last && task < job.spec.count; ++task) {
             if (job.done_flags[task] == 0) ++job.done;
@@ -58,7 +61,8 @@
     for (const auto& placed : record.placed) {
         if (placed.task >= job.spec.count) continue;
         const auto machine = machine_for(placed.machine, "", "", false, now);
-        // Records of two layouts may both name it, if a leader ended between writing them.
+        // Records of two layouts both name the attempt if a leader ended while it was changing the
+        // layout.
         if (has_attempt(job, placed, machine)) continue;
         job.started_at = now;
         remove_from_waiting(job, placed.task);
@@ -68,7 +72,7 @@
         allocation.attempt = placed.attempt;
         allocation.machine = machine;
         allocation.session = placed.session;
-        // An earlier leader may have started it: only a report can tell.
+        // An earlier leader may have started it; only a report can show whether it did.
         allocation.state = Allocation::State::Seen;
         allocation.created_at = now;
         allocation.stop_requested = job.terminal;
@@ -78,8 +82,8 @@
 
 bool Cluster::has_attempt(const Job& job, const PlacedTask& placed, MachineIndex machine) const {
     const auto [from, to] = job.allocations.equal_range(placed.task);
-    return std::any_of(from, to, [&](const auto& held) {
-        const Allocation& allocation = allocations_[held.second];
+    return std::any_of(from, to, [&](const auto& entry) {
+        const Allocation& allocation = allocations_[entry.second];
         return allocation.attempt == placed.attempt && allocation.machine == machine;
     });
 }
@@ -89,9 +93,9 @@
     std::vector<JobIndex> terminal;
     for (auto& [index, job] : jobs_) {
         if (job.terminal) terminal.push_back(index);
-        const bool earlier =
+        const bool has_earlier_layout =
             !job.records.empty() && layout_of(job.records.begin()->first) < job.layout;
-        if (!job.terminal && earlier) rewrite_records(index);
+        if (!job.terminal && has_earlier_layout) rewrite_records(index);
     }
     for (auto index : terminal) forget_if_finished(index);
 }
@@ -108,18 +112,18 @@
     rewrite_records(index);
 }
 
-// Has all that is known of a job written to records of its present layout; the earlier ones are
-// removed once these are durable. A leader that ends in between leaves records of both. They name
-// at least every allocation that there is, and what they name beyond that is found gone by the
-// machines' reports, so nothing runs twice.
+// Marks all that is known of a job to be written to records of its current layout. The records of
+// earlier layouts are removed once these are durable. A leader that ends in between leaves records
+// of both layouts, which together name every existing allocation. They may also name attempts that
+// have ended, but the reports of the machines show that those are gone, so no task runs twice.
 void Cluster::rewrite_records(JobIndex index) {
     Job& job = jobs_.at(index);
-    bool earlier = false;
+    bool has_earlier_layout = false;
     for (auto& [number, record] : job.records) {
         if (layout_of(number) >= job.layout) continue;
         record.dirty = false;
         record.lazy_at = 0;
-        earlier |= record.revision != 0 || record.writing;
+        has_earlier_layout |= record.revision != 0 || record.writing;
     }
     std::set<std::uint32_t> needed;
     for (const auto& [task, allocation] : job.allocations) needed.insert(record_of(job, task));
@@ -130,16 +134,17 @@
     for (auto number : needed) {
         job.records[number].dirty = true;
         dirty_.insert(record_key(index, number));
-        if (earlier) job.records_to_move.insert(number);
+        if (has_earlier_layout) job.records_to_move.insert(number);
     }
-    if (earlier) remove_superseded_records(index);
+    if (has_earlier_layout) remove_superseded_records(index);
 }
 
 void Cluster::remove_superseded_records(JobIndex index) {
     Job& job = jobs_.at(index);
     if (!job.records_to_move.empty()) return;
     for (auto it = job.records.begin(); it != job.records.end();) {
-        // A write in flight may still create the record: it is removed when that is known.
+        // A write in flight may still create the record, which is removed once the outcome is
+        // known.
         if (layout_of(it->first) >= job.layout || it->second.writing) {
             ++it;
             continue;
@@ -156,9 +161,9 @@
 Cluster::RecordKey Cluster::record_key(JobIndex index, std::uint32_t number) const {
     const JobSpec& spec = jobs_.at(index).spec;
     if (spec.service) return {kUrgentRank, index, number};
-    const auto below =
+    const auto levels_below_critical =
         static_cast<std::uint8_t>(Priority::Critical) - static_cast<std::uint8_t>(spec.priority);
-    return {static_cast<std::uint8_t>(kUrgentRank + below), index, number};
+    return {static_cast<std::uint8_t>(kUrgentRank + levels_below_critical), index, number};
 }
 
 void Cluster::mark_dirty(Job& job, std::uint32_t task) {
@@ -167,8 +172,9 @@
     dirty_.insert(record_key(job_ids_[job.id], number));
 }
 
-// A record for each task that ends would be most of all changes of a large array, and the state
-// service allows few. Until it is durable, the worker keeps the result.
+// Delays the write of a record that only adds completed tasks. Writing it for each task that ends
+// would be most of the writes for a large array, and the state service allows few. Until the result
+// is durable, the worker keeps it.
 void Cluster::mark_lazy(Job& job, std::uint32_t task, Millis now) {
     const auto number = record_of(job, task);
     RecordState& record = job.records[number];
@@ -177,7 +183,7 @@
     lazy_.emplace(record.lazy_at, job_ids_[job.id], number);
 }
 
-// The present value of a record.
+// The write of the current value of a record.
 RecordWrite Cluster::make_record_write(JobIndex index, std::uint32_t number) {
     const Job& job = jobs_.at(index);
     const auto found = job.records.find(number);
@@ -193,9 +199,9 @@
     const auto first = first_task(number, settings_.tasks_per_record);
     const auto span = tasks_in_record(layout_of(number), settings_.tasks_per_record);
     const auto last = std::min(first + span, job.spec.count);
-    for (auto held = job.allocations.lower_bound(first);
-         held != job.allocations.end() && held->first < last; ++held) {
-        const Allocation& allocation = allocations_[held->second];
+    for (auto entry = job.allocations.lower_bound(first);
+         entry != job.allocations.end() && entry->first < last; ++entry) {
+        const Allocation& allocation = allocations_[entry->second];
         write.record.placed.push_back({allocation.task, allocation.attempt,
                                        machines_[allocation.machine].name, allocation.session});
     }
@@ -211,7 +217,7 @@
     return write;
 }
 
-// Records that only add done tasks become due.
+// Adds the lazy records that are due by `due_now` to the records to write.
 void Cluster::take_lazy_records(std::size_t limit, Millis due_now) {
     while (dirty_.size() < limit && !lazy_.empty() && std::get<0>(*lazy_.begin()) <= due_now) {
         const auto [due, job_index, number] = *lazy_.begin();
@@ -219,7 +225,7 @@
         auto found = jobs_.find(job_index);
         if (found == jobs_.end()) continue;
         const auto record = found->second.records.find(number);
-        // Written since with something else, or of an earlier layout.
+        // It was written since together with other changes, or belongs to an earlier layout.
         if (record == found->second.records.end() || record->second.lazy_at != due) continue;
         record->second.lazy_at = 0;
         record->second.dirty = true;
@@ -231,12 +237,13 @@
                                                      Millis now) {
     std::vector<RecordWrite> out;
     std::size_t bytes = 0;
-    // Delayed for ever, reports would grow by every result that their workers still keep.
-    take_lazy_records(limits.records, lazy ? now : now - kMaxLazyDelay);
+    // Lazy records are not delayed without end: reports would grow with each result that the
+    // workers still keep.
+    take_lazy_records(limits.records, lazy ? now : now - kMaxExtraLazyDelay);
     for (auto it = dirty_.begin();
          it != dirty_.end() && out.size() < limits.records && bytes < limits.bytes;) {
         const auto [rank, job_index, number] = *it;
-        // Urgent records share no transaction with others and wait behind none of them.
+        // Urgent records are not written together with others, so that they never wait for them.
         if ((limits.urgent_only || (!out.empty() && out.front().urgent)) && rank != kUrgentRank) {
             break;
         }
@@ -261,12 +268,12 @@
         auto write = make_record_write(job_index, number);
         const auto size = value_bytes(write.record);
         if (size > limits.value_bytes && limits.may_refine && job.layout < kFinestLayout) {
-            // Its new records come later in the list.
+            // The new records of the job come later in the list.
             refine_layout(job_index);
             it = dirty_.lower_bound({rank, job_index, number});
             continue;
         }
-        // What the service and the transaction can't take together goes with the next one.
+        // Records beyond the size of this transaction are written by the next one.
         bytes += kKeyBytes + size;
         record.writing = true;
         record.dirty = false;
@@ -283,13 +290,14 @@
     Job& job = it->second;
     RecordState& record = job.records[write.record_number];
     record.writing = false;
-    // Of an earlier layout: the records of the present one say the same and are on their way.
+    // A record of an earlier layout is not written again: the records of the current layout have
+    // the same content and are being written.
     const bool superseded = layout_of(write.record_number) < job.layout;
     if (!ok && superseded) return remove_superseded_records(write.job);
     if (!ok) {
         record.dirty = true;
         dirty_.insert(record_key(write.job, write.record_number));
-        record.retry_at = now + kRetryPause;
+        record.retry_at = now + kWriteRetryDelay;
         return;
     }
     record.revision = revision;
@@ -305,7 +313,7 @@
     }
 }
 
-// Attempts that a durable record names may be sent.
+// Run commands for the attempts that a durable record names may be sent from now on.
 void Cluster::make_ready(const Job& job, const std::vector<PlacedTask>& placed_tasks) {
     for (const auto& placed : placed_tasks) {
         const auto [from, to] = job.allocations.equal_range(placed.task);
@@ -319,7 +327,7 @@
     }
 }
 
-// A gang in several records starts only once all of them are durable.
+// A gang with several records starts only once all of them are durable.
 void Cluster::hold_back_incomplete_gang(const Job& job) {
     const bool all_durable =
         std::none_of(job.records.begin(), job.records.end(),
@@ -331,12 +339,13 @@
     }
 }
 
-// A job that is over, as the state service has it, is kept out of the next batches, which would
-// fail whole for it, until its terminal state is known here. The others of its batch need not wait.
+// If the job is no longer open in the state service, its records are kept out of the next
+// transactions for a while, until its terminal state is known here: each of them would fail as a
+// whole. The other records of the failed transaction are written again at once.
 void Cluster::on_record_refused(const RecordWrite& write, bool job_not_open, Millis now) {
     on_record_written(write, false, 0, now);
     if (auto* record = find_record(write))
-        record->retry_at = now + (job_not_open ? kRefusedPause : 0);
+        record->retry_at = now + (job_not_open ? kJobNotOpenRetryDelay : 0);
 }
 
 void Cluster::on_record_reread(const RecordWrite& write, std::uint64_t revision,
@@ -393,7 +402,7 @@
     if (it == jobs_.end()) return;
     it->second.writing_terminal_state = false;
     if (!ok) {
-        it->second.terminal_state_retry_at = now + kRetryPause;
+        it->second.terminal_state_retry_at = now + kWriteRetryDelay;
         return;
     }
     for (auto number : write.record_numbers) it->second.records[number].revision = 0;
