--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -7,21 +7,27 @@
 
 namespace {
 
-constexpr std::size_t kMaxImages = 8;        // remembered of a machine
-constexpr Millis kUnlistedMargin = 2000;     // beyond two intervals between heartbeats
-constexpr Millis kFirstRefusedPause = 5000;  // no capacity: not asked again; then doubled
-constexpr Millis kMaxRefusedPause = 12'000;
-constexpr Millis kReleaseRetryPause = 3000;  // until a release is requested again
-constexpr Millis kForgetGone = 900'000;
-constexpr Millis kNoticeForgotten = 60'000;  // after its end, if the machine is still there
-constexpr Millis kUnlistedFor = 12'000;      // no list is that late
-// Between two tries of a job that fails everywhere. With the fetch of its image a try has to come
-// well within the 90 s for which no job may be left waiting beside capacity that fits.
+constexpr std::size_t kMaxImages = 8;     // remembered per machine
+constexpr Millis kUnlistedMargin = 2000;  // beyond two intervals between heartbeats
+// After the cloud had no capacity for a kind of machine; doubled each time.
+constexpr Millis kFirstNoCapacityBackoff = 5000;
+constexpr Millis kMaxNoCapacityBackoff = 12'000;
+constexpr Millis kReleaseRetryDelay = 3000;  // until a release is requested again
+constexpr Millis kForgetReleasedAfter = 900'000;
+// After the announced time, if the machine is still there.
+constexpr Millis kForgetNoticeAfter = 60'000;
+constexpr Millis kMaxListDelay = 12'000;  // lists of the cloud are never out of date by more
+// Between two attempts to start a job that fails everywhere. An attempt, including the download of
+// the image, has to come well within 90 s: no job may wait longer than that beside capacity that
+// fits.
 constexpr double kLongestBackoffSeconds = 30;
-constexpr Millis kReplicaRunsWell = 10'000;
-constexpr std::size_t kMaxFailedOn = 16;  // machines that a service keeps off
-constexpr double kNoticeShare = 0.7;      // of a notice; what ends sooner goes on
-constexpr Millis kFailedPause = 3000;     // for which a machine on which a task failed gets no work
+constexpr Millis kReplicaProvenAfter = 10'000;
+// Failed machines remembered for a service; when there are so many, all are forgotten.
+constexpr std::size_t kMaxFailedMachines = 16;
+// Tasks that end within this share of a notice are not stopped.
+constexpr double kNoticeShare = 0.7;
+// Time for which a machine gets no work after a task failed there.
+constexpr Millis kFailureQuarantine = 3000;
 
 }  // namespace
 
@@ -52,7 +58,8 @@
     return it->second;
 }
 
-// "Failure detection", unreachable: something that was sent to the machine has had its effect.
+// "Failure detection", unreachable: a machine is unreachable while nothing that is sent to it has
+// an effect. Something that was sent to this one had its effect.
 void Cluster::on_command_effect(MachineIndex index) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
@@ -60,7 +67,7 @@
     machine.unreachable_since = 0;
 }
 
-// So many answers or commands have had no effect, although later heartbeats came.
+// `count` answers or commands had no effect, although later heartbeats have arrived.
 void Cluster::on_commands_missed(MachineIndex index, int count, Millis now) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
@@ -79,9 +86,10 @@
 void Cluster::note_failure(Job& job, MachineIndex index, Millis now) {
     job.failures++;
     note_machine_failure(job, index, now);
-    const bool sound = has_succeeded(job, now);
-    // The first failure is mostly the machine's; a job that fails everywhere waits longer.
-    if (!sound && job.failed_on.size() >= 2) {
+    const bool succeeded = has_succeeded(job, now);
+    // A failure on one machine is mostly the fault of the machine. A job that has failed on several
+    // ones backs off.
+    if (!succeeded && job.failed_on.size() >= 2) {
         const double backoff_s = settings_.policy
                                      ? settings_.policy->retry_s(facts(job))
                                      : std::min(std::exp2(job.failures), kLongestBackoffSeconds);
@@ -89,26 +97,28 @@
     }
 }
 
-// A job of which a task has completed has no mistake in it: its failures are the machines', and the
-// rest of it must not wait for them. Of a service, a replica that goes on running says the same.
+// Whether the job has shown that it can run: a task of it has completed or, of a service, a replica
+// has been running for some time. Failures are then the fault of the machines, and the other tasks
+// of the job must not back off for them.
 bool Cluster::has_succeeded(const Job& job, Millis now) const {
     if (!job.spec.service) return job.done > 0;
     return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& allocated) {
         const Allocation& allocation = allocations_[allocated.second];
         return allocation.phase == TaskPhase::Running && allocation.running_since > 0 &&
-               now - allocation.running_since >= kReplicaRunsWell;
+               now - allocation.running_since >= kReplicaProvenAfter;
     });
 }
 
-// What fails for several jobs in a row is faulty: it is drained.
+// A machine on which several jobs have failed, and no task has completed in between, is faulty and
+// is drained.
 void Cluster::note_machine_failure(Job& job, MachineIndex index, Millis now) {
-    // A service lives for long: what failed for it long ago says nothing any more.
-    if (job.spec.service && job.failed_on.size() >= kMaxFailedOn) job.failed_on.clear();
+    // A service runs for long, and machines on which it failed long ago may well be sound by now.
+    if (job.spec.service && job.failed_on.size() >= kMaxFailedMachines) job.failed_on.clear();
     job.failed_on.insert(index);
     if (job.failed_on.size() > 2 && !has_succeeded(job, now)) return;
     Machine& machine = machines_[index];
     machine.failed_jobs.insert(static_cast<JobIndex>(job_ids_[job.id]));
-    machine.quarantine_until = now + kFailedPause;
+    machine.quarantine_until = now + kFailureQuarantine;
     if (machine.failed_jobs.size() >= 2) {
         machine.drain.add(DrainReason::Faulty);
         stop_replicas(index, now);
@@ -153,30 +163,31 @@
 
 void Cluster::on_list_complete(const std::set<std::string>& names, Millis now) {
     for (auto& machine : machines_) {
-        // "Failure detection", stale machine entries. A record names it and newer machines are
-        // listed, it is not: it was released before its tasks were placed anew. Only its release
-        // proves that, but nothing has to be waited for.
+        // "Failure detection", stale machine entries: a record names the machine, and the list
+        // has newer machines but not this one. So it was released, and its tasks were not placed
+        // again since. Only the confirmation of a release proves that, but it is requested at once.
         if (machine.lifecycle == Machine::Lifecycle::Booting && !machine.listed &&
             !machine.allocations.empty() && machine.last_heartbeat_at == 0 && !names.empty() &&
             machine.name < *names.rbegin()) {
             machine.start_release();
             continue;
         }
-        // A late copy of a report makes a machine look up that was gone before this term.
+        // A late copy of a report makes a machine that was gone before this term look
+        // as if it were up.
         const bool stale = !machine.listed && !machine.allocations.empty() &&
-                           now - machine.first_seen > kUnlistedFor + settings_.report_ms;
+                           now - machine.first_seen > kMaxListDelay + settings_.report_ms;
         if (machine.lifecycle != Machine::Lifecycle::Up || !(machine.listed || stale) ||
             names.contains(machine.name)) {
             continue;
         }
-        // Lists are out of date at times, so it has to be silent as well.
+        // The list may be out of date, so the machine has to be silent as well.
         if (now - std::max(machine.last_heartbeat_at, machine.first_seen) >
             settings_.report_ms * 2 + kUnlistedMargin) {
             machine.start_release();
         }
     }
-    // A new leader learns here of machines that have not reported to it: nothing is provisioned
-    // beside them.
+    // From the list a new leader learns of running machines that have not reported to it. A zone in
+    // which these are many counts as cut off, and nothing is provisioned there.
     failure_detector_.update_cut_zones(machines_, zones_.size(), now);
 }
 
@@ -188,7 +199,7 @@
 
 void Cluster::on_provision_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
     auto& [until, step] = refused_pools_[{type, zone, spot}];
-    step = std::min<Millis>(step == 0 ? kFirstRefusedPause : step * 2, kMaxRefusedPause);
+    step = std::min<Millis>(step == 0 ? kFirstNoCapacityBackoff : step * 2, kMaxNoCapacityBackoff);
     until = now + step;
 }
 
@@ -198,7 +209,7 @@
         if (out.size() >= limit) break;
         if (machine.lifecycle != Machine::Lifecycle::Releasing) continue;
         if (machine.release_requested_at != 0 &&
-            now - machine.release_requested_at < kReleaseRetryPause)
+            now - machine.release_requested_at < kReleaseRetryDelay)
             continue;
         machine.release_requested_at = now;
         out.push_back(machine.name);
@@ -213,8 +224,8 @@
         if (it == machine_ids_.end()) continue;
         Machine& machine = machines_[it->second];
         machine.on_released();
-        // The cloud has capacity for one of its kind again: an earlier refusal says nothing any
-        // more.
+        // The cloud has capacity for another machine of this kind again, whatever it refused
+        // before.
         refused_pools_.erase({machine.type, machine.zone, machine.spot});
         exited_.erase(name);
         release_all(it->second, std::numeric_limits<std::uint64_t>::max(), now);
@@ -238,10 +249,10 @@
     return static_cast<Millis>(settings_.policy->silent_s(fleet_facts()) * 1000);
 }
 
-std::vector<events::Event> Cluster::tick(Millis now, bool sure) {
+std::vector<events::Event> Cluster::tick(Millis now, bool lease_valid) {
     std::vector<events::Event> events;
-    // "Failure detection", no release without a valid leader lease.
-    if (!sure) {
+    // "Failure detection": no machine is released without a valid leader lease.
+    if (!lease_valid) {
         failure_detector_.suspend();
         return events;
     }
@@ -276,10 +287,10 @@
         events::MachineReleaseStarted{machine.name, failure.reason, failure.for_ms, {}});
 }
 
-// Its index is used again once no late report or list is to be expected; without that a leader of
-// many days would grow without bound.
+// Frees the entry of a released machine once no late report or list can name it any more. Without
+// that, the memory of a leader that stays for days would grow without bound.
 void Cluster::forget_released(Machine& machine, Millis now) {
-    if (machine.name.empty() || now - machine.release_requested_at < kForgetGone ||
+    if (machine.name.empty() || now - machine.release_requested_at < kForgetReleasedAfter ||
         !machine.allocations.empty()) {
         return;
     }
@@ -292,7 +303,8 @@
 void Cluster::check_up(Machine& machine, std::vector<events::Event>& events, Millis now) {
     const auto index = static_cast<MachineIndex>(&machine - machines_.data());
     if (const auto failure = failure_detector_.check_up(machine)) {
-        // "When a task is off a machine": no clock is part of it.
+        // "When a task is off a machine": no length of silence proves that its tasks have ended, so
+        // they count until its release is confirmed. Only tests turn this guard off.
         if (failure->reason == events::ReleaseReason::Silent &&
             !settings_.guards.silence_is_no_proof) {
             release_all(index, std::numeric_limits<std::uint64_t>::max(), now);
@@ -304,13 +316,13 @@
         machine.lost_leases = 0;
     }
     if (machine.drain.any() && machine.allocations.empty()) machine.start_release();
-    // Replicas never end by themselves and would keep it for ever.
+    // Replicas never end by themselves, so the machine would never become empty.
     if (machine.drain.any() && has_only_replicas(machine)) stop_replicas(index, now);
     if (const auto failure = failure_detector_.check_notice(machine)) {
         start_release(machine, *failure, events);
         return;
     }
-    if (machine.reclaim_at && now > *machine.reclaim_at + kNoticeForgotten)
+    if (machine.reclaim_at && now > *machine.reclaim_at + kForgetNoticeAfter)
         machine.reclaim_at.reset();
     if (const auto* run = unwanted_unconfirmed_run(machine, now)) {
         machine.start_release();
@@ -319,8 +331,9 @@
     }
 }
 
-// "When a task is off a machine": unwanted and still unconfirmed, only the machine's release proves
-// that the run will not come.
+// A direct run command that is no longer wanted and still unconfirmed after a third of cancel_ms,
+// if there is one. Only the release of the machine proves that it will not be executed any more
+// ("When a task is off a machine").
 const Allocation* Cluster::unwanted_unconfirmed_run(const Machine& machine, Millis now) const {
     for (const auto index : machine.allocations) {
         const Allocation& allocation = allocations_[index];
