--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -1,5 +1,5 @@
-// Allocations: how they are made, stopped and released (docs/design.md, "When a task is off a
-// machine"), and which tasks wait.
+// Allocations: how they are created, stopped and released (docs/design.md, "When a task is off a
+// machine"), and which tasks wait for one.
 #include "core/cluster.h"
 #include "core/state_keys.h"
 
@@ -7,12 +7,14 @@
 
 namespace {
 
-constexpr Millis kReplicaRanWell = 30'000;  // a failure after that long is none in a row
-constexpr Millis kReplicaRan = 3000;        // the same of a replica that ended well
-constexpr std::uint32_t kFailuresOfMachines = 2;
-constexpr Millis kStartRefusedPause = 2000;  // of a job, after a start that its worker refused
-constexpr Millis kFirstReplicaPause = 1000;  // after the second end in a row, then doubled
-constexpr Millis kLongestReplicaPause = 30'000;
+// A replica that ran for longer starts a new count of early ends: after a failure, and after an
+// exit without an error.
+constexpr Millis kFailureCountResetAfter = 30'000;
+constexpr Millis kExitCountResetAfter = 3000;
+constexpr std::uint32_t kFailuresBlamedOnMachine = 2;
+constexpr Millis kRefusedStartBackoff = 2000;  // backoff of a job after its worker refused a start
+constexpr Millis kFirstReplicaBackoff = 1000;  // after the second early exit in a row; then doubled
+constexpr Millis kMaxReplicaBackoff = 30'000;
 
 }  // namespace
 
@@ -56,7 +58,7 @@
         !job.allocations.contains(allocation.task)) {
         if (allocation.task < job.next_unplaced) job.requeued.insert(allocation.task);
         if (job.allocations.empty() || !job.spec.gang) job.waiting_since = now;
-        // One task of a gang is gone: the rest cannot go on without it.
+        // The other tasks of a gang cannot go on without the one that is gone.
         if (job.spec.gang && job.done == 0) {
             std::vector<AllocationIndex> rest;
             for (auto& [task, other] : job.allocations) rest.push_back(other);
@@ -69,7 +71,7 @@
 }
 
 void Cluster::release_all(MachineIndex machine_index, std::uint64_t below_session, Millis now) {
-    // Releasing one may release others of its gang, so the list is read anew each time.
+    // Releasing one may release others of its gang, so the list is read again each time.
     for (bool again = true; again;) {
         again = false;
         for (auto allocation_index : machines_[machine_index].allocations) {
@@ -82,8 +84,7 @@
     }
 }
 
-// A task that was placed does not wait any more; those before it were not tried yet, and go on
-// waiting.
+// Removes a task from those that wait. Tasks before it that were never placed go on waiting.
 void Cluster::remove_from_waiting(Job& job, std::uint32_t task) {
     while (job.next_unplaced <= task) job.requeued.insert(job.next_unplaced++);
     job.requeued.erase(task);
@@ -94,7 +95,8 @@
     if (it == jobs_.end() || !it->second.terminal || !it->second.allocations.empty()) return;
     if (awaiting_records_ && settings_.guards.kept_until_loaded) return;
     for (const auto& [number, record] : it->second.records) {
-        // A write in flight may still create the record: removing it later is harmless.
+        // A write in flight may still create the record. Removing one that does not exist is
+        // harmless.
         if (record.revision != 0 || record.writing || record.dirty) {
             orphans_.push_back(keys::placement_record(it->second.id, number));
         }
@@ -105,7 +107,7 @@
 
 void Cluster::mark_done(JobIndex index, std::uint32_t task, Millis now) {
     Job& job = jobs_[index];
-    // A replica of a service that has ended runs again.
+    // Replicas of services are never done: one that has ended runs again.
     if (job.spec.service) return;
     const auto mark_one = [&](std::uint32_t number) {
         if (job.done_flags[number] != 0) return;
@@ -115,7 +117,7 @@
         mark_lazy(job, number, now);
     };
     if (job.spec.gang) {
-        // A gang completes together: if one task is done, all are.
+        // The tasks of a gang complete together: if one is done, all are.
         for (std::uint32_t number = 0; number < job.spec.count; ++number) mark_one(number);
     } else {
         mark_one(task);
@@ -126,7 +128,7 @@
 void Cluster::stop_allocation(AllocationIndex index, double grace_s, Millis now) {
     Allocation& allocation = allocations_[index];
     if (is_unsent(allocation)) {
-        // Nothing was sent, so it can be taken back at once.
+        // It is on no machine, so it can be released at once.
         release(index, true, now);
         return;
     }
@@ -140,9 +142,9 @@
     }
 }
 
-// A run that was sent and surely comes to nothing. What is to be stopped by now is over with it:
-// kept as one to be sent, it would be neither sent nor halted and would count against its machine
-// for ever.
+// A run command that was sent has certainly not been executed. An allocation that has to be stopped
+// by now is released: as one that is ready to be sent, it would be neither sent nor halted and
+// would count against its machine for ever.
 void Cluster::on_run_not_executed(AllocationIndex index, Millis now) {
     Allocation& allocation = allocations_[index];
     if (allocation.stop_requested) {
@@ -191,7 +193,7 @@
             break;
         case ExitReason::Unknown:
         case ExitReason::PeersMissing:
-            job.retry_at = std::max(job.retry_at, now + kStartRefusedPause);
+            job.retry_at = std::max(job.retry_at, now + kRefusedStartBackoff);
             break;
         default:
             break;
@@ -199,16 +201,17 @@
     release(index, true, now);
 }
 
-// A replica that ended runs again at once. One that ends again and again within a short time backs
-// off by itself, so that it holds up none of the others and uses no starts that they need.
+// A replica that has ended is started again at once. One that ends after a short time several times
+// in a row backs off on its own, so that it delays no other replica and uses no starts that others
+// need.
 void Cluster::note_replica_exit(AllocationIndex index, bool failed, Millis now) {
     const Allocation allocation = allocations_[index];
     Job& job = jobs_[allocation.job];
     const auto ran = allocation.running_since > 0 ? now - allocation.running_since : 0;
     auto& failures = job.replica_failures[allocation.task];
-    failures = ran >= (failed ? kReplicaRanWell : kReplicaRan) ? 0 : failures + 1;
-    // The first failures in a row are most likely the machines' fault, later ones its own.
-    if (failed && failures <= kFailuresOfMachines)
+    failures = ran >= (failed ? kFailureCountResetAfter : kExitCountResetAfter) ? 0 : failures + 1;
+    // The first failures in a row are most likely the machine's fault, later ones the replica's.
+    if (failed && failures <= kFailuresBlamedOnMachine)
         note_machine_failure(job, allocation.machine, now);
     if (!failed) machines_[allocation.machine].failed_jobs.clear();
     const auto failures_in_a_row = failures;
@@ -218,9 +221,9 @@
     const auto found = jobs_.find(job_index);
     if (failures_in_a_row <= 1 || found == jobs_.end()) return;
     if (found->second.requeued.erase(task) == 0) return;
-    const auto pause = std::min<Millis>(kFirstReplicaPause << std::min(failures_in_a_row - 2, 10U),
-                                        kLongestReplicaPause);
-    replica_backoffs_.emplace(now + pause, job_index, task);
+    const auto backoff = std::min<Millis>(
+        kFirstReplicaBackoff << std::min(failures_in_a_row - 2, 10U), kMaxReplicaBackoff);
+    replica_backoffs_.emplace(now + backoff, job_index, task);
 }
 
 void Cluster::end_replica_backoffs(Millis now) {
@@ -233,8 +236,8 @@
     }
 }
 
-// From a machine that is drained, the replicas are moved before it is released: they would keep it
-// for ever, as they never end by themselves, or be lost with it.
+// Moves the replicas off a machine that is drained, before it is released. They never end by
+// themselves, so the machine would be kept for ever, or they would be lost with it.
 void Cluster::stop_replicas(MachineIndex machine_index, Millis now) {
     const auto allocated = machines_[machine_index].allocations;
     for (auto allocation_index : allocated) {
