--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -1,4 +1,4 @@
-// The picture and its gate, driven directly.
+// The cluster state and its admission check, called directly.
 #include "core/cluster.h"
 
 #include <gtest/gtest.h>
@@ -11,8 +11,8 @@
 
 class ClusterTest : public ::testing::Test {
   protected:
-    explicit ClusterTest(const ClusterSettings& with = settings())
-        : cluster_(with, types_, zones_) {
+    explicit ClusterTest(const ClusterSettings& cluster_settings = settings())
+        : cluster_(cluster_settings, types_, zones_) {
         MachineType type;
         type.name = "box";
         type.capacity = {8000, 2000, 16000};
@@ -40,7 +40,7 @@
         r.tasks = std::move(tasks);
         cluster_.on_report(r, true, now);
     }
-    // The first job, placed on these machines, with its record durable at 1300.
+    // Adds `job` as the first job and places it on these machines; its record is durable at 1300.
     void start_recorded(const JobDescription& job, const std::vector<MachineIndex>& machines) {
         cluster_.add_job(job, 1, 1000);
         Plan plan;
@@ -58,7 +58,7 @@
     Cluster cluster_;
 };
 
-TEST_F(ClusterTest, EmptiedMachinesAreTakenBackWhenRoomIsShort) {
+TEST_F(ClusterTest, DrainsForConsolidationAreWithdrawnWhenCapacityIsShort) {
     heartbeat("host-1", 1, 1000);
     heartbeat("host-2", 1, 1000);
     Plan plan;
@@ -67,7 +67,8 @@
     plan.drains = {1};
     cluster_.apply(plan, 1150);
     EXPECT_FALSE(usable(0, 1200));
-    // Not in a row: work that could not move yet must not lose all its room at once.
+    // The second machine is not drained so soon after the first: work that could not move yet must
+    // not lose all its capacity at once.
     EXPECT_TRUE(usable(1, 1200));
     Plan next;
     next.capacity_short = true;
@@ -75,7 +76,7 @@
     EXPECT_TRUE(usable(0, 1400));
 }
 
-TEST_F(ClusterTest, NothingStartsBeforeAReportCarriesTheToken) {
+TEST_F(ClusterTest, MachineIsUnusableUntilAReportCarriesTheLeadersToken) {
     heartbeat("host-1", 1, 1000, 2);
     EXPECT_FALSE(usable(0, 1100));
     heartbeat("host-1", 2, 1200, 3);
@@ -85,9 +86,10 @@
     EXPECT_TRUE(usable(0, 1500));
 }
 
-// A late copy of a report makes a machine look up that was gone before this lead began; alone in
-// the fleet it counted as a trouble of ours, and its record kept a job waiting for ever.
-TEST_F(ClusterTest, GoneMachineThatALateCopyShowsIsReturnedOnceAListLacksIt) {
+// A late copy of a report makes a machine that was gone before this term look as if it were up. As
+// the only machine of the fleet that was up, its silence counted as a fault on the leader's side,
+// so it was never released, and the placement record that names it kept a job waiting for ever.
+TEST_F(ClusterTest, GoneMachineShownByALateCopyIsReleasedOnceAListLacksIt) {
     JobDescription job;
     job.id = "job-000001";
     job.team = "core";
@@ -101,8 +103,8 @@
     EXPECT_EQ(cluster_.next_releases(9, 40'000), std::vector<std::string>{"host-1"});
 }
 
-// Asked for, a return may be held on its way and carried out when another leads.
-TEST_F(ClusterTest, NothingIsGivenUpWhileTheLeadIsNotSure) {
+// A release request may be delayed on its way and executed when another node is the leader.
+TEST_F(ClusterTest, NothingIsReleasedWithoutAValidLeaderLease) {
     Report r;
     r.machine = "host-1";
     r.endpoint = "10.0.0.1:1";
@@ -119,7 +121,7 @@
     EXPECT_EQ(cluster_.next_releases(9, 12'100).size(), 1U);
 }
 
-TEST_F(ClusterTest, ImagesAreKnownOverAChangeOfLeader) {
+TEST_F(ClusterTest, ImageHintsSurviveAChangeOfLeader) {
     cluster_.load_image_hints({{"host-1", {"img-a", "img-b"}}}, 500);
     heartbeat("host-1", 1, 1000);
     const auto hints = cluster_.image_hints(0, 1);
@@ -129,12 +131,13 @@
     EXPECT_TRUE(wire::parse_image_hints_value(wire::image_hints_value(hints, 20))->empty());
 }
 
-// A task that is to be stopped while its direct run is still under way, and whose run the worker
-// then refuses, was kept for ever as one to be started: it was neither sent nor halted, its job
-// waited beside free machines, and its capacity and its team's quota stayed taken.
+// A task is to be stopped while its direct run command is in flight, and the worker then refuses
+// the command. The allocation was kept for ever as ready to be sent: it was neither sent nor
+// halted, its job waited beside free machines, and its capacity and its team's quota stayed
+// allocated.
 class RefusedStartTest : public ClusterTest, public ::testing::WithParamInterface<bool> {};
 
-TEST_P(RefusedStartTest, LetsGoOfATaskThatWasToBeStopped) {
+TEST_P(RefusedStartTest, ReleasesATaskThatWasToBeStopped) {
     const bool cancelled = GetParam();
     heartbeat("host-1", 1, 1000);
     JobDescription job;
@@ -161,23 +164,24 @@
     EXPECT_EQ(cluster_.has_job(job.id), !cancelled);
 }
 INSTANTIATE_TEST_SUITE_P(Stopped, RefusedStartTest, ::testing::Bool(), [](const auto& param) {
-    return std::string(param.param ? "ByItsUser" : "ToMakeRoom");
+    return std::string(param.param ? "ByCancellation" : "ByPreemption");
 });
 
-// An array that met two faulty machines was backed off as if it had a mistake, by a second doubled
-// for each failed task: a minute of waiting beside free machines, again and again.
+// An array whose tasks failed on two faulty machines backed off as if the job itself were at fault.
+// The backoff of one second doubled with each failed task, so the array repeatedly waited for a
+// minute beside free machines.
 class FaultyMachinesTest : public ClusterTest, public ::testing::WithParamInterface<bool> {
   protected:
     static ClusterSettings without_limits() {
-        auto with = settings();
-        with.teams = {{"core", {}, {}}};
-        return with;
+        auto cluster_settings = settings();
+        cluster_settings.teams = {{"core", {}, {}}};
+        return cluster_settings;
     }
     FaultyMachinesTest() : ClusterTest(without_limits()) {}
 };
 
-TEST_P(FaultyMachinesTest, BackOffOnlyAJobOfWhichNoTaskHasCompleted) {
-    const bool sound = GetParam();
+TEST_P(FaultyMachinesTest, BackOffOnlyAJobWithoutACompletedTask) {
+    const bool completes = GetParam();
     const std::vector<std::string> names{"host-0", "host-1", "host-2"};
     for (const auto& name : names) heartbeat(name, 1, 1000);
     JobDescription job;
@@ -191,26 +195,27 @@
         ASSERT_EQ(direct.commands.size(), 2U);
         cluster_.direct_result(direct, Cluster::DirectResult::Executed, 1400);
         std::vector<TaskReport> exited;
-        for (const auto& order : direct.commands) {
-            const bool done = sound && name == "host-0";
-            exited.push_back({order.job, order.task, order.attempt, TaskPhase::Exited,
+        for (const auto& command : direct.commands) {
+            const bool done = completes && name == "host-0";
+            exited.push_back({command.job, command.task, command.attempt, TaskPhase::Exited,
                               done ? ExitReason::Done : ExitReason::Error, false});
         }
         heartbeat(name, 2, 2000, 3, exited);
     }
     const auto items = cluster_.snapshot(2100, 0).waiting_jobs;
     ASSERT_EQ(items.size(), 1U);
-    EXPECT_EQ(items[0].backing_off, !sound);
-    // Even what fails everywhere is tried again well within the 90 s that nothing may wait.
+    EXPECT_EQ(items[0].backing_off, !completes);
+    // Even a job that fails everywhere is tried again well within 90 s, the longest time that a job
+    // may wait beside capacity that fits.
     EXPECT_FALSE(cluster_.snapshot(2000 + 45'000, 0).waiting_jobs[0].backing_off);
 }
 INSTANTIATE_TEST_SUITE_P(Jobs, FaultyMachinesTest, ::testing::Bool(), [](const auto& param) {
     return std::string(param.param ? "WithACompletedTask" : "ThatFailEverywhere");
 });
 
-// The leader had lost the way to all workers. As soon as half of them were heard again, it returned
-// the other half, whose reports came in the same second.
-TEST_F(ClusterTest, FirstReportsAfterAllWereSilentDoNotCostTheOthers) {
+// The leader was cut off from all workers. As soon as half of them reported again, it released the
+// other half, whose reports came within the same second.
+TEST_F(ClusterTest, FirstReportsAfterACommonSilenceDoNotReleaseTheOtherMachines) {
     const std::vector<std::string> names{"host-1", "host-2", "host-3", "host-4"};
     for (const auto& name : names) heartbeat(name, 1, 1000);
     cluster_.tick(1500);
@@ -220,7 +225,7 @@
     cluster_.tick(20'250);
     EXPECT_TRUE(cluster_.next_releases(9, 20'250).empty());
     heartbeat("host-3", 2, 20'900);
-    // One that does not come back is not waited for without end.
+    // A machine that does not report again is released in the end.
     for (Millis now = 21'000; now <= 40'000; now += 1000) {
         for (const auto* name : {"host-1", "host-2", "host-3"}) {
             heartbeat(name, static_cast<std::uint64_t>(now), now);
@@ -230,7 +235,7 @@
     EXPECT_EQ(cluster_.next_releases(9, 40'000), std::vector<std::string>{"host-4"});
 }
 
-TEST_F(ClusterTest, GateRefusesWhatThePlannerMustNotAsk) {
+TEST_F(ClusterTest, StartIsRefusedBeyondTheTeamLimitAndSentOnceItsRecordIsDurable) {
     heartbeat("host-1", 1, 1000);
     JobDescription job;
     job.id = "job-000001";
@@ -249,13 +254,13 @@
     const auto writes = cluster_.next_record_writes({}, false, 1200);
     ASSERT_EQ(writes.size(), 1U);
     cluster_.on_record_written(writes[0], true, 7, 1300);
-    // Nor while the leader can't be sure that it leads.
+    // Neither is anything sent while the leader is not certain that it still leads.
     EXPECT_TRUE(cluster_.heartbeat_commands("host-1", 1, false, 1300).empty());
     EXPECT_EQ(cluster_.heartbeat_commands("host-1", 1, true, 1300).size(), 1U);
 }
 
-// A copy of the newest report comes again: its answer goes nowhere, so it must carry no commands,
-// and the next report proves nothing about them.
+// A copy of the newest report, or of an older one, arrives. No worker waits for the answer, so it
+// must carry no commands, and the next report proves nothing about them.
 TEST_F(ClusterTest, LateCopyOfAReportIsNotFreshAndChangesNothing) {
     Report r;
     r.machine = "host-1";
@@ -270,15 +275,15 @@
     EXPECT_FALSE(cluster_.on_report(r, true, 30'000).fresh);
     r.seq = 4;
     EXPECT_FALSE(cluster_.on_report(r, true, 30'000).fresh);
-    // Nor is it a sign of life: the machine stays silent.
+    // It is no sign of life either: the machine stays silent.
     EXPECT_FALSE(usable(0, 30'000));
     heartbeat("host-2", 1, 30'000);
     EXPECT_FALSE(cluster_.tick(30'000).empty());
 }
 
-// Copies from before the term come one by one, each newer than the last: the machine is gone, and
-// they must not hold off its return.
-TEST_F(ClusterTest, LateCopiesOfAnEarlierTermAreNoSignsOfLife) {
+// The machine is gone, but copies of its reports from before the term arrive one by one, each newer
+// than the one before. They must not delay its release.
+TEST_F(ClusterTest, LateCopiesFromAnEarlierTermAreNoSignsOfLife) {
     for (std::uint64_t seq = 1; seq <= 3; ++seq) heartbeat("host-2", seq, 1000, 3);
     std::uint64_t seq = 10;
     Millis now = 1000;
@@ -298,7 +303,8 @@
     for (const auto& m : cluster_.snapshot(now + 1500, 0).machines) EXPECT_NE(m.index, 1U);
 }
 
-// With the direct way closed only the worker's own lease tells that answers reach it.
+// If direct commands cannot reach the worker, only its lease shows that heartbeat answers do: its
+// session lasts longer than a lease.
 TEST_F(ClusterTest, MachineWhoseSessionOutlivesALeaseIsUsedAgain) {
     std::uint64_t seq = 0;
     const auto report = [&](const std::string& name, std::uint64_t session, Millis now) {
@@ -323,9 +329,9 @@
     EXPECT_TRUE(usable(0, 17'000));
 }
 
-// A new leader counts waiting from the submission: otherwise nothing ever waits long enough to go
-// first while leaders change every few minutes.
-TEST_F(ClusterTest, WaitingGoesOnOverAChangeOfLeader) {
+// A new leader counts the waiting time from the submission. Otherwise no job would ever reach its
+// starvation threshold while the leader changes every few minutes.
+TEST_F(ClusterTest, WaitingTimeCountsFromTheSubmissionAfterAChangeOfLeader) {
     JobDescription job;
     job.id = "job-000001";
     job.team = "core";
@@ -337,9 +343,9 @@
     EXPECT_EQ(s.waiting_jobs[0].waited_ms, 91'000);
 }
 
-// The cloud says when it takes a machine. Waiting until its silence shows cost ten seconds of a
-// wave in which a quarter of the fleet had to be rented again.
-TEST_F(ClusterTest, MachineTakenAsAnnouncedIsGivenUpAtOnceAndItsKindIsAskedForAgain) {
+// The cloud announces when it reclaims a spot machine. Waiting for the machine to be silent cost
+// ten seconds when a quarter of the fleet was reclaimed at once and had to be provisioned again.
+TEST_F(ClusterTest, MachineIsReleasedAtOnceAfterItsSpotNoticeAndItsPoolIsNoLongerRefused) {
     heartbeat("host-1", 1, 1000);
     heartbeat("host-2", 1, 1000);
     Report r;
@@ -363,8 +369,9 @@
     EXPECT_TRUE(cluster_.snapshot(6750, 0).refused_provisions.empty());
 }
 
-// With few changes a second, the records of replicas waited behind those of older jobs, were not
-// durable when their leader ended, and were all placed anew by the next.
+// When the state service allowed few writes per second, the records of replicas waited behind those
+// of older jobs. They were not durable when their leader ended, so the next leader placed all of
+// these replicas again.
 TEST_F(ClusterTest, RecordsOfServicesAreWrittenFirst) {
     heartbeat("host-1", 1, 1000);
     JobDescription array;
@@ -393,8 +400,8 @@
     EXPECT_EQ(rest[0].job_id, "job-000001");
 }
 
-// A record that exceeds the limit is divided; the earlier one goes only once the finer ones are
-// durable, and nothing is placed anew for it.
+// A record that exceeds the limit is divided into records of a finer layout. The earlier record is
+// removed only once these are durable, and no task is placed again.
 TEST_F(ClusterTest, RecordThatExceedsTheLimitIsDividedInAFinerLayout) {
     heartbeat("host-1", 1, 1000);
     JobDescription job;
@@ -408,7 +415,7 @@
     ASSERT_EQ(cluster_.apply(plan, 1400).starts, 1U);
     Cluster::RecordLimits limits;
     limits.value_bytes = 1000;
-    // While a peer may be of an older version the layout stays, whatever the limit.
+    // While a peer may run an older version, the layout does not change, whatever the limit.
     const auto coarse = cluster_.next_record_writes(limits, false, 1500);
     ASSERT_EQ(coarse.size(), 1U);
     EXPECT_EQ(coarse[0].record_number, 0U);
@@ -429,8 +436,8 @@
     EXPECT_EQ(cluster_.next_orphans(8), std::vector<std::string>{"place/job-000001/0"});
 }
 
-// A leader that ended between the two layouts left records of both.
-TEST_F(ClusterTest, RecordsOfBothLayoutsNameEachAttemptOnce) {
+// A leader that ended while it was changing the layout left records of both layouts.
+TEST_F(ClusterTest, AttemptNamedByRecordsOfTwoLayoutsIsLoadedOnce) {
     JobDescription job;
     job.id = "job-000001";
     job.team = "core";
@@ -459,9 +466,9 @@
     EXPECT_EQ(cluster_.next_orphans(8), std::vector<std::string>{"place/job-000001/0"});
 }
 
-// The check with real processes found two idle machines rented for a minute after one service of
-// two replicas had come and gone.
-TEST_F(ClusterTest, OneServiceKeepsNoMachineWarmForTheNext) {
+// After a single service of two replicas had been started and had ended, two idle machines were
+// kept for a minute as warm capacity. Seen in a test with real processes.
+TEST_F(ClusterTest, SingleServiceKeepsNoWarmCapacity) {
     JobDescription service;
     service.id = "job-000001";
     service.cls = "standing";
