--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -187,7 +187,7 @@
         }
     }
     // From the list a new leader learns of running machines that have not reported to it. A zone in
-    // which these are many counts as cut off, and nothing is provisioned there.
+    // which too few machines report counts as cut off, and nothing is provisioned there.
     failure_detector_.update_cut_zones(machines_, zones_.size(), now);
 }
 
