--- a/src/control/cancellation_exchange.cpp
+++ b/src/control/cancellation_exchange.cpp
@@ -150,7 +150,7 @@
 // A leader that stood still in an outage wakes with its leader lease alive and a copy from before:
 // it would start what was cancelled meanwhile.
 bool CancellationExchange::may_start_tasks() const {
-    if (!settings_.guards.runs_on_fresh_copy) return true;
+    if (!settings_.guards.runs_need_fresh_jobs) return true;
     return runtime_.read_clock() - known_until() <= kMaxAgeForStartsMs;
 }
 
--- a/src/control/command_dispatcher.cpp
+++ b/src/control/command_dispatcher.cpp
@@ -32,7 +32,7 @@
     const auto now = term_.runtime.now();
     const auto limit = kMaxCallsInFlight - calls_in_flight_;
     const auto machines = term_.cluster->with_lock(
-        [&](core::Cluster& cluster) { return cluster.machines_to_ask(limit, now); });
+        [&](core::Cluster& cluster) { return cluster.machines_to_poll(limit, now); });
     for (const auto& machine : machines) call(machine);
 }
 
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -162,7 +162,7 @@
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         outcome = cluster.on_report(report, true, now);
         // A late copy gets no commands: nobody waits for its answer.
-        if (may_renew && outcome.fresh && !cluster.calling(report.machine)) {
+        if (may_renew && outcome.fresh && !cluster.has_direct_command_in_flight(report.machine)) {
             answer.commands =
                 cluster.heartbeat_commands(report.machine, report.seq, may_start, now);
         }
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -35,8 +35,8 @@
     setup.term = term;
     setup.lease = {std::string(core::keys::kLeader), leader_revision};
     setup.fencing = settings.features.fenced_duties;
-    setup.conditions = settings.guards.leader_condition;
-    setup.guards = {settings.guards.intent_first, settings.guards.intents_inherited};
+    setup.conditions = settings.guards.leader_record_condition;
+    setup.guards = {settings.guards.intent_before_request, settings.guards.intents_inherited};
     return setup;
 }
 
@@ -46,7 +46,7 @@
                              std::uint64_t leader_revision)
     : services_(services),
       holder_(holder_setup(services.settings, term, leader_revision)),
-      intents_kept_(services.settings.guards.intent_kept),
+      intents_kept_(services.settings.guards.keep_release_intents),
       reported_at_(services.runtime.now()) {}
 
 duty::MachineDutyHolder::Moment MachineDuties::moment() {
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -51,7 +51,7 @@
         transaction.conditions.push_back({key, write.revision});
         // A record that becomes durable after its job is over, late or from a copy that lags, would
         // be followed by starts.
-        if (term_.settings.guards.record_of_open) {
+        if (term_.settings.guards.record_needs_open_job) {
             transaction.conditions.push_back(
                 {core::keys::open_job(write.job_id), write.open_revision});
         }
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -9,7 +9,7 @@
 namespace lichendrift::control {
 
 wire::Condition Term::leadership_condition() const {
-    if (!settings.guards.leader_condition) return {"no-such-key", 0};
+    if (!settings.guards.leader_record_condition) return {"no-such-key", 0};
     return {std::string(core::keys::kLeader), leader_revision};
 }
 
--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -92,7 +92,7 @@
 void Cluster::drop_if_gone(JobIndex index) {
     auto it = jobs_.find(index);
     if (it == jobs_.end() || !it->second.over || !it->second.allocations.empty()) return;
-    if (records_to_come_ && settings_.guards.kept_until_loaded) return;
+    if (records_to_come_ && settings_.guards.keep_ended_jobs_until_records_loaded) return;
     for (const auto& [number, record] : it->second.records) {
         // A write in flight may still create the record: removing it later is harmless.
         if (record.revision != 0 || record.writing || record.dirty) {
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -35,7 +35,7 @@
     }
     team_used_.resize(team_list_.size());
     team_busy_.resize(team_list_.size(), -1);
-    settings_.tuning.reservations = settings_.guards.claims;
+    settings_.tuning.reservations = settings_.guards.starvation_reservations;
     for (const auto& objective : settings_.objectives) {
         if (objective.kind == Objective::Kind::Guarantee) guarantee_s_ = objective.within_s;
     }
@@ -219,7 +219,7 @@
         allocation.machine = machine;
         allocation.session = machines_[machine].session;
         allocation.since = now;
-        if (!settings_.guards.record_first) allocation.state = Allocation::State::Ready;
+        if (!settings_.guards.record_before_run) allocation.state = Allocation::State::Ready;
         take_from_waiting(job, task);
         add_allocation(allocation);
         mark_dirty(job, task);
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -44,7 +44,7 @@
 /// The leader's cluster state. Pure: events and a time go in, commands and records to write come
 /// out. Each decision of the planner is checked here again before it is applied. Not thread-safe:
 /// the owner locks it (docs/design.md, "Parts"). All times are steady, in milliseconds.
-class Cluster : private WorkOnMachine {
+class Cluster : private MachineWorkload {
   public:
     /// `types` and `zones` are shared with the owner and have to outlive the cluster state.
     Cluster(ClusterSettings settings, Names& types, Names& zones);
@@ -109,9 +109,9 @@
     /// A direct command has ended.
     void direct_result(const Direct& direct, DirectResult result, Millis now);
     /// Machines to ask for a report: silent, unreachable or not synced; at most `limit`.
-    std::vector<std::string> machines_to_ask(std::size_t limit, Millis now);
+    std::vector<std::string> machines_to_poll(std::size_t limit, Millis now);
     /// Whether a direct command to the machine is under way.
-    [[nodiscard]] bool calling(const std::string& machine) const;
+    [[nodiscard]] bool has_direct_command_in_flight(const std::string& machine) const;
 
     /// Bounds on the next transaction of placement records.
     struct RecordLimits {
@@ -268,7 +268,7 @@
     [[nodiscard]] bool has_replicas(const Machine& machine) const override;
     [[nodiscard]] JobFacts facts(const Job& job) const;
     [[nodiscard]] FleetFacts fleet_facts() const;
-    [[nodiscard]] bool raise(Machine& machine) const;
+    [[nodiscard]] bool raise_token(Machine& machine) const;
     void on_command_effect(MachineIndex index);
     void on_commands_missed(MachineIndex index, int count, Millis now);
     void note_image(Machine& machine, ImageIndex image);
@@ -324,18 +324,18 @@
     // The planner's snapshot, see snapshot.cpp.
     void add_teams(Snapshot& out) const;
     void add_warm_capacity(Snapshot& out) const;
-    void add_refused(Snapshot& out) const;
+    void add_unavailable_pools(Snapshot& out) const;
     [[nodiscard]] MachineView machine_view(MachineIndex index, const FleetFacts& fleet,
                                            Millis now) const;
-    [[nodiscard]] Millis idle_keep_ms(const Machine& machine, Millis age_ms,
-                                      const FleetFacts& fleet) const;
+    [[nodiscard]] Millis idle_retention_ms(const Machine& machine, Millis age_ms,
+                                           const FleetFacts& fleet) const;
     void add_allocations(MachineIndex machine, Snapshot& out) const;
-    void fill_item(const Job& job, double age_s, Millis now, WaitingJob& item) const;
-    void add_zones(const Job& job, WaitingJob& item) const;
+    void fill_waiting_job(const Job& job, double age_s, Millis now, WaitingJob& item) const;
+    void add_zone_counts(const Job& job, WaitingJob& item) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
     std::vector<std::uint32_t> take_waiting(const Job& job, std::uint32_t limit) const;
     static void take_from_waiting(Job& job, std::uint32_t task);
-    void fill_guarantees(Millis now);
+    void update_guarantees(Millis now);
     [[nodiscard]] bool has_cancelled_work(const Machine& machine) const override;
 
     ClusterSettings settings_;
@@ -374,7 +374,7 @@
     std::set<JobIndex> all_done_;  // whose terminal state is to be written
     // Replicas that failed again and again rest until then: time, job, task.
     std::set<std::tuple<Millis, JobIndex, std::uint32_t>> resting_;
-    std::size_t ask_from_ = 0;          // where machines_to_ask() goes on
+    std::size_t next_poll_index_ = 0;   // where machines_to_poll() goes on
     std::set<MachineIndex> attention_;  // machines that may have commands due
     std::vector<std::string> orphans_;
     std::vector<std::string> orphans_writing_;
--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -50,7 +50,7 @@
             continue;
         }
         // Whether this attempt was run directly or another, it costs no more to raise once.
-        if (message.direct || !raise(machine) || awaits_durable_result(task)) continue;
+        if (message.direct || !raise_token(machine) || awaits_durable_result(task)) continue;
         out.push_back({Command::Kind::Reap, task.job, task.task, task.attempt, 0});
     }
     if (!message.direct) exited_.erase(it);
@@ -74,7 +74,7 @@
         // Unconfirmed and unwanted: with a higher token the late run comes to nothing.
         if (allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed &&
             !message.direct) {
-            (void)raise(machine);
+            (void)raise_token(machine);
         }
         out.push_back(
             {Command::Kind::Halt, job.id, allocation.task, allocation.attempt, allocation.grace_s});
@@ -164,15 +164,15 @@
 // more, and a copy of its run, even of one that was answered, would start it again. So an answer to
 // a heartbeat that reaps carries a higher token than the runs that went there directly: their
 // copies are refused from then on. False: the term has no token left for it.
-bool Cluster::raise(Machine& machine) const {
-    if (!machine.ran_direct || !settings_.guards.reap_raises) return true;
+bool Cluster::raise_token(Machine& machine) const {
+    if (!machine.ran_direct || !settings_.guards.reap_raises_token) return true;
     if (machine.token + 1 >= settings_.token + kFencingTokensPerTerm) return false;
     ++machine.token;
     machine.ran_direct = false;
     return true;
 }
 
-bool Cluster::calling(const std::string& name) const {
+bool Cluster::has_direct_command_in_flight(const std::string& name) const {
     auto it = machine_ids_.find(name);
     return it != machine_ids_.end() && machines_[it->second].calling;
 }
@@ -203,7 +203,7 @@
             continue;
         }
         if (allocation.direct_open > 0) --allocation.direct_open;
-        if (result == DirectResult::NoAnswer && settings_.guards.unconfirmed_allocated) {
+        if (result == DirectResult::NoAnswer && settings_.guards.unconfirmed_runs_stay_allocated) {
             allocation.direct_unconfirmed = true;
         }
         const bool only_this_run = !allocation.direct_unconfirmed && allocation.direct_open == 0 &&
@@ -215,13 +215,13 @@
     }
 }
 
-std::vector<std::string> Cluster::machines_to_ask(std::size_t limit, Millis now) {
+std::vector<std::string> Cluster::machines_to_poll(std::size_t limit, Millis now) {
     std::vector<std::string> out;
     // From where the last call ended: asked for a few at a time, a failover that began anew each
     // time visited half of the fleet for each machine.
     for (std::size_t left = machines_.size(); left > 0 && out.size() < limit; --left) {
-        if (ask_from_ >= machines_.size()) ask_from_ = 0;
-        const auto& machine = machines_[ask_from_++];
+        if (next_poll_index_ >= machines_.size()) next_poll_index_ = 0;
+        const auto& machine = machines_[next_poll_index_++];
         ++work_;
         if (machine.life == Machine::Life::Gone || machine.endpoint.empty()) continue;
         if (machine.calling || machine.call_after > now) continue;
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -34,8 +34,8 @@
 // "Failure detection", a zone that is cut off: it keeps its machines, their images and, if it is
 // short, their tasks. To release them all costs a boot and a fetch for each, and what is
 // provisioned there instead cannot report either.
-void FailureDetector::update_cut_zones(const std::vector<Machine>& machines, std::size_t zone_count,
-                                       Millis now) {
+void FailureDetector::update_partitioned_zones(const std::vector<Machine>& machines,
+                                               std::size_t zone_count, Millis now) {
     struct Reporting {
         std::uint32_t total = 0;
         std::uint32_t reporting = 0;
@@ -63,7 +63,7 @@
 void FailureDetector::begin_round(const std::vector<Machine>& machines, std::size_t zone_count,
                                   std::optional<Millis> wanted_patience, Millis now) {
     if (sure_since_ < 0) sure_since_ = now;
-    update_cut_zones(machines, zone_count, now);
+    update_partitioned_zones(machines, zone_count, now);
     round_ = {};
     round_.now = now;
     for (const auto& machine : machines) {
@@ -87,7 +87,7 @@
 
 // From when on silence counts against it.
 Millis FailureDetector::expected_since(const Machine& machine) const {
-    const bool was_cut = machine.zone < zone_back_.size() && !is_cut(machine.zone);
+    const bool was_cut = machine.zone < zone_back_.size() && !is_zone_partitioned(machine.zone);
     return std::max(machine.first_seen, was_cut ? zone_back_[machine.zone] : Millis{-1});
 }
 
@@ -113,7 +113,7 @@
 }
 
 Millis FailureDetector::silence_bound(const Machine& machine) const {
-    if (!is_cut(machine.zone)) return round_.patience;
+    if (!is_zone_partitioned(machine.zone)) return round_.patience;
     if (!work_.has_replicas(machine)) return round_.cut_patience;
     // Without an answer its lease has ended by then, and its replicas are down: they run elsewhere
     // as soon as its release proves them gone.
@@ -175,7 +175,7 @@
 // How long it may be known without a report, besides the time that its boot takes.
 Millis FailureDetector::registration_bound(const Machine& machine, Millis boot_patience) const {
     if (!machine.running) return std::min(boot_patience, 2 * round_.patience);
-    if (is_cut(machine.zone)) return round_.cut_patience;
+    if (is_zone_partitioned(machine.zone)) return round_.cut_patience;
     // Cancelled work that may be there has little time left: it was cancelled under an earlier
     // leader, and a machine that hangs receives no halt.
     if (work_.has_cancelled_work(machine)) {
--- a/src/core/failure_detector.h
+++ b/src/core/failure_detector.h
@@ -10,9 +10,9 @@
 namespace lichendrift::core {
 
 /// What failure detection has to know of the work on a machine.
-class WorkOnMachine {
+class MachineWorkload {
   public:
-    virtual ~WorkOnMachine() = default;
+    virtual ~MachineWorkload() = default;
     /// Whether replicas of services count as being on it.
     [[nodiscard]] virtual bool has_replicas(const Machine& machine) const = 0;
     /// Whether tasks of cancelled jobs count as being on it.
@@ -37,7 +37,7 @@
     };
 
     /// `work` has to outlive the detector.
-    FailureDetector(const Bounds& bounds, const WorkOnMachine& work)
+    FailureDetector(const Bounds& bounds, const MachineWorkload& work)
         : bounds_(bounds), work_(work) {}
 
     /// The leader lease may have expired: no machine is checked, and silence counts anew from the
@@ -47,9 +47,10 @@
     void begin_round(const std::vector<Machine>& machines, std::size_t zone_count,
                      std::optional<Millis> wanted_patience, Millis now);
     /// Finds the zones of which nearly all machines have fallen silent together.
-    void update_cut_zones(const std::vector<Machine>& machines, std::size_t zone_count, Millis now);
+    void update_partitioned_zones(const std::vector<Machine>& machines, std::size_t zone_count,
+                                  Millis now);
     /// Whether the zone is cut off: nothing is provisioned there.
-    [[nodiscard]] bool is_cut(ZoneIndex zone) const {
+    [[nodiscard]] bool is_zone_partitioned(ZoneIndex zone) const {
         return zone < zone_cut_.size() && zone_cut_[zone] != 0;
     }
     /// The longest time between two heartbeats of a machine that is sound.
@@ -83,7 +84,7 @@
     };
 
     Bounds bounds_;
-    const WorkOnMachine& work_;
+    const MachineWorkload& work_;
     Round round_;
     std::vector<char> zone_cut_;      // by zone
     std::vector<Millis> zone_back_;   // when the zone was cut off last; -1: never
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -52,7 +52,7 @@
     Reconciliation step{report, is_heartbeat, index, now};
     update_machine(step);
     release_earlier_sessions(step);
-    step.trusted = machine.synced || !settings_.guards.trusted_reports;
+    step.trusted = machine.synced || !settings_.guards.reports_need_current_token;
     group_reported_tasks(step);
     reconcile_allocations(step);
     if (step.command_seen) {
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -177,7 +177,7 @@
     }
     // A new leader learns here of machines that have not reported to it: nothing is provisioned
     // beside them.
-    failure_detector_.update_cut_zones(machines_, zones_.size(), now);
+    failure_detector_.update_partitioned_zones(machines_, zones_.size(), now);
 }
 
 void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
@@ -294,7 +294,7 @@
     if (const auto failure = failure_detector_.check_up(machine)) {
         // "When a task is off a machine": no clock is part of it.
         if (failure->reason == events::ReleaseReason::Silent &&
-            !settings_.guards.silence_is_no_proof) {
+            !settings_.guards.silent_tasks_stay_allocated) {
             release_all(index, std::numeric_limits<std::uint64_t>::max(), now);
         }
         start_release(machine, *failure, events);
--- a/src/core/safety_guards.h
+++ b/src/core/safety_guards.h
@@ -11,28 +11,28 @@
 
     /// No run is sent before the placement record of its attempt is durable: a later leader knows
     /// of every attempt there may be.
-    bool record_first = true;
+    bool record_before_run = true;
     /// Only heartbeats under the leader's own token free tasks: a late copy shows an earlier state.
-    bool trusted_reports = true;
+    bool reports_need_current_token = true;
     /// A direct run without an answer still counts on its machine: it may be carried out later.
-    bool unconfirmed_allocated = true;
+    bool unconfirmed_runs_stay_allocated = true;
     /// The tasks of a silent machine count there until the cloud has confirmed its release.
-    bool silence_is_no_proof = true;
+    bool silent_tasks_stay_allocated = true;
     /// The answer that reaps an attempt carries a higher token than the runs that were sent there
     /// directly: their copies are refused once the worker has forgotten the attempt.
-    bool reap_raises = true;
+    bool reap_raises_token = true;
     /// A job that ends during a failover is kept until the records that may name its tasks are
     /// read.
-    bool kept_until_loaded = true;
+    bool keep_ended_jobs_until_records_loaded = true;
 
     // ---- writes and reads of a controller that may not lead any more ----
 
     /// A write fails unless the leader record has the revision at which its leader won.
-    bool leader_condition = true;
+    bool leader_record_condition = true;
     /// A placement record is only written while its job is open.
-    bool record_of_open = true;
+    bool record_needs_open_job = true;
     /// No run is sent while the copy of the open jobs may be out of date.
-    bool runs_on_fresh_copy = true;
+    bool runs_need_fresh_jobs = true;
     /// Users get no answer older than one given before.
     bool fresh_reads = true;
     /// Controllers announce cancellations to each other.
@@ -43,16 +43,16 @@
     // ---- requests to the cloud (docs/duties.md) ----
 
     /// The cloud is asked for nothing before the intent to do so is durable.
-    bool intent_first = true;
+    bool intent_before_request = true;
     /// A new holder reads the intents of earlier ones and finishes them.
     bool intents_inherited = true;
     /// An intent to release stays until the cloud has confirmed the release.
-    bool intent_kept = true;
+    bool keep_release_intents = true;
 
     // ---- placement ----
 
     /// What waited too long goes first and reserves resources ("Exceptions to the plain rule", 1).
-    bool claims = true;
+    bool starvation_reservations = true;
     /// A machine that nothing sent reaches gets no work ("Failure detection", unreachable).
     bool command_effect_check = true;
 
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-void Cluster::fill_guarantees(Millis now) {
+void Cluster::update_guarantees(Millis now) {
     std::vector<std::vector<std::pair<std::int64_t, JobIndex>>> by_team(team_list_.size());
     for (auto& [index, job] : jobs_) {
         job.in_guarantee = false;
@@ -123,7 +123,7 @@
 
 Snapshot Cluster::snapshot(Millis now, std::int64_t wall_ms) {
     wake_replicas(now);
-    fill_guarantees(now);
+    update_guarantees(now);
     Snapshot out;
     out.now = now;
     out.tuning = settings_.tuning;
@@ -142,7 +142,7 @@
     out.zone_count = zones_.size();
     add_teams(out);
     add_warm_capacity(out);
-    add_refused(out);
+    add_unavailable_pools(out);
     for (MachineIndex index = 0; index < machines_.size(); ++index) {
         const Machine& machine = machines_[index];
         const bool there =
@@ -169,8 +169,8 @@
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], times,
                                 job.in_guarantee ? guarantee_s_ : 0);
-        fill_item(job, times.age_s, now, item);
-        add_zones(job, item);
+        fill_waiting_job(job, times.age_s, now, item);
+        add_zone_counts(job, item);
     }
     return out;
 }
@@ -206,7 +206,7 @@
 }
 
 // Where nothing can be provisioned: refused a short time ago, or in a zone that is cut off.
-void Cluster::add_refused(Snapshot& out) const {
+void Cluster::add_unavailable_pools(Snapshot& out) const {
     for (const auto& type : type_info_) {
         auto& zones = out.type_zones.emplace_back();
         for (const auto& zone : type.zones) zones.push_back(zones_.intern(zone));
@@ -216,7 +216,7 @@
     }
     for (TypeIndex type = 0; type < out.type_zones.size(); ++type) {
         for (const auto zone : out.type_zones[type]) {
-            if (!failure_detector_.is_cut(zone)) continue;
+            if (!failure_detector_.is_zone_partitioned(zone)) continue;
             out.refused_provisions.push_back({type, zone, false});
             out.refused_provisions.push_back({type, zone, true});
         }
@@ -238,7 +238,7 @@
     view.age_ms = now - machine.provisioned_at;
     if (machine.allocations.empty()) {
         view.idle_ms = now - machine.idle_since;
-        view.idle_retention_ms = idle_keep_ms(machine, view.age_ms, fleet);
+        view.idle_retention_ms = idle_retention_ms(machine, view.age_ms, fleet);
     }
     if (machine.life == Machine::Life::Booting) {
         const double age_s = static_cast<double>(view.age_ms) / 1000.0;
@@ -257,7 +257,8 @@
     return view;
 }
 
-Millis Cluster::idle_keep_ms(const Machine& machine, Millis age_ms, const FleetFacts& fleet) const {
+Millis Cluster::idle_retention_ms(const Machine& machine, Millis age_ms,
+                                  const FleetFacts& fleet) const {
     if (!settings_.policy) return machine.spot ? kKeepIdleSpot : kKeepIdleOnDemand;
     const auto& type = type_info_[machine.type];
     const double keep_s = settings_.policy->idle_keep_s(
@@ -291,7 +292,7 @@
 
 // The order among what waits, and how long it waits for what is there before machines are
 // provisioned for it. The slack is set already.
-void Cluster::fill_item(const Job& job, double age_s, Millis now, WaitingJob& item) const {
+void Cluster::fill_waiting_job(const Job& job, double age_s, Millis now, WaitingJob& item) const {
     item.in_guarantee = job.in_guarantee;
     item.backing_off = job.retry_at > now;
     item.has_started = job.next_fresh > 0;
@@ -320,7 +321,7 @@
 }
 
 // Where its other tasks are, if that matters for where the next ones may go.
-void Cluster::add_zones(const Job& job, WaitingJob& item) const {
+void Cluster::add_zone_counts(const Job& job, WaitingJob& item) const {
     if (!job.spec.one_zone && !job.spec.apart && !job.spec.service) return;
     item.zone_counts.resize(zones_.size());
     for (const auto& [task, index] : job.allocations) {
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -171,11 +171,12 @@
     }
     FAIL() << "no day shows that " << GetParam().name << " is off";
 }
-INSTANTIATE_TEST_SUITE_P(
-    Guards, BrokenFenceDay,
-    ::testing::Values(BrokenFence{"intent_first", &core::SafetyGuards::intent_first},
-                      BrokenFence{"intents_inherited", &core::SafetyGuards::intents_inherited}),
-    [](const auto& param) { return std::string(param.param.name); });
+INSTANTIATE_TEST_SUITE_P(Guards, BrokenFenceDay,
+                         ::testing::Values(BrokenFence{"intent_before_request",
+                                                       &core::SafetyGuards::intent_before_request},
+                                           BrokenFence{"intents_inherited",
+                                                       &core::SafetyGuards::intents_inherited}),
+                         [](const auto& param) { return std::string(param.param.name); });
 
 // ---- hard cases ----
 
@@ -255,7 +256,7 @@
 
 const HardCase kHardCases[] = {
     {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseRequested, delay_and_freeze, 4500,
-     &core::SafetyGuards::intent_first},
+     &core::SafetyGuards::intent_before_request},
     {"FrozenWhileTheIntentIsWritten", HardCase::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
     {"EndsAfterItHasWaitedInVain", HardCase::When::ReleaseRequested,
@@ -264,7 +265,7 @@
          simulation.at(simulation.now() + 8000,
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
-     9000, &core::SafetyGuards::intent_kept},
+     9000, &core::SafetyGuards::keep_release_intents},
     {"DelayedByTheNetworkForMinutes", HardCase::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cut(node_name(leader), "cloud", 75'000, true);
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -151,7 +151,7 @@
         for (Millis later = 1300; later < 2600; later += 50) {
             auto options = calm(230);
             options.late_start_ms = 1050;
-            options.guards.runs_on_fresh_copy = guarded;
+            options.guards.runs_need_fresh_jobs = guarded;
             Simulation simulation(options);
             simulation.set_capacity(3);
             auto j = plain("job-000001", 3, 60, 11'000);
@@ -249,7 +249,7 @@
         core::ClusterSettings settings;
         settings.teams = {{"core", {}, {4000, 0, 0}}};
         settings.token = 7;
-        settings.guards.kept_until_loaded = guarded;
+        settings.guards.keep_ended_jobs_until_records_loaded = guarded;
         core::Cluster cluster(settings, types, zones);
         core::JobText job;
         job.id = "job-000001";
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -435,7 +435,7 @@
     const bool gang = GetParam();
     const auto begun_after = [&](bool claims) {
         auto options = calm(26);
-        options.guards.claims = claims;
+        options.guards.starvation_reservations = claims;
         options.settle_ms = 300'000;
         options.teams = {{"core", {}, {}}};
         Simulation simulation(options);
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -104,15 +104,17 @@
 }
 INSTANTIATE_TEST_SUITE_P(
     Guards, BrokenGuard,
-    ::testing::Values(Broken{"record_first", &core::SafetyGuards::record_first},
-                      Broken{"trusted_reports", &core::SafetyGuards::trusted_reports},
-                      Broken{"unconfirmed_allocated", &core::SafetyGuards::unconfirmed_allocated},
-                      Broken{"record_of_open", &core::SafetyGuards::record_of_open},
-                      Broken{"reap_raises", &core::SafetyGuards::reap_raises},
-                      Broken{"silence_is_no_proof", &core::SafetyGuards::silence_is_no_proof,
-                             hang_machines_while_the_cloud_is_out},
-                      Broken{"leader_condition", &core::SafetyGuards::leader_condition},
-                      Broken{"fresh_reads", &core::SafetyGuards::fresh_reads}),
+    ::testing::Values(
+        Broken{"record_before_run", &core::SafetyGuards::record_before_run},
+        Broken{"reports_need_current_token", &core::SafetyGuards::reports_need_current_token},
+        Broken{"unconfirmed_runs_stay_allocated",
+               &core::SafetyGuards::unconfirmed_runs_stay_allocated},
+        Broken{"record_needs_open_job", &core::SafetyGuards::record_needs_open_job},
+        Broken{"reap_raises_token", &core::SafetyGuards::reap_raises_token},
+        Broken{"silent_tasks_stay_allocated", &core::SafetyGuards::silent_tasks_stay_allocated,
+               hang_machines_while_the_cloud_is_out},
+        Broken{"leader_record_condition", &core::SafetyGuards::leader_record_condition},
+        Broken{"fresh_reads", &core::SafetyGuards::fresh_reads}),
     [](const auto& param) { return std::string(param.param.name); });
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -203,7 +203,7 @@
         std::deque<Cluster::Direct> under_way;
         for (;;) {
             // As the leader does it: whenever one of 24 calls ends, the next machine is asked.
-            for (const auto& name : cluster.machines_to_ask(24 - under_way.size(), now)) {
+            for (const auto& name : cluster.machines_to_poll(24 - under_way.size(), now)) {
                 under_way.push_back(cluster.direct_commands(name, true, now));
             }
             if (under_way.empty()) break;
