--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -1,12 +1,12 @@
-// Reconciliation of workers' reports with the cluster state (docs/design.md, "What a report may
-// settle").
+// Reconciles workers' reports with the leader's cluster state: which tasks run on a machine, have
+// exited or are gone (docs/design.md, "What a report may settle").
 #include "core/cluster.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// What an attempt in a report is found by.
+// Identifies an attempt; the key of Reconciliation::unmatched.
 struct AttemptKey {
     JobIndex job = kInvalidIndex;
     std::uint32_t task = 0;
@@ -14,25 +14,26 @@
     auto operator<=>(const AttemptKey&) const = default;
 };
 
-bool names_same_attempt(const TaskReport& one, const TaskReport& other) {
+bool is_same_attempt(const TaskReport& one, const TaskReport& other) {
     return one.job == other.job && one.task == other.task && one.attempt == other.attempt;
 }
 
 }  // namespace
 
-// One report on its way through the steps of on_report().
+// The state of one report while on_report() processes it.
 struct Cluster::Reconciliation {
     const Report& report;
-    bool is_heartbeat = false;  // otherwise the response to a direct command
+    bool is_heartbeat = false;  // false: it came in the response to a direct command
     MachineIndex machine = kInvalidIndex;
     Millis now = 0;
-    bool trusted = false;         // it carries the leader's own token, so it may free tasks
-    bool changed = false;         // something is worth planning again
-    bool command_seen = false;    // a run that was sent shows in it
+    bool trusted = false;         // it carries this leader's token, so it may release allocations
+    bool changed = false;         // it changed the cluster state in a way that calls for a new plan
+    bool command_seen = false;    // it shows an attempt whose run was sent, so commands arrive
     bool command_missed = false;  // a run or halt that was sent has had no effect
-    // Tasks of known jobs that are not matched with an allocation (or exited) so far.
+    // Reported tasks of known jobs that have no allocation or have exited. Until
+    // reconcile_allocations() is done, also those with an allocation.
     std::map<AttemptKey, const TaskReport*> unmatched{};
-    std::vector<TaskReport> to_reap{};  // or to be halted by name, if their job is not known
+    std::vector<TaskReport> to_reap{};  // or to be halted, if they are alive and their job unknown
 };
 
 ReportOutcome Cluster::on_report(const Report& report, bool is_heartbeat, Millis now) {
@@ -44,7 +45,8 @@
     const auto index = machine_for(report.machine, report.type, report.zone, report.spot, now);
     const Machine& machine = machines_[index];
     if (machine.life == Machine::Life::Gone) return outcome;
-    // "What a report may settle", not newer than one seen: nothing.
+    // A report that is not newer than the newest one seen settles nothing ("What a report may
+    // settle").
     if (std::pair(report.session, report.seq) <= std::pair(machine.session, machine.seq)) {
         return outcome;
     }
@@ -70,7 +72,8 @@
     return outcome;
 }
 
-// What a newer report says of the machine itself.
+// Updates what the report says about the machine itself: its worker's session and address, its
+// token, and that it is up.
 void Cluster::update_machine(Reconciliation& step) {
     const Report& report = step.report;
     Machine& machine = machines_[step.machine];
@@ -86,10 +89,11 @@
 void Cluster::on_new_session(Reconciliation& step) {
     Machine& machine = machines_[step.machine];
     step.changed = true;
-    // The first report that this leader gets says nothing of a change.
+    // The first report to this leader does not show that the session has changed.
     if (machine.session == 0) return;
-    // "Failure detection", unreachable: its lease ended though its reports came. Until something is
-    // seen to reach it, nothing is placed there. After a fault of ours a single command clears it.
+    // The worker's lease expired although its reports arrived here, so answers do not reach it
+    // ("Failure detection", unreachable). Nothing is placed there until a command is seen to take
+    // effect. If the fault was on the controllers' side, a single command clears the mark.
     if (machine.life == Machine::Life::Up) {
         on_commands_missed(step.machine, kUnreachableMisses, step.now);
         const bool again = step.now - machine.session_at < settings_.lease_ms * 3;
@@ -99,21 +103,24 @@
     machine.images.clear();
 }
 
-// Whether the report carries this leader's token, and what that says of the way to the machine.
+// Updates whether the machine is synced, that is, whether its newest report carries this leader's
+// token, and concludes from the report whether commands and answers reach the machine.
 void Cluster::update_sync(Reconciliation& step) {
     const Report& report = step.report;
     Machine& machine = machines_[step.machine];
     const bool synced = report.token >= settings_.token;
-    // A copy of a report may come late by more than a lease, and a new leader cannot tell it from a
-    // new one. Only what carries the leader's own token is a sign of life, and the first of all, so
-    // that late copies do not hold off the release of a machine that is gone.
+    // A duplicate of a report may arrive more than a lease late, and a new leader cannot tell it
+    // from a new report. So only the first report of all and those with this leader's token count
+    // as signs of life; otherwise late duplicates would delay the release of a machine that is
+    // gone.
     if (synced || machine.last_heartbeat_at == 0) machine.last_heartbeat_at = step.now;
-    const bool token_missed =
+    const bool token_not_raised =
         machine.owed_token_seq != 0 && report.seq > machine.owed_token_seq && !synced;
-    if (step.is_heartbeat && token_missed) on_commands_missed(step.machine, 1, step.now);
+    if (step.is_heartbeat && token_not_raised) on_commands_missed(step.machine, 1, step.now);
     if (synced && !machine.synced) on_command_effect(step.machine);
-    // A session that outlives a lease had answers: with the direct way closed, as between two
-    // zones, nothing else shows it.
+    // A session that lasts longer than a lease has received answers that renewed the lease. Where
+    // direct commands cannot get through, as between two partitioned zones, nothing else shows
+    // that.
     if (machine.unreachable_since != 0 && machine.unreachable_since == machine.session_at &&
         step.now - machine.session_at > settings_.lease_ms + settings_.report_ms) {
         on_command_effect(step.machine);
@@ -123,8 +130,8 @@
     machine.synced = synced;
 }
 
-// "When a task is off a machine" (2), a later session: the worker has killed and forgotten all
-// tasks of the earlier ones.
+// "When a task is off a machine" (2): a report of a later session proves that all tasks of earlier
+// sessions are gone, since the worker has killed and forgotten them.
 void Cluster::release_earlier_sessions(Reconciliation& step) {
     const auto& allocations = machines_[step.machine].allocations;
     const auto before = allocations.size();
@@ -137,7 +144,8 @@
     for (const auto& task : step.report.tasks) {
         const auto found = job_ids_.find(task.job);
         if (found == job_ids_.end() || task.task >= jobs_.at(found->second).spec.count) {
-            // Live tasks of a job that is over and forgotten are halted by name.
+            // The job is over and was removed from the cluster state. A live task of it is halted,
+            // an exited one reaped, by the ids in the report.
             step.to_reap.push_back(task);
             continue;
         }
@@ -145,21 +153,21 @@
     }
 }
 
-// Compares what counts as on the machine with what the report shows.
+// Compares the machine's allocations with the tasks in the report.
 void Cluster::reconcile_allocations(Reconciliation& step) {
-    // A copy, as an attempt that ends here may take others of its gang with it.
+    // Copied, because the end of one attempt may also release others of its gang.
     const auto allocated = machines_[step.machine].allocations;
     work_ += 1 + allocated.size() + step.report.tasks.size();
     for (const auto index : allocated) {
         const Allocation& allocation = allocations_[index];
-        // Released with its gang.
+        // Already released together with its gang.
         if (allocation.job == kInvalidIndex || allocation.machine != step.machine) continue;
         const auto it = step.unmatched.find({allocation.job, allocation.task, allocation.attempt});
         if (it == step.unmatched.end()) {
             if (step.trusted) reconcile_absent(step, index);
         } else if (it->second->phase == TaskPhase::Exited) {
-            // "When a task is off a machine" (1): shown as exited. It stays in `unmatched`, from
-            // where it is reaped.
+            // "When a task is off a machine" (1): a trusted report that shows the attempt as exited
+            // proves it gone. It stays in `unmatched`, so that reconcile_unmatched() reaps it.
             if (!step.trusted) continue;
             on_exit(index, *it->second, step.now);
             step.changed = true;
@@ -176,9 +184,9 @@
         step.changed = true;
     }
     step.command_seen |= allocation.state == Allocation::State::Sent;
-    const bool halt_answered =
+    const bool is_after_halt =
         allocation.halt_seq != 0 && step.is_heartbeat && step.report.seq > allocation.halt_seq;
-    if (allocation.stop && halt_answered && task.phase != TaskPhase::Saving) {
+    if (allocation.stop && is_after_halt && task.phase != TaskPhase::Saving) {
         step.command_missed = true;
         allocation.halt_seq = 0;
     }
@@ -193,11 +201,13 @@
     }
 }
 
-// "When a task is off a machine" (1): absent from a trusted report with nothing unconfirmed.
+// "When a task is off a machine" (1): an attempt that is absent from a trusted report is gone,
+// unless a run that was sent for it is unconfirmed and may still be executed.
 void Cluster::reconcile_absent(Reconciliation& step, AllocationIndex index) {
     Allocation& allocation = allocations_[index];
     const auto seq = step.report.seq;
-    // What was sent under a lower token than its worker has seen can't act any more.
+    // A worker refuses commands with a lower token than it has seen, so an unconfirmed run that was
+    // sent with a lower token than the report carries will not be executed any more.
     if (step.report.token > allocation.direct_token) allocation.direct_unconfirmed = false;
     const bool unconfirmed = allocation.direct_unconfirmed || allocation.direct_open > 0;
     switch (allocation.state) {
@@ -205,15 +215,16 @@
         case Allocation::State::Ready:
             return;
         case Allocation::State::Sent:
-            // A heartbeat after the answer that carried the run proves that it was dropped; a
-            // direct run without an answer stays unconfirmed.
+            // A heartbeat later than the one whose answer carried the run proves that the run was
+            // dropped. A direct run without a response stays unconfirmed.
             if (unconfirmed || !step.is_heartbeat || seq <= allocation.heartbeat_seq) return;
             step.command_missed |= allocation.heartbeat_seq != 0;
             run_came_to_nothing(index, step.now);
             break;
         case Allocation::State::Seen:
             if (unconfirmed) return;
-            // The response to a direct command may be older than the answer that carried the run.
+            // The report in the response to a direct command may be older than the answer that
+            // carried the run.
             if (allocation.heartbeat_seq != 0 &&
                 (!step.is_heartbeat || seq <= allocation.heartbeat_seq)) {
                 return;
@@ -224,7 +235,8 @@
     step.changed = true;
 }
 
-// Reported tasks of known jobs that are not allocated there, and exits.
+// Handles the reported tasks of known jobs that have no allocation on the machine, and those that
+// have exited.
 void Cluster::reconcile_unmatched(Reconciliation& step) {
     for (const auto& [attempt, task] : step.unmatched) {
         const auto found = jobs_.find(attempt.job);
@@ -254,7 +266,8 @@
     });
 }
 
-// A task on a machine without a record: it counts as there until gone, and is halted.
+// Adds an allocation for a reported task that no record places on the machine: it counts there
+// until it is proven gone, and is halted.
 void Cluster::add_unexpected_allocation(Reconciliation& step, JobIndex index,
                                         const TaskReport& task) {
     Job& job = jobs_.at(index);
@@ -276,15 +289,16 @@
     step.changed = true;
 }
 
-// What the answer to the next heartbeat reaps: exits of allocated tasks as well.
+// Stores what the answer to the next heartbeat reaps: besides the tasks collected so far, every
+// other exited task of the report.
 void Cluster::collect_exited(Reconciliation& step) {
     auto& to_reap = step.to_reap;
     for (const auto& task : step.report.tasks) {
         if (task.phase != TaskPhase::Exited) continue;
-        const bool there = std::any_of(to_reap.begin(), to_reap.end(), [&](const auto& other) {
-            return names_same_attempt(other, task);
-        });
-        if (!there) to_reap.push_back(task);
+        const bool already_listed =
+            std::any_of(to_reap.begin(), to_reap.end(),
+                        [&](const auto& other) { return is_same_attempt(other, task); });
+        if (!already_listed) to_reap.push_back(task);
     }
     exited_[step.report.machine] = std::move(to_reap);
 }
