--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -1,27 +1,29 @@
-// Commands for workers, in the answers to heartbeats and sent directly, and the tokens they carry.
+// Commands for workers, in the answers to heartbeats or sent directly, and the fencing tokens that
+// they carry.
 #include "core/cluster.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-constexpr Millis kCallPause = 150;         // after a direct command that was carried out
-constexpr Millis kRefusedPause = 400;      // after one that was refused
-constexpr Millis kUnansweredPause = 3000;  // after one without an answer
-constexpr std::size_t kMaxReaps = 200;     // in one message, with the halts by name
+// Pauses before the next direct command to the same machine, by the result of the last one.
+constexpr Millis kExecutedPause = 150;
+constexpr Millis kNotExecutedPause = 400;
+constexpr Millis kNoAnswerPause = 3000;
+constexpr std::size_t kMaxReaps = 200;     // in one message, with the halts for unknown jobs
 constexpr std::size_t kMaxCommands = 400;  // in one message
 constexpr Millis kSilentMargin = 500;      // beyond one and a half intervals between heartbeats
 
 Millis pause_after(Cluster::DirectResult result) {
     switch (result) {
         case Cluster::DirectResult::Executed:
-            return kCallPause;
+            return kExecutedPause;
         case Cluster::DirectResult::NotExecuted:
-            return kRefusedPause;
+            return kNotExecutedPause;
         case Cluster::DirectResult::NoAnswer:
             break;
     }
-    return kUnansweredPause;
+    return kNoAnswerPause;
 }
 
 }  // namespace
@@ -36,8 +38,8 @@
     return out;
 }
 
-// "When a task is off a machine", copies: an attempt is only reaped in an answer to a heartbeat,
-// under a token that refuses the copies of its run.
+// "When a task is off a machine", copies: an attempt is only reaped in the answer to a heartbeat,
+// with a token under which the worker refuses late duplicates of the attempt's run.
 void Cluster::append_reaps(Machine& machine, const CommandMessage& message,
                            std::vector<Command>& out) {
     if (!machine.synced) return;
@@ -49,14 +51,16 @@
             out.push_back({Command::Kind::Halt, task.job, task.task, task.attempt, 0});
             continue;
         }
-        // Whether this attempt was run directly or another, it costs no more to raise once.
+        // The token is raised if any run was sent directly to this machine, not only this
+        // attempt's: one raise covers all of them.
         if (message.direct || !raise_token(machine) || awaits_durable_result(task)) continue;
         out.push_back({Command::Kind::Reap, task.job, task.task, task.attempt, 0});
     }
     if (!message.direct) exited_.erase(it);
 }
 
-// The result has to be durable before the worker may forget it. A replica has none: it runs again.
+// Whether the task is done, but not durably so: its worker must not forget the result before. A
+// replica has no result; it is run again.
 bool Cluster::awaits_durable_result(const TaskReport& task) const {
     const auto found = job_ids_.find(task.job);
     if (found == job_ids_.end() || task.why != ExitWhy::Done) return false;
@@ -71,7 +75,8 @@
     if (allocation.session != machine.session) return;
     const Job& job = jobs_.at(allocation.job);
     if (allocation.stop && !is_unsent(allocation)) {
-        // Unconfirmed and unwanted: with a higher token the late run comes to nothing.
+        // The attempt is to be halted, but its direct run is unconfirmed and may still arrive: with
+        // a higher token the worker will refuse it.
         if (allocation.state == Allocation::State::Sent && allocation.direct_unconfirmed &&
             !message.direct) {
             (void)raise_token(machine);
@@ -101,7 +106,8 @@
 std::vector<Command> Cluster::heartbeat_commands(const std::string& name, std::uint64_t seq,
                                                  bool may_start, Millis now) {
     const auto it = machine_ids_.find(name);
-    // A late copy of an old heartbeat gets no commands: its worker is not waiting for them.
+    // A late duplicate of an old heartbeat gets no commands: its worker no longer waits for an
+    // answer.
     if (it == machine_ids_.end() || machines_[it->second].seq != seq) return {};
     if (!machines_[it->second].synced) machines_[it->second].owed_token_seq = seq;
     return commands_for(it->second, {false, seq, may_start, now});
@@ -109,7 +115,7 @@
 
 std::vector<std::string> Cluster::machines_with_commands(bool may_start, std::size_t limit,
                                                          Millis now) {
-    // Only machines where something was placed or stopped are visited, not the fleet.
+    // Only machines where a task was placed or stopped are visited, not the whole fleet.
     std::vector<std::string> out;
     for (auto it = attention_.begin(); it != attention_.end() && out.size() < limit;) {
         ++work_;
@@ -160,10 +166,10 @@
     return it == machine_ids_.end() ? settings_.token : machines_[it->second].token;
 }
 
-// "When a task is off a machine", copies. Once reaped, the worker does not know the attempt any
-// more, and a copy of its run, even of one that was answered, would start it again. So an answer to
-// a heartbeat that reaps carries a higher token than the runs that went there directly: their
-// copies are refused from then on. False: the term has no token left for it.
+// "When a task is off a machine", copies. After a reap the worker no longer knows the attempt, and
+// a late duplicate of its run, even of one that was answered, would start it again. So an answer to
+// a heartbeat that reaps carries a higher token than the runs that were sent there directly, and
+// the worker refuses duplicates of these from then on. Returns false if the term has no token left.
 bool Cluster::raise_token(Machine& machine) const {
     if (!machine.ran_direct || !settings_.guards.reap_raises_token) return true;
     if (machine.token + 1 >= settings_.token + kFencingTokensPerTerm) return false;
@@ -182,7 +188,8 @@
     if (it == machine_ids_.end()) return;
     Machine& machine = machines_[it->second];
     machine.calling = false;
-    // Commands reach it; whether answers do as well shows when its next lease ends or not.
+    // Commands reach the machine. Whether answers to its heartbeats do as well shows in whether its
+    // next lease expires.
     if (result == DirectResult::Executed) on_command_effect(it->second);
     machine.call_after = now + pause_after(result);
     for (const auto& command : direct.commands) {
@@ -190,11 +197,11 @@
     }
 }
 
-// "When a task is off a machine", unconfirmed: a direct run without an answer may still be
-// delivered; one that was refused came to nothing.
+// "When a task is off a machine", unconfirmed: a direct run without a response may still be
+// delivered and executed; one that was refused has started nothing.
 void Cluster::on_run_result(MachineIndex index, const Command& run, DirectResult result,
                             Millis now) {
-    // A copy, as an attempt that ends here may take others of its gang with it.
+    // Copied, because the end of one attempt may also release others of its gang.
     const auto allocated = machines_[index].allocations;
     for (const auto allocation_index : allocated) {
         Allocation& allocation = allocations_[allocation_index];
@@ -206,9 +213,9 @@
         if (result == DirectResult::NoAnswer && settings_.guards.unconfirmed_runs_stay_allocated) {
             allocation.direct_unconfirmed = true;
         }
-        const bool only_this_run = !allocation.direct_unconfirmed && allocation.direct_open == 0 &&
-                                   allocation.heartbeat_seq == 0;
-        if (result == DirectResult::NotExecuted && only_this_run &&
+        const bool no_other_run = !allocation.direct_unconfirmed && allocation.direct_open == 0 &&
+                                  allocation.heartbeat_seq == 0;
+        if (result == DirectResult::NotExecuted && no_other_run &&
             allocation.state == Allocation::State::Sent) {
             run_came_to_nothing(allocation_index, now);
         }
@@ -217,15 +224,15 @@
 
 std::vector<std::string> Cluster::machines_to_poll(std::size_t limit, Millis now) {
     std::vector<std::string> out;
-    // From where the last call ended: asked for a few at a time, a failover that began anew each
-    // time visited half of the fleet for each machine.
+    // Resumes where the last call ended. Callers take a few machines at a time; when each call
+    // started at the first machine, a failover visited half of the fleet for each machine polled.
     for (std::size_t left = machines_.size(); left > 0 && out.size() < limit; --left) {
         if (next_poll_index_ >= machines_.size()) next_poll_index_ = 0;
         const auto& machine = machines_[next_poll_index_++];
         ++work_;
         if (machine.life == Machine::Life::Gone || machine.endpoint.empty()) continue;
         if (machine.calling || machine.call_after > now) continue;
-        // One that has gone silent is asked directly as well: its way here may be what has failed.
+        // A silent machine is polled as well: only the path from it to here may have failed.
         const bool silent =
             machine.life == Machine::Life::Up &&
             now - machine.last_heartbeat_at > settings_.report_ms * 3 / 2 + kSilentMargin;
