--- a/src/core/admission_check.cpp
+++ b/src/core/admission_check.cpp
@@ -1,4 +1,4 @@
-// The admission check: whether what the planner wants to start is still allowed.
+// The admission check: whether a start that the planner decided on is still allowed.
 #include "core/admission_check.h"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr Millis kUsableMargin = 500;  // beyond two intervals between heartbeats
+// A machine is usable until its newest heartbeat is older than two intervals and this margin.
+constexpr Millis kUsableMargin = 500;
 
 }  // namespace
 
@@ -39,8 +40,8 @@
         if (!meets_constraints(spec, machine)) {
             return tl::unexpected(StartRefusal::ConstraintViolated);
         }
-        const auto [it, fresh] = free.try_emplace(index, state_.types[machine.type].room);
-        if (fresh) it->second -= machine.used;
+        const auto [it, inserted] = free.try_emplace(index, state_.types[machine.type].room);
+        if (inserted) it->second -= machine.used;
         if (!it->second.covers(spec.need)) return tl::unexpected(StartRefusal::NoCapacity);
         it->second -= spec.need;
         ++zones[machine.zone];
@@ -59,11 +60,11 @@
     return spec.spot || !machine.spot;
 }
 
-// `zones`: how many tasks of the job would be in each.
+// `zones`: number of the job's tasks in each zone after the start.
 bool AdmissionCheck::zones_allowed(const JobSpec& spec,
                                    const std::map<ZoneIndex, std::uint32_t>& zones) {
     if (!spec.one_zone && !spec.apart) return true;
-    // Tasks on machines whose zone is not known could be anywhere.
+    // A task on a machine whose zone is unknown could be in any zone.
     if (zones.contains(kInvalidIndex)) return false;
     if (spec.one_zone && zones.size() > 1) return false;
     if (!spec.apart) return true;
--- a/src/core/admission_check.h
+++ b/src/core/admission_check.h
@@ -1,4 +1,4 @@
-/// The admission check: whether what the planner wants to start is still allowed.
+/// The admission check: whether a start that the planner decided on is still allowed.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace lichendrift::core {
 
-/// A task and the machine that a plan has for it.
+/// A task and the machine that a plan assigns to it.
 struct TaskPlacement {
     std::uint32_t task = 0;                ///< number of the task within its job
     MachineIndex machine = kInvalidIndex;  ///< where it is to start
@@ -19,12 +19,12 @@
 
 /// Why a start is refused.
 enum class StartRefusal : std::uint8_t {
-    JobNotOpen,          ///< it is over, is becoming so, or belongs to no known team
-    TaskNotWaiting,      ///< an attempt of the task counts somewhere, or it is done
-    MachineNotUsable,    ///< the machine may take no work now
-    ConstraintViolated,  ///< type, zone or spot machine that the job does not allow
-    NoCapacity,          ///< the machine has not enough free resources
-    ZonesViolated,       ///< the job's tasks would not be in one zone, or not apart
+    JobNotOpen,          ///< the job is over or being finished, or its team is unknown
+    TaskNotWaiting,      ///< the task has an allocation or is done
+    MachineNotUsable,    ///< the machine may take no new work now, see is_usable()
+    ConstraintViolated,  ///< the job does not allow the machine's type or zone, or spot machines
+    NoCapacity,          ///< the machine has too few free resources
+    ZonesViolated,       ///< the job's tasks would violate its `one_zone` or `apart` constraint
     TeamLimitExceeded,   ///< the team would use more than its limit
 };
 
@@ -32,7 +32,7 @@
 /// snapshot was taken. Pure; it only reads the state.
 class AdmissionCheck {
   public:
-    /// What the check reads. All of it has to outlive the check.
+    /// The parts of the cluster state that the check reads. They have to outlive the check.
     struct State {
         const std::vector<Machine>& machines;        ///< by index
         const std::vector<Allocation>& allocations;  ///< by index
@@ -44,7 +44,8 @@
     /// `report_ms`: interval between heartbeats.
     AdmissionCheck(const State& state, Millis report_ms) : state_(state), report_ms_(report_ms) {}
 
-    /// Whether the machine may take new work now.
+    /// Whether the machine may take new work now: it is up and synced, has reported lately, is
+    /// reachable, and has no drain, spot notice or quarantine.
     [[nodiscard]] bool is_usable(const Machine& machine, Millis now) const;
     /// Whether all of these tasks of the job may start together.
     [[nodiscard]] tl::expected<void, StartRefusal> check_start(
