--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -1,4 +1,4 @@
-// The snapshot that the planner works on.
+// Builds the snapshot of the cluster state that the planner works on.
 #include <cmath>
 
 #include "core/cluster.h"
@@ -7,62 +7,72 @@
 
 namespace {
 
-// How long a job waits for resources that are about to be free, without an operators' policy.
+// How long a job waits for resources that are about to be free before machines are provisioned
+// for it. Used without an operators' policy.
 constexpr double kProvisionShareOfSlack = 0.5;
 constexpr double kMinProvisionPatienceS = 3;
 constexpr double kMaxProvisionPatienceS = 20;
 constexpr double kOnDemandShareOfSlack = 0.6;
 constexpr double kMaxOnDemandPatienceS = 60;
 
-constexpr Millis kWarmFor = 600'000;
-constexpr std::size_t kMachinesThatProveAMistake = 3;
-constexpr double kReplicaSlack = 2;  // seconds
-// Expected while capacity is kept warm for a class; for fewer none is.
-constexpr double kMinTasksSoon = 0.15;
-constexpr double kMinReplicasSoon = 0.5;
+// Time since its last use for which an image of a class with a start objective counts as in use.
+constexpr Millis kImageInUseFor = 600'000;
+// A job that has failed on this many machines and never run well is itself at fault.
+constexpr std::size_t kMachinesForJobFault = 3;
+constexpr double kReplicaSlackS = 2;
+// Warm capacity is kept for a class only if at least this many of its tasks, or of its replicas if
+// it is a service, are expected within PlannerTuning::warm_capacity_s.
+constexpr double kMinExpectedTasks = 0.15;
+constexpr double kMinExpectedReplicas = 0.5;
 
-constexpr Millis kKeepIdleSpot = 45'000;
-constexpr Millis kKeepIdleOnDemand = 10'000;
+// How long an idle machine is kept, without an operators' policy.
+constexpr Millis kIdleRetentionSpot = 45'000;
+constexpr Millis kIdleRetentionOnDemand = 10'000;
 constexpr std::uint32_t kMaxWarmTasks = 8;  // of one class
-constexpr Millis kSoonUsable = 6000;        // after its newest report; longer counts as a fault
-constexpr double kBootMargin = 1.7;         // times the boot time of the type
+// After its newest report, an unusable machine is expected to be usable within this time; one that
+// takes longer counts as faulty.
+constexpr Millis kUsableAgainWithin = 6000;
+// A machine is expected to boot within the boot time of its type, times this factor, and the
+// margin.
+constexpr double kBootTimeFactor = 1.7;
 constexpr double kBootMarginSeconds = 5;
-constexpr double kMinLeftShare = 0.1;  // of an estimate that has been exceeded
-constexpr double kUnbounded = 1e9;     // seconds
+// The remaining run time of a task is assumed to be at least this share of its estimate.
+constexpr double kMinRemainingShare = 0.1;
+constexpr double kUnbounded = 1e9;  // seconds
 
-// The times that slack_of() looks at, in seconds.
+// The times that slack_of() uses, in seconds.
 struct JobTimes {
     double age_s = 0;     // since its submission
     double fetch_s = 0;   // of its image
     double waited_s = 0;  // since it began to wait
 };
 
-// Seconds left until the next objective that can still be met is lost. What has lost them all waits
-// like something with moderate time left, and less the longer it waits: it neither goes before what
-// can still be in time nor starves behind newcomers whose objectives lie ahead.
-// `guarantee_s`: how soon work within a guarantee should start; 0: it is not within one.
+// Seconds until the next objective that can still be met is missed. A job that has missed all of
+// its objectives gets a moderate slack, which shrinks the longer the job waits: it neither goes
+// before jobs that can still be in time nor starves behind new jobs with objectives ahead.
+// `guarantee_s`: how soon work within a guarantee should start; 0: the job is not within one.
 double slack_of(const JobSpec& spec, const ClassObjectives& objectives, const JobTimes& times,
                 double guarantee_s) {
-    constexpr double kEstimateMargin = 1.4;  // estimates are often wrong by half
-    constexpr double kNoObjective = 120;
-    constexpr double kAllLost = 30;
-    constexpr double kLostGraceSeconds = 150;
-    const double takes_s = spec.estimate_s * kEstimateMargin + times.fetch_s;
+    constexpr double kEstimateMargin = 1.4;  // estimates of run times are often wrong by half
+    constexpr double kNoObjectiveSlackS = 120;
+    constexpr double kAllMissedSlackS = 30;
+    constexpr double kAllMissedGraceS = 150;  // then the slack begins to shrink
+    const double duration_s = spec.estimate_s * kEstimateMargin + times.fetch_s;
     double slack = kUnbounded;
-    bool any = false;
-    const auto objective = [&](double left_s) {
-        any = true;
+    bool has_objective = false;
+    const auto add_objective = [&](double left_s) {
+        has_objective = true;
         if (left_s > -1) slack = std::min(slack, left_s);
     };
-    for (const double within_s : objectives.start_within_s) objective(within_s - times.age_s);
-    if (guarantee_s > 0) objective(guarantee_s - times.age_s);
+    for (const double within_s : objectives.start_within_s) add_objective(within_s - times.age_s);
+    if (guarantee_s > 0) add_objective(guarantee_s - times.age_s);
     for (const double within_s : objectives.finish_within_s) {
-        objective(within_s - times.age_s - takes_s);
+        add_objective(within_s - times.age_s - duration_s);
     }
-    if (spec.deadline_s) objective(*spec.deadline_s - times.age_s - takes_s);
+    if (spec.deadline_s) add_objective(*spec.deadline_s - times.age_s - duration_s);
     if (slack < kUnbounded) return slack;
-    return any ? kAllLost - std::max(0.0, times.waited_s - kLostGraceSeconds) / 4
-               : kNoObjective - times.age_s;
+    return has_objective ? kAllMissedSlackS - std::max(0.0, times.waited_s - kAllMissedGraceS) / 4
+                         : kNoObjectiveSlackS - times.age_s;
 }
 
 }  // namespace
@@ -91,20 +101,20 @@
 }
 
 JobFacts Cluster::facts(const Job& job) const {
-    JobFacts about;
-    about.cls = job.text.cls;
-    about.team = job.text.team;
-    about.priority = job.spec.priority;
-    about.gang = job.spec.gang;
-    about.service = job.spec.service;
-    about.has_start_objective = job.spec.has_start_objective;
-    about.spot = job.spec.spot;
-    about.guaranteed = job.in_guarantee;
-    about.tasks = job.spec.count;
-    about.failures = std::min<std::uint32_t>(job.failures, 1000);
-    about.estimate_s = job.spec.estimate_s;
-    about.checkpoint_s = job.spec.checkpoint_s;
-    return about;
+    JobFacts job_facts;
+    job_facts.cls = job.text.cls;
+    job_facts.team = job.text.team;
+    job_facts.priority = job.spec.priority;
+    job_facts.gang = job.spec.gang;
+    job_facts.service = job.spec.service;
+    job_facts.has_start_objective = job.spec.has_start_objective;
+    job_facts.spot = job.spec.spot;
+    job_facts.guaranteed = job.in_guarantee;
+    job_facts.tasks = job.spec.count;
+    job_facts.failures = std::min<std::uint32_t>(job.failures, 1000);
+    job_facts.estimate_s = job.spec.estimate_s;
+    job_facts.checkpoint_s = job.spec.checkpoint_s;
+    return job_facts;
 }
 
 FleetFacts Cluster::fleet_facts() const {
@@ -145,9 +155,9 @@
     add_unavailable_pools(out);
     for (MachineIndex index = 0; index < machines_.size(); ++index) {
         const Machine& machine = machines_[index];
-        const bool there =
+        const bool up_or_booting =
             machine.life == Machine::Life::Up || machine.life == Machine::Life::Booting;
-        if (!there || machine.type == kInvalidIndex) continue;
+        if (!up_or_booting || machine.type == kInvalidIndex) continue;
         out.machines.push_back(machine_view(index, fleet, now));
         add_allocations(index, out);
     }
@@ -164,7 +174,7 @@
         const JobTimes times{
             static_cast<double>(wall_ms - job.spec.submitted_ms) / 1000.0,
             fetch_gb_s > 0 ? job.spec.image_gb / fetch_gb_s : 0,
-            // An array of which a task started not long ago does not starve, however much is left.
+            // An array job does not starve if a task of it was started lately, however many wait.
             static_cast<double>(now - std::max(job.waiting_since, job.started_at)) / 1000.0};
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], times,
@@ -180,7 +190,8 @@
     out.teams = team_list_;
     out.guaranteed_start_s = guarantee_s_;
     for (std::size_t index = 0; index < team_list_.size(); ++index) {
-        // Without a bound the resources of a team without work would be kept for ever.
+        // Limited in time: otherwise the guarantee of a team without work would be retained for
+        // ever.
         if (team_busy_[index] >= 0 &&
             out.now - team_busy_[index] < settings_.tuning.guarantee_retention_ms) {
             out.retained_guarantees += team_list_[index].guarantee;
@@ -188,24 +199,26 @@
     }
 }
 
-// "Exceptions to the plain rule", room kept warm.
+// Warm capacity is kept free for tasks that are expected to arrive soon, and recently used images
+// are noted ("Exceptions to the plain rule", room kept warm).
 void Cluster::add_warm_capacity(Snapshot& out) const {
     for (const auto& [index, arrivals] : arrivals_) {
         const double rate =
             arrivals.rate * std::exp(-static_cast<double>(out.now - arrivals.at) / kRateFor);
-        // A class that has not been seen for minutes needs nothing kept.
-        // Nor does a single service, which stays for long, say that another one comes soon.
-        const double minimum = arrivals.spec.service ? kMinReplicasSoon : kMinTasksSoon;
+        // A class without arrivals for minutes needs no warm capacity. Nor does a single service,
+        // which runs for long, suggest that another one arrives soon.
+        const double minimum = arrivals.spec.service ? kMinExpectedReplicas : kMinExpectedTasks;
         if (rate * out.tuning.warm_capacity_s < minimum) continue;
         const auto tasks = static_cast<std::uint32_t>(std::ceil(rate * out.tuning.warm_capacity_s));
         out.warm_capacity.push_back({arrivals.spec, std::min(tasks, kMaxWarmTasks)});
     }
     for (const auto& [image, used] : warm_) {
-        if (out.now - used < kWarmFor) out.start_objective_images.push_back(image);
+        if (out.now - used < kImageInUseFor) out.start_objective_images.push_back(image);
     }
 }
 
-// Where nothing can be provisioned: refused a short time ago, or in a zone that is cut off.
+// Adds the pools from which nothing can be provisioned: the cloud had no capacity a short time ago,
+// or the zone is partitioned.
 void Cluster::add_unavailable_pools(Snapshot& out) const {
     for (const auto& type : type_info_) {
         auto& zones = out.type_zones.emplace_back();
@@ -242,11 +255,13 @@
     }
     if (machine.life == Machine::Life::Booting) {
         const double age_s = static_cast<double>(view.age_ms) / 1000.0;
-        view.booting = age_s < type.boot_s * kBootMargin + kBootMarginSeconds;
+        view.booting = age_s < type.boot_s * kBootTimeFactor + kBootMarginSeconds;
     } else if (!view.usable) {
-        // No report under this token yet, or in quarantine: it will most likely be usable soon.
-        view.booting = !machine.drain.any() && !machine.taken_at &&
-                       now - std::max(machine.last_heartbeat_at, machine.first_seen) < kSoonUsable;
+        // Without a report under this leader's token so far, or in quarantine, it will most likely
+        // be usable soon.
+        view.booting =
+            !machine.drain.any() && !machine.taken_at &&
+            now - std::max(machine.last_heartbeat_at, machine.first_seen) < kUsableAgainWithin;
     }
     view.images = machine.images;
     for (const auto allocation_index : machine.allocations) {
@@ -259,7 +274,7 @@
 
 Millis Cluster::idle_retention_ms(const Machine& machine, Millis age_ms,
                                   const FleetFacts& fleet) const {
-    if (!settings_.policy) return machine.spot ? kKeepIdleSpot : kKeepIdleOnDemand;
+    if (!settings_.policy) return machine.spot ? kIdleRetentionSpot : kIdleRetentionOnDemand;
     const auto& type = type_info_[machine.type];
     const double keep_s = settings_.policy->idle_keep_s(
         {types_.name(machine.type), zones_.name(machine.zone), machine.spot,
@@ -281,46 +296,46 @@
         const auto ran_ms = out.now - allocation.running_since;
         const double ran_s =
             allocation.running_since > 0 ? static_cast<double>(ran_ms) / 1000.0 : 0;
-        view.remaining_s = spec.service
-                               ? kUnbounded
-                               : std::max(spec.estimate_s - ran_s, spec.estimate_s * kMinLeftShare);
+        view.remaining_s =
+            spec.service ? kUnbounded
+                         : std::max(spec.estimate_s - ran_s, spec.estimate_s * kMinRemainingShare);
         view.ran_ms = allocation.phase == TaskPhase::Running ? ran_ms : 0;
         view.lost_work_s = spec.checkpoint_s > 0 ? std::min(spec.checkpoint_s, ran_s) : ran_s;
         out.allocations.push_back(view);
     }
 }
 
-// The order among what waits, and how long it waits for what is there before machines are
-// provisioned for it. The slack is set already.
+// Sets the job's order among the waiting jobs, and how long it waits for existing capacity before
+// machines are provisioned for it. `item.slack_s` has to be set before.
 void Cluster::fill_waiting_job(const Job& job, double age_s, Millis now, WaitingJob& item) const {
     item.in_guarantee = job.in_guarantee;
     item.backing_off = job.retry_at > now;
     item.has_started = job.next_fresh > 0;
-    // A replica that waits is lost time, however long its service has been up.
-    if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlack);
+    // While a replica waits its service lacks it, however long ago the service was submitted.
+    if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlackS);
     item.order_s = item.slack_s;
     item.provision_patience_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
                                            kMinProvisionPatienceS, kMaxProvisionPatienceS);
     item.on_demand_patience_s = std::clamp(item.slack_s * kOnDemandShareOfSlack,
                                            item.provision_patience_s, kMaxOnDemandPatienceS);
     if (settings_.policy) {
-        auto about = facts(job);
-        about.slack_s = item.slack_s;
-        about.waited_s = static_cast<double>(item.waited_ms) / 1000.0;
-        about.age_s = age_s;
-        about.waiting = item.waiting_tasks;
-        item.order_s = settings_.policy->order_s(about);
-        item.provision_patience_s = settings_.policy->provision_patience_s(about);
-        item.on_demand_patience_s = settings_.policy->on_demand_patience_s(about);
+        auto job_facts = facts(job);
+        job_facts.slack_s = item.slack_s;
+        job_facts.waited_s = static_cast<double>(item.waited_ms) / 1000.0;
+        job_facts.age_s = age_s;
+        job_facts.waiting = item.waiting_tasks;
+        item.order_s = settings_.policy->order_s(job_facts);
+        item.provision_patience_s = settings_.policy->provision_patience_s(job_facts);
+        item.on_demand_patience_s = settings_.policy->on_demand_patience_s(job_facts);
     }
-    // What fails everywhere has a mistake: to keep it off ever more machines would provision a new
-    // one for each try, and leave it waiting beside capacity that fits.
-    if (has_run_well(job, now) || job.failed_on.size() < kMachinesThatProveAMistake) {
+    // A job that fails on every machine is itself at fault. If it avoided ever more machines, a new
+    // one would be provisioned for each attempt, and it would wait beside capacity that fits.
+    if (has_run_well(job, now) || job.failed_on.size() < kMachinesForJobFault) {
         item.avoided_machines.assign(job.failed_on.begin(), job.failed_on.end());
     }
 }
 
-// Where its other tasks are, if that matters for where the next ones may go.
+// Sets where the other tasks of the job are, if that restricts where the next ones may go.
 void Cluster::add_zone_counts(const Job& job, WaitingJob& item) const {
     if (!job.spec.one_zone && !job.spec.apart && !job.spec.service) return;
     item.zone_counts.resize(zones_.size());
