--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -1,4 +1,4 @@
-// Scripted days: one failure each, aimed at one guard.
+// Simulations with one scripted failure each, aimed at one guard of the safety argument.
 #include <gtest/gtest.h>
 
 #include "simulation/simulation.h"
@@ -13,11 +13,11 @@
         for (std::size_t n = 0; n < 3; ++n) simulation.crash(n, 2000);
     });
     EXPECT_EQ(simulation.run(), "");
-    // Nothing was started again: the new leader found everything where it was.
+    // No task was started again: the new leader found all of them still running.
     EXPECT_EQ(simulation.total_starts(), 4U);
 }
 
-TEST(Safety, LeaderRestartedWithinMomentsTakesOverAtOnce) {
+TEST(Safety, ThereIsALeaderSoonAfterTheLeaderRestarts) {
     Simulation simulation(calm(2));
     simulation.advance(5000);
     const auto first = simulation.leader();
@@ -28,12 +28,13 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-TEST(Safety, NewLeaderGivesUpNoMachineThatHasBeenUpForLong) {
-    // Its list shows machines far older than a boot takes, and no heartbeat of any has come yet.
+TEST(Safety, NewLeaderReleasesNoMachineThatHasBeenUpForLong) {
+    // The list that the new leader gets from the cloud shows machines far older than a boot takes,
+    // and none of them has sent it a heartbeat yet.
     Simulation simulation(calm(14));
     auto j = plain("job-000001", 3, 200);
-    j.cpus = 8;      // a machine each, so that none is idle
-    j.spot = false;  // nor drained onto a cheaper one
+    j.cpus = 8;      // each task fills a machine, so that none is idle
+    j.spot = false;  // so that no task is moved to a cheaper machine
     simulation.jobs().push_back(j);
     simulation.advance(90'000);
     std::set<std::string> before;
@@ -52,7 +53,7 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-TEST(Safety, ControllersDyingDuringTheElection) {
+TEST(Safety, ControllersCrashDuringElections) {
     Simulation simulation(calm(3));
     simulation.jobs().push_back(plain("job-000001", 3, 15));
     for (Millis t = 6000; t < 16000; t += 700) {
@@ -63,7 +64,7 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-TEST(Safety, StateServiceOutLongerThanAWorkersLease) {
+TEST(Safety, TasksSurviveAStateServiceOutageLongerThanAWorkersLease) {
     Simulation simulation(calm(4));
     simulation.jobs().push_back(plain("job-000001", 4, 30));
     simulation.at(8000, [&] { simulation.state_outage(25'000); });
@@ -72,7 +73,7 @@
     for (const auto& [name, worker] : simulation.workers()) EXPECT_EQ(worker.session, 1U) << name;
 }
 
-TEST(Safety, StateServiceOutWhileAllControllersRestart) {
+TEST(Safety, AllControllersRestartDuringAStateServiceOutage) {
     Simulation simulation(calm(5));
     simulation.jobs().push_back(plain("job-000001", 4, 20));
     simulation.at(8000, [&] {
@@ -94,7 +95,7 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-TEST(Safety, LeaderCutFromEverythingComesBackAsAFollower) {
+TEST(Safety, LeaderPartitionedFromEverythingComesBackAsAFollower) {
     for (const bool delay : {true, false}) {
         Simulation simulation(calm(7));
         simulation.jobs().push_back(plain("job-000001", 6, 20));
@@ -130,9 +131,9 @@
     }
 }
 
-// After the reap the worker does not know the attempt any more: a copy of the direct command that
-// ran it, though it was answered long ago, started it again after its user had cancelled it.
-TEST(Safety, RepeatsOfDirectCommandsThatWereCarriedOutStartNothing) {
+// After a reap the worker no longer knows the attempt. A late duplicate of the direct command that
+// ran it, although answered long ago, started it again after its user had cancelled the job.
+TEST(Safety, DuplicatesOfExecutedDirectCommandsStartNothing) {
     Simulation simulation(calm(15));
     auto j = plain("job-000001", 4, 60);
     j.cancel_at = 15'000;
@@ -143,7 +144,7 @@
     simulation.at(55'000, [&] {
         for (const auto& [name, w] : simulation.workers()) {
             for (const auto& t : w.tasks) EXPECT_NE(t.job, "job-000001") << name;
-            // Exited tasks do not stay in the reports for it.
+            // Exited tasks are still reaped and do not stay in the reports.
             EXPECT_LE(w.tasks.size(), 1U) << name;
         }
     });
@@ -151,7 +152,7 @@
     EXPECT_EQ(simulation.total_starts(), 8U);
 }
 
-TEST(Safety, CancelledWithoutALeader) {
+TEST(Safety, CancellationWithoutALeaderIsConfirmed) {
     Simulation simulation(calm(9));
     auto j = plain("job-000001", 4, 60);
     j.cancel_at = 12'100;
@@ -164,7 +165,7 @@
 }
 
 TEST(Safety, OneZoneAndApartCountOldAttempts) {
-    // Machines are lost and hang under jobs with zone rules; the checker sees every start.
+    // Machines are lost or hang under jobs with zone constraints; the checker sees every start.
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         Simulation simulation(calm(seed));
         for (std::size_t i = 0; i < 6; ++i) {
@@ -192,14 +193,14 @@
     }
 }
 
-TEST(Safety, JobThatFailsEverywhereCondemnsNoMachines) {
+TEST(Safety, JobThatFailsEverywhereCausesNoMachineChurn) {
     Simulation simulation(calm(10));
     auto bad = plain("job-000001", 4, 10);
     bad.always_fails = true;
     simulation.jobs().push_back(bad);
     simulation.jobs().push_back(plain("job-000002", 6, 10, 20'000));
     EXPECT_EQ(simulation.run(), "");
-    // Three machines at the start, a few provisioned: not a new one for each failure.
+    // Three machines at the start and a few provisioned later: not a new one for each failure.
     EXPECT_LT(simulation.workers().size(), 8U);
     EXPECT_LT(simulation.jobs()[0].starts, 60U);
 }
