--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The cost of heartbeats, plans and a failover grows with what changed, not with the fleet. Steps
-// are counted, not time.
+// The cost of heartbeats, plans and a failover grows with what has changed, not with the size of
+// the fleet. The cost is counted in steps (machines and allocations visited), not in time.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -10,8 +10,8 @@
 namespace lichendrift::core {
 namespace {
 
-constexpr double kSlowHeartbeatsS = 5;
-constexpr double kFastHeartbeatsS = 1.5;
+constexpr double kLongReportIntervalS = 5;
+constexpr double kShortReportIntervalS = 1.5;
 
 MachineType machine_type(std::vector<std::string> zones) {
     MachineType type;
@@ -21,7 +21,7 @@
     return type;
 }
 
-// A fleet whose machines all run two tasks.
+// A cluster with a fleet of machines that run two tasks each.
 class Fleet {
   public:
     Fleet(std::size_t machines, double report_s) : cluster_(settings(report_s), types_, zones_) {
@@ -30,11 +30,11 @@
         type.spot_hourly = 2;
         cluster_.set_types({type});
         for (std::size_t machine = 0; machine < machines; ++machine) heartbeat(machine, {});
-        // An array that fills the fleet.
+        // An array job that fills the fleet.
         JobText job = text(1, static_cast<std::uint32_t>(machines * 2));
         cluster_.add_job(job, 1, now_);
         place();
-        heartbeat_of_each();
+        heartbeat_all();
     }
     static JobText text(std::size_t number, std::uint32_t count) {
         JobText job;
@@ -59,7 +59,7 @@
         report.seq = ++seq_;
         report.token = 3;
         report.tasks = tasks;
-        if (cluster_.on_report(report, true, now_).changed) ++changed_;
+        if (cluster_.on_report(report, true, now_).changed) ++changed_reports;
         const auto commands = cluster_.heartbeat_commands(report.machine, report.seq, true, now_);
         for (const auto& command : commands) {
             if (command.kind != Command::Kind::Run) continue;
@@ -82,7 +82,7 @@
                     cluster_.on_record_written(write, true, ++revision_, now_);
                 }
             }
-            heartbeat_of_each();
+            heartbeat_all();
             now_ += 1000;
         }
     }
@@ -91,7 +91,7 @@
     }
     static std::string zone(std::size_t machine) { return machine % 2 == 0 ? "a" : "b"; }
 
-    std::uint64_t work_of_heartbeats(std::size_t heartbeats) {
+    std::uint64_t count_heartbeat_work(std::size_t heartbeats) {
         const auto before = cluster_.work();
         const auto machines = cluster_.machine_count();
         for (std::size_t k = 0; k < heartbeats; ++k) {
@@ -100,7 +100,7 @@
         }
         return cluster_.work() - before;
     }
-    std::uint64_t steps_with_waiting_jobs(std::size_t jobs) {
+    std::uint64_t plan_steps_with_added_jobs(std::size_t jobs) {
         for (std::size_t k = 0; k < jobs; ++k) {
             auto job = text(10 + k, 4);
             job.gang = k % 2 == 0;
@@ -109,7 +109,7 @@
         }
         return plan().steps;
     }
-    std::size_t changed_ = 0;
+    std::size_t changed_reports = 0;
     Cluster& cluster() { return cluster_; }
 
   private:
@@ -120,7 +120,7 @@
         result.report_ms = static_cast<Millis>(report_s * 1000);
         return result;
     }
-    void heartbeat_of_each() {
+    void heartbeat_all() {
         const auto machines = cluster_.machine_count();
         for (std::size_t machine = 0; machine < machines; ++machine) {
             heartbeat(machine, tasks_[machine]);
@@ -137,40 +137,40 @@
 };
 
 TEST(Scale, HeartbeatThatChangesNothingCostsTheSameInAnyFleet) {
-    Fleet small(32, kFastHeartbeatsS);
-    Fleet fast(328, kFastHeartbeatsS);
-    Fleet large(1200, kSlowHeartbeatsS);
-    Fleet largest(4000, kSlowHeartbeatsS);
-    const auto base = small.work_of_heartbeats(2000);
-    EXPECT_LE(fast.work_of_heartbeats(2000), base + base / 10);
-    EXPECT_LE(large.work_of_heartbeats(2000), base + base / 10);
-    EXPECT_LE(largest.work_of_heartbeats(2000), base + base / 10);
-    // Five steps for each: the machine, its two allocations and the two tasks reported.
+    Fleet small(32, kShortReportIntervalS);
+    Fleet fast(328, kShortReportIntervalS);
+    Fleet large(1200, kLongReportIntervalS);
+    Fleet largest(4000, kLongReportIntervalS);
+    const auto base = small.count_heartbeat_work(2000);
+    EXPECT_LE(fast.count_heartbeat_work(2000), base + base / 10);
+    EXPECT_LE(large.count_heartbeat_work(2000), base + base / 10);
+    EXPECT_LE(largest.count_heartbeat_work(2000), base + base / 10);
+    // Five steps for each heartbeat: the machine, its two allocations and the two reported tasks.
     EXPECT_LE(base, 2000U * 5);
-    large.changed_ = 0;
-    large.work_of_heartbeats(100);
-    EXPECT_EQ(large.changed_, 0U);
+    large.changed_reports = 0;
+    large.count_heartbeat_work(100);
+    EXPECT_EQ(large.changed_reports, 0U);
 }
 
-TEST(Scale, PlanForAFullFleetCostsByTheWaitingJobsNotByTheFleet) {
-    Fleet small(120, kSlowHeartbeatsS);
-    Fleet large(1200, kSlowHeartbeatsS);
-    const auto base = small.steps_with_waiting_jobs(100);
-    const auto grown = large.steps_with_waiting_jobs(100);
+TEST(Scale, CostOfAPlanForAFullFleetGrowsWithTheWaitingJobsNotTheFleet) {
+    Fleet small(120, kLongReportIntervalS);
+    Fleet large(1200, kLongReportIntervalS);
+    const auto base = small.plan_steps_with_added_jobs(100);
+    const auto grown = large.plan_steps_with_added_jobs(100);
     EXPECT_LE(grown, base + base / 4 + 200) << base;
-    Fleet largest(4000, kSlowHeartbeatsS);
-    EXPECT_LE(largest.steps_with_waiting_jobs(100), base + base / 4 + 200) << base;
+    Fleet largest(4000, kLongReportIntervalS);
+    EXPECT_LE(largest.plan_steps_with_added_jobs(100), base + base / 4 + 200) << base;
     // Twice as many waiting jobs cost at most about twice as much.
-    Fleet more(1200, kSlowHeartbeatsS);
-    EXPECT_LE(more.steps_with_waiting_jobs(200), grown * 5 / 2);
+    Fleet more(1200, kLongReportIntervalS);
+    EXPECT_LE(more.plan_steps_with_added_jobs(200), grown * 5 / 2);
 }
 
-// Each change asks whether a job can get its terminal state: among those with all tasks done, not
-// among all that are open.
-TEST(Scale, ChangedJobCostsTheSameHoweverManyAreOpen) {
+// After each change the leader looks for a job that can get its terminal state. It looks only among
+// the jobs with all tasks done, not among all open jobs.
+TEST(Scale, CostOfAChangeDoesNotDependOnTheNumberOfOpenJobs) {
     const auto work = [](std::size_t jobs) {
-        Fleet fleet(4000, kSlowHeartbeatsS);
-        fleet.steps_with_waiting_jobs(jobs);
+        Fleet fleet(4000, kLongReportIntervalS);
+        fleet.plan_steps_with_added_jobs(jobs);
         const auto before = fleet.cluster().work();
         for (int i = 0; i < 500; ++i) {
             EXPECT_FALSE(fleet.cluster().next_final_write(8, 100'000));
@@ -181,8 +181,8 @@
     EXPECT_LE(work(3000), work(30) + 100);
 }
 
-// A new leader asks each machine once, a few at a time.
-TEST(Scale, FailoverGrowsInProportionToTheFleet) {
+// A new leader polls each machine once, a few at a time.
+TEST(Scale, CostOfAFailoverGrowsInProportionToTheFleet) {
     const auto work = [](std::size_t machines) {
         Names types;
         Names zones;
@@ -200,15 +200,15 @@
         Millis now = 1000;
         cluster.on_list(list, now);
         std::size_t requested = 0;
-        std::deque<Cluster::Direct> under_way;
+        std::deque<Cluster::Direct> in_flight;
         for (;;) {
-            // As the leader does it: whenever one of 24 calls ends, the next machine is asked.
-            for (const auto& name : cluster.machines_to_poll(24 - under_way.size(), now)) {
-                under_way.push_back(cluster.direct_commands(name, true, now));
+            // Like the leader: whenever one of 24 direct commands ends, the next machine is polled.
+            for (const auto& name : cluster.machines_to_poll(24 - in_flight.size(), now)) {
+                in_flight.push_back(cluster.direct_commands(name, true, now));
             }
-            if (under_way.empty()) break;
-            const auto direct = under_way.front();
-            under_way.pop_front();
+            if (in_flight.empty()) break;
+            const auto direct = in_flight.front();
+            in_flight.pop_front();
             ++requested;
             cluster.direct_result(direct, Cluster::DirectResult::Executed, now);
             Report report;
@@ -228,8 +228,8 @@
     EXPECT_LE(work(4000), base * 24);
 }
 
-// After the loss of all controllers 4,000 machines report to a leader that has placement records of
-// them all.
+// After all controllers were lost, 4,000 machines report to a new leader, which has read placement
+// records that name all of them.
 TEST(Scale, FailoverWithFullRecordsCostsTheSameForEachMachine) {
     const auto work = [](std::size_t machines) {
         Names types;
@@ -268,8 +268,8 @@
 }
 
 TEST(Scale, PlanForAnEmptyFleetScoresEachMachineOnceForAJob) {
-    // Free capacity everywhere and jobs of many tasks: a trial looks at the machines once, not for
-    // each task.
+    // With free capacity everywhere and jobs of many tasks, a trial placement scores each machine
+    // once for a job, not once for each task.
     const auto type = machine_type({"a"});
     Snapshot snapshot;
     snapshot.types = {type};
@@ -304,8 +304,9 @@
     EXPECT_LE(plan.steps, 20U * (1200 + 50) + 5000);
 }
 
-// The state service allows few writes of all controllers together: a job may cost only so many.
-TEST(Scale, ChangesOfTheStateServiceForAJobAreBounded) {
+// The state service limits the writes of all controllers together, so the writes for each job are
+// bounded.
+TEST(Scale, WritesToTheStateServiceForEachJobAreBounded) {
     auto options = simulation::calm(41);
     options.machines = 40;
     options.teams = {{"core", {}, {}}};
@@ -320,9 +321,10 @@
     }
     const auto before = simulation.writes();
     EXPECT_EQ(simulation.run(), "");
-    // Open, one placement record, terminal state with two removals; arrays a few records more.
+    // A job takes the write that opens it, one placement record, and the terminal state with two
+    // removals; an array takes a few records more.
     EXPECT_LE(simulation.writes() - before, 60U * 8);
-    // Direct commands go where something is placed or stopped, a few for each start.
+    // Direct commands are sent only where tasks are placed or stopped, a few for each start.
     EXPECT_LE(simulation.direct_calls(), simulation.total_starts() * 3 + 200);
 }
 
