--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -93,7 +93,7 @@
 void Cluster::forget_if_finished(JobIndex index) {
     auto it = jobs_.find(index);
     if (it == jobs_.end() || !it->second.terminal || !it->second.allocations.empty()) return;
-    if (awaiting_records_ && settings_.guards.kept_until_loaded) return;
+    if (awaiting_records_ && settings_.guards.keep_ended_jobs_until_records_loaded) return;
     for (const auto& [number, record] : it->second.records) {
         // A write in flight may still create the record. Removing one that does not exist is
         // harmless.
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -45,7 +45,7 @@
 /// time, and get the commands to send and the records to write. Each decision of the planner is
 /// checked here again before it is applied. Not thread-safe: the owner locks it (docs/design.md,
 /// "Parts"). All times are steady-clock times in milliseconds.
-class Cluster : private WorkOnMachine {
+class Cluster : private MachineWorkload {
   public:
     /// `types` and `zones` are shared with the owner and must outlive the cluster state.
     Cluster(ClusterSettings settings, NameTable& types, NameTable& zones);
@@ -341,18 +341,18 @@
     // The planner's snapshot, see snapshot.cpp.
     void add_teams(Snapshot& out) const;
     void add_warm_capacity(Snapshot& out) const;
-    void add_refused(Snapshot& out) const;
+    void add_unavailable_pools(Snapshot& out) const;
     [[nodiscard]] MachineView machine_view(MachineIndex index, const FleetFacts& fleet,
                                            Millis now) const;
-    [[nodiscard]] Millis idle_keep_ms(const Machine& machine, Millis age_ms,
-                                      const FleetFacts& fleet) const;
+    [[nodiscard]] Millis idle_retention_ms(const Machine& machine, Millis age_ms,
+                                           const FleetFacts& fleet) const;
     void add_allocations(MachineIndex machine, Snapshot& out) const;
     void fill_waiting_job(const Job& job, double age_s, Millis now, WaitingJob& item) const;
-    void add_zones(const Job& job, WaitingJob& item) const;
+    void add_zone_counts(const Job& job, WaitingJob& item) const;
     [[nodiscard]] std::uint32_t waiting(const Job& job) const;
     std::vector<std::uint32_t> next_waiting_tasks(const Job& job, std::uint32_t limit) const;
     static void remove_from_waiting(Job& job, std::uint32_t task);
-    void fill_guarantees(Millis now);
+    void update_guarantees(Millis now);
     [[nodiscard]] bool has_cancelled_work(const Machine& machine) const override;
 
     ClusterSettings settings_;
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -188,7 +188,7 @@
     }
     // From the list a new leader learns of running machines that have not reported to it. A zone in
     // which too few machines report counts as cut off, and nothing is provisioned there.
-    failure_detector_.update_cut_zones(machines_, zones_.size(), now);
+    failure_detector_.update_partitioned_zones(machines_, zones_.size(), now);
 }
 
 void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
@@ -306,7 +306,7 @@
         // "When a task is off a machine": no length of silence proves that its tasks have ended, so
         // they count until its release is confirmed. Only tests turn this guard off.
         if (failure->reason == events::ReleaseReason::Silent &&
-            !settings_.guards.silence_is_no_proof) {
+            !settings_.guards.silent_tasks_stay_allocated) {
             release_all(index, std::numeric_limits<std::uint64_t>::max(), now);
         }
         start_release(machine, *failure, events);
