--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -73,29 +73,29 @@
     return evaluate_for(PolicySetting::Order, job);
 }
 
-double OperatorPolicy::retry_s(const core::JobFacts& job) {
+double OperatorPolicy::retry_delay_s(const core::JobFacts& job) {
     return evaluate_for(PolicySetting::RetryAfter, job);
 }
 
-double OperatorPolicy::provision_patience_s(const core::JobFacts& job) {
+double OperatorPolicy::provision_wait_s(const core::JobFacts& job) {
     return evaluate_for(PolicySetting::ProvisionPatience, job);
 }
 
-double OperatorPolicy::on_demand_patience_s(const core::JobFacts& job) {
-    const auto provision_patience = provision_patience_s(job);
+double OperatorPolicy::on_demand_wait_s(const core::JobFacts& job) {
+    const auto provision_patience = provision_wait_s(job);
     append_provision_patience(variables_, provision_patience);
     return std::max(provision_patience, evaluate(PolicySetting::OnDemandPatience));
 }
 
-double OperatorPolicy::idle_keep_s(const core::MachineFacts& machine,
-                                   const core::FleetFacts& fleet) {
+double OperatorPolicy::idle_retention_s(const core::MachineFacts& machine,
+                                        const core::FleetFacts& fleet) {
     variables_.clear();
     append_variables(variables_, fleet);
     append_variables(variables_, machine);
     return evaluate(PolicySetting::IdleKeep);
 }
 
-double OperatorPolicy::silent_s(const core::FleetFacts& fleet) {
+double OperatorPolicy::heartbeat_timeout_s(const core::FleetFacts& fleet) {
     return evaluate_for(PolicySetting::SilentPatience, fleet);
 }
 
--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -29,15 +29,16 @@
     /// The setting `order`, in seconds.
     double order_s(const core::JobFacts& job) override;
     /// The setting `rent_patience`, in seconds.
-    double provision_patience_s(const core::JobFacts& job) override;
-    /// The setting `dear_patience`, at least provision_patience_s(), in seconds.
-    double on_demand_patience_s(const core::JobFacts& job) override;
+    double provision_wait_s(const core::JobFacts& job) override;
+    /// The setting `dear_patience`, at least provision_wait_s(), in seconds.
+    double on_demand_wait_s(const core::JobFacts& job) override;
     /// The setting `retry_after`, in seconds.
-    double retry_s(const core::JobFacts& job) override;
+    double retry_delay_s(const core::JobFacts& job) override;
     /// The setting `idle_keep`, in seconds.
-    double idle_keep_s(const core::MachineFacts& machine, const core::FleetFacts& fleet) override;
+    double idle_retention_s(const core::MachineFacts& machine,
+                            const core::FleetFacts& fleet) override;
     /// The setting `silent_patience`, in seconds.
-    double silent_s(const core::FleetFacts& fleet) override;
+    double heartbeat_timeout_s(const core::FleetFacts& fleet) override;
     /// The setting `spare_machines`.
     double spare_machines(const core::FleetFacts& fleet) override;
     /// The setting `warm_for`, in seconds.
--- a/src/control/policy_settings.cpp
+++ b/src/control/policy_settings.cpp
@@ -123,8 +123,9 @@
                              [](const FleetFacts& fleet) { return number(fleet.booting); }},
     FactVariable<FleetFacts>{{"fleet.waiting", Type::Number, "jobs with tasks that wait"},
                              [](const FleetFacts& fleet) { return number(fleet.waiting); }},
-    FactVariable<FleetFacts>{{"fleet.report", Type::Duration, "between two heartbeats of a worker"},
-                             [](const FleetFacts& fleet) { return seconds(fleet.report_s); }},
+    FactVariable<FleetFacts>{
+        {"fleet.report", Type::Duration, "between two heartbeats of a worker"},
+        [](const FleetFacts& fleet) { return seconds(fleet.heartbeat_interval_s); }},
     FactVariable<FleetFacts>{{"fleet.lease", Type::Duration, "a worker's lease"},
                              [](const FleetFacts& fleet) { return seconds(fleet.lease_s); }},
 };
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -83,7 +83,7 @@
     // The first failure is mostly the machine's; a job that fails everywhere waits longer.
     if (!sound && job.failed_on.size() >= 2) {
         const double backoff_s = settings_.policy
-                                     ? settings_.policy->retry_s(facts(job))
+                                     ? settings_.policy->retry_delay_s(facts(job))
                                      : std::min(std::exp2(job.failures), kLongestBackoffSeconds);
         job.retry_at = now + static_cast<Millis>(backoff_s * 1000);
     }
@@ -235,7 +235,7 @@
 
 std::optional<Millis> Cluster::wanted_patience() const {
     if (!settings_.policy) return std::nullopt;
-    return static_cast<Millis>(settings_.policy->silent_s(fleet_facts()) * 1000);
+    return static_cast<Millis>(settings_.policy->heartbeat_timeout_s(fleet_facts()) * 1000);
 }
 
 std::vector<events::Event> Cluster::tick(Millis now, bool sure) {
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -41,9 +41,9 @@
     if (spec.gang && spec.one_zone && job.waiting.zone == kInvalidIndex) {
         zones = zones_by_capacity(job);
     }
-    left = await_capacity(spec, left, job.waiting.provision_patience_s);
+    left = await_capacity(spec, left, job.waiting.provision_wait_s);
     for (const auto zone : zones) left = new_machines_.place(spec, zone, left, true);
-    left = await_capacity(spec, left, job.waiting.on_demand_patience_s);
+    left = await_capacity(spec, left, job.waiting.on_demand_wait_s);
     for (const auto zone : zones) left = new_machines_.place(spec, zone, left, false);
 }
 
@@ -97,7 +97,7 @@
     awaited_.resize(allocations.size());
     double longest_patience_s = 0;
     for (const auto& waiting : state_.snapshot.waiting_jobs) {
-        longest_patience_s = std::max(longest_patience_s, waiting.on_demand_patience_s);
+        longest_patience_s = std::max(longest_patience_s, waiting.on_demand_wait_s);
     }
     for (AllocationPosition at = 0; at < allocations.size(); ++at) {
         if (allocations.view(at).remaining_s <= longest_patience_s) ending_.push_back(at);
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -24,10 +24,10 @@
 inline constexpr double kMaxDrainedShare = 0.025;
 /// Default of PlannerTuning::guarantee_retention_ms.
 inline constexpr Millis kGuaranteeRetentionMs = 300'000;
-/// Default of WaitingJob::provision_patience_s.
-inline constexpr double kProvisionPatienceS = 20;
-/// Default of WaitingJob::on_demand_patience_s.
-inline constexpr double kOnDemandPatienceS = 60;
+/// Default of WaitingJob::provision_wait_s.
+inline constexpr double kProvisionWaitS = 20;
+/// Default of WaitingJob::on_demand_wait_s.
+inline constexpr double kOnDemandWaitS = 60;
 
 /// What placement looks at of a job, with names as indices.
 struct JobSpec {
@@ -114,10 +114,10 @@
     Millis waited_ms = 0;             ///< since its submission or its last start
     double slack_s = 0;               ///< seconds until an objective is missed
     double order_s = 0;               ///< sort key among equals, smaller first
-    double provision_patience_s =
-        kProvisionPatienceS;  ///< capacity free within so long needs no new machine
-    double on_demand_patience_s =
-        kOnDemandPatienceS;          ///< the same before an on-demand machine is provisioned
+    double provision_wait_s =
+        kProvisionWaitS;  ///< capacity free within so long needs no new machine
+    double on_demand_wait_s =
+        kOnDemandWaitS;              ///< the same before an on-demand machine is provisioned
     ZoneIndex zone = kInvalidIndex;  ///< with one_zone: the zone of its other tasks
     /// Number of its tasks by zone, for `apart` and services; may be shorter than the zones.
     std::vector<std::uint32_t> zone_counts;
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -40,12 +40,12 @@
 
 /// What a policy may decide by about the fleet.
 struct FleetFacts {
-    double machines = 0;  ///< machines that are up
-    double idle = 0;      ///< of these, machines without an allocation
-    double booting = 0;   ///< machines that boot
-    double waiting = 0;   ///< jobs with tasks that wait
-    double report_s = 0;  ///< seconds between the heartbeats of a machine
-    double lease_s = 0;   ///< seconds that a worker's lease lasts
+    double machines = 0;              ///< machines that are up
+    double idle = 0;                  ///< of these, machines without an allocation
+    double booting = 0;               ///< machines that boot
+    double waiting = 0;               ///< jobs with tasks that wait
+    double heartbeat_interval_s = 0;  ///< seconds between the heartbeats of a machine
+    double lease_s = 0;               ///< seconds that a worker's lease lasts
 };
 
 inline constexpr double kImageWeight = 4.0;            ///< default of Weights::image
@@ -81,15 +81,15 @@
     /// The sort key among jobs of equal guarantee and priority, smaller first.
     virtual double order_s(const JobFacts& job) = 0;
     /// Capacity that comes free within so many seconds needs no new machine.
-    virtual double provision_patience_s(const JobFacts& job) = 0;
+    virtual double provision_wait_s(const JobFacts& job) = 0;
     /// The same before an on-demand machine is provisioned.
-    virtual double on_demand_patience_s(const JobFacts& job) = 0;
+    virtual double on_demand_wait_s(const JobFacts& job) = 0;
     /// Seconds of back-off after a failure.
-    virtual double retry_s(const JobFacts& job) = 0;
+    virtual double retry_delay_s(const JobFacts& job) = 0;
     /// Seconds after which an idle machine is released.
-    virtual double idle_keep_s(const MachineFacts& machine, const FleetFacts& fleet) = 0;
+    virtual double idle_retention_s(const MachineFacts& machine, const FleetFacts& fleet) = 0;
     /// Seconds without a heartbeat after which a machine is silent.
-    virtual double silent_s(const FleetFacts& fleet) = 0;
+    virtual double heartbeat_timeout_s(const FleetFacts& fleet) = 0;
     /// Number of idle machines that are not released.
     virtual double spare_machines(const FleetFacts& fleet) = 0;
     /// Warm capacity is kept for the arrivals of so many seconds.
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -116,7 +116,7 @@
         if (machine.allocations.empty()) ++fleet.idle;
     }
     for (const auto& [index, job] : jobs_) fleet.waiting += waiting(job) > 0 ? 1 : 0;
-    fleet.report_s = static_cast<double>(settings_.report_ms) / 1000.0;
+    fleet.heartbeat_interval_s = static_cast<double>(settings_.report_ms) / 1000.0;
     fleet.lease_s = static_cast<double>(settings_.lease_ms) / 1000.0;
     return fleet;
 }
@@ -260,7 +260,7 @@
 Millis Cluster::idle_keep_ms(const Machine& machine, Millis age_ms, const FleetFacts& fleet) const {
     if (!settings_.policy) return machine.spot ? kKeepIdleSpot : kKeepIdleOnDemand;
     const auto& type = type_info_[machine.type];
-    const double keep_s = settings_.policy->idle_keep_s(
+    const double keep_s = settings_.policy->idle_retention_s(
         {types_.name(machine.type), zones_.name(machine.zone), machine.spot,
          machine.spot ? type.spot_hourly : type.hourly, static_cast<double>(age_ms) / 1000.0},
         fleet);
@@ -298,10 +298,10 @@
     // A replica that waits is lost time, however long its service has been up.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlack);
     item.order_s = item.slack_s;
-    item.provision_patience_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
-                                           kMinProvisionPatienceS, kMaxProvisionPatienceS);
-    item.on_demand_patience_s = std::clamp(item.slack_s * kOnDemandShareOfSlack,
-                                           item.provision_patience_s, kMaxOnDemandPatienceS);
+    item.provision_wait_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
+                                       kMinProvisionPatienceS, kMaxProvisionPatienceS);
+    item.on_demand_wait_s = std::clamp(item.slack_s * kOnDemandShareOfSlack, item.provision_wait_s,
+                                       kMaxOnDemandPatienceS);
     if (settings_.policy) {
         auto about = facts(job);
         about.slack_s = item.slack_s;
@@ -309,8 +309,8 @@
         about.age_s = age_s;
         about.waiting = item.waiting_tasks;
         item.order_s = settings_.policy->order_s(about);
-        item.provision_patience_s = settings_.policy->provision_patience_s(about);
-        item.on_demand_patience_s = settings_.policy->on_demand_patience_s(about);
+        item.provision_wait_s = settings_.policy->provision_wait_s(about);
+        item.on_demand_wait_s = settings_.policy->on_demand_wait_s(about);
     }
     // What fails everywhere has a mistake: to keep it off ever more machines would provision a new
     // one for each try, and leave it waiting beside capacity that fits.
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -163,25 +163,25 @@
         job.slack_s = slack;
         EXPECT_DOUBLE_EQ(built_in.order_s(job), slack);
         const auto cheap = std::clamp(slack * 0.5, 3.0, 20.0);
-        EXPECT_DOUBLE_EQ(built_in.provision_patience_s(job), cheap);
-        EXPECT_DOUBLE_EQ(built_in.on_demand_patience_s(job), std::clamp(slack * 0.6, cheap, 60.0));
+        EXPECT_DOUBLE_EQ(built_in.provision_wait_s(job), cheap);
+        EXPECT_DOUBLE_EQ(built_in.on_demand_wait_s(job), std::clamp(slack * 0.6, cheap, 60.0));
     }
     EXPECT_DOUBLE_EQ(built_in.starvation_threshold_s(job), 120);
     job.gang = true;
     EXPECT_DOUBLE_EQ(built_in.starvation_threshold_s(job), 60);
     job.failures = 3;
-    EXPECT_DOUBLE_EQ(built_in.retry_s(job), 8);
+    EXPECT_DOUBLE_EQ(built_in.retry_delay_s(job), 8);
     job.failures = 1000;
-    EXPECT_DOUBLE_EQ(built_in.retry_s(job), 30);
+    EXPECT_DOUBLE_EQ(built_in.retry_delay_s(job), 30);
     core::FleetFacts fleet;
-    fleet.report_s = 1.5;
-    EXPECT_DOUBLE_EQ(built_in.silent_s(fleet), 8.375);
+    fleet.heartbeat_interval_s = 1.5;
+    EXPECT_DOUBLE_EQ(built_in.heartbeat_timeout_s(fleet), 8.375);
     EXPECT_DOUBLE_EQ(built_in.spare_machines(fleet), core::PlannerTuning{}.spare_machines);
     EXPECT_DOUBLE_EQ(built_in.warm_capacity_s(fleet), core::PlannerTuning{}.warm_capacity_s);
     core::MachineFacts machine;
-    EXPECT_DOUBLE_EQ(built_in.idle_keep_s(machine, fleet), 10);
+    EXPECT_DOUBLE_EQ(built_in.idle_retention_s(machine, fleet), 10);
     machine.spot = true;
-    EXPECT_DOUBLE_EQ(built_in.idle_keep_s(machine, fleet), 45);
+    EXPECT_DOUBLE_EQ(built_in.idle_retention_s(machine, fleet), 45);
     EXPECT_TRUE(built_in.take_rejected_values().empty());
 }
 
@@ -203,7 +203,7 @@
     EXPECT_TRUE(own.take_rejected_values().empty());
     core::MachineFacts machine;
     machine.hourly = 12;
-    EXPECT_DOUBLE_EQ(own.idle_keep_s(machine, {}), 12);
+    EXPECT_DOUBLE_EQ(own.idle_retention_s(machine, {}), 12);
 }
 
 // No policy can break a rule: the gate asks none.
