--- a/src/core/plan_allocations.h
+++ b/src/core/plan_allocations.h
@@ -36,14 +36,14 @@
     /// Its machine.
     [[nodiscard]] MachinePosition machine(AllocationPosition at) const { return machines_[at]; }
     /// The allocations of a machine.
-    [[nodiscard]] std::span<const AllocationPosition> on(MachinePosition machine) const {
+    [[nodiscard]] std::span<const AllocationPosition> on_machine(MachinePosition machine) const {
         return {by_machine_.data() + first_of_machine_[machine],
                 first_of_machine_[machine + 1] - first_of_machine_[machine]};
     }
     /// Whether the plan preempts it.
     [[nodiscard]] bool is_victim(AllocationPosition at) const { return victim_[at] != 0; }
     /// Whether it is being stopped or the plan preempts it.
-    [[nodiscard]] bool ends(AllocationPosition at) const {
+    [[nodiscard]] bool is_ending(AllocationPosition at) const {
         return views_[at].stopping || is_victim(at);
     }
     /// The plan preempts it.
--- a/src/core/plan_capacity.cpp
+++ b/src/core/plan_capacity.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-constexpr std::size_t kTakesBetweenThinnings = 16;
+constexpr std::size_t kTakesBetweenPrunes = 16;
 
 // The least of each resource that any waiting job or warm capacity asks for.
 Resources smallest_need_of(const Snapshot& snapshot) {
@@ -65,9 +65,9 @@
     }
 }
 
-void FreeCapacityIndex::thin_out() {
-    if (taken_since_thinning_ < kTakesBetweenThinnings) return;
-    taken_since_thinning_ = 0;
+void FreeCapacityIndex::prune_full_machines() {
+    if (takes_since_prune_ < kTakesBetweenPrunes) return;
+    takes_since_prune_ = 0;
     for (const auto source :
          {CapacitySource::Free, CapacitySource::Releasing, CapacitySource::Booting}) {
         std::erase_if(list_of(source), [&](MachinePosition at) {
--- a/src/core/plan_capacity.h
+++ b/src/core/plan_capacity.h
@@ -33,14 +33,14 @@
     void take(MachinePosition machine, const Resources& need) {
         free_[machine] -= need;
         in_use_[machine] = 1;
-        ++taken_since_thinning_;
+        ++takes_since_prune_;
     }
     /// Takes resources of a machine for a trial that may be undone.
     void take_on_trial(MachinePosition machine, const Resources& need) { free_[machine] -= need; }
     /// Undoes take_on_trial().
     void undo_trial(MachinePosition machine, const Resources& need) { free_[machine] += need; }
     /// The machine is needed: not released and not drained by this plan.
-    void keep(MachinePosition machine) { in_use_[machine] = 1; }
+    void mark_in_use(MachinePosition machine) { in_use_[machine] = 1; }
     /// Whether the plan took resources of the machine or keeps it.
     [[nodiscard]] bool in_use(MachinePosition machine) const { return in_use_[machine] != 0; }
     /// Reserves the machine as a whole for a starved job: nothing else is placed there.
@@ -53,7 +53,7 @@
         releasing_stale_ = true;
     }
     /// Drops machines that the plan has filled up from the lists, now and then.
-    void thin_out();
+    void prune_full_machines();
 
   private:
     [[nodiscard]] bool has_capacity(MachinePosition machine, CapacitySource source) const {
@@ -72,7 +72,7 @@
     std::vector<MachinePosition> with_releasing_;
     std::vector<MachinePosition> with_booting_;
     bool releasing_stale_ = false;
-    std::size_t taken_since_thinning_ = 0;
+    std::size_t takes_since_prune_ = 0;
 };
 
 }  // namespace lichendrift::core
--- a/src/core/plan_cycle.cpp
+++ b/src/core/plan_cycle.cpp
@@ -24,7 +24,7 @@
 
 Plan PlanCycle::run() {
     for (const auto& job : queue_) {
-        warm_capacity_.before(job);
+        warm_capacity_.before_job(job);
         if (job.spec.gang) {
             place_gang(job);
         } else {
@@ -47,11 +47,11 @@
         if (job.starved) state_.quota.use(spec, spec.count);
         return;
     }
-    const PlacementRequest whole{job, spec.count, false};
-    if (start_gang(whole)) return;
-    if (nominate(whole, CapacitySource::Releasing) > 0) return;
-    if (preemption_.has_victims(job) && preempt(whole) > 0) return;
-    if (nominate(whole, CapacitySource::Booting) > 0) return;
+    const PlacementRequest request{job, spec.count, false};
+    if (start_gang(request)) return;
+    if (nominate(request, CapacitySource::Releasing) > 0) return;
+    if (preemption_.has_victims(job) && preempt(request) > 0) return;
+    if (nominate(request, CapacitySource::Booting) > 0) return;
     provisioning_.request(job, spec.count);
     if (job.starved) reservation_.reserve(job, spec.count);
 }
@@ -62,8 +62,8 @@
     const auto& job = request.job;
     const auto free = placement_.find(request, CapacitySource::Free);
     if (!free.found()) return false;
-    if (image_too_late(job, free) && preemption_.has_victims(job)) {
-        const auto with_image = preemption_.find_where_image_is(request);
+    if (image_fetch_exceeds_slack(job, free) && preemption_.has_victims(job)) {
+        const auto with_image = preemption_.find_with_image(request);
         if (with_image.found() && !with_image.victims.empty()) {
             preemption_.preempt(job, with_image);
             return true;
@@ -88,8 +88,8 @@
         left -= nominate({job, left, true}, CapacitySource::Releasing);
         if (left > 0) left -= preempt({job, left, true});
     }
-    const auto later = startable - wanted;
-    if (left + later > 0) provisioning_.request(job, left + later);
+    const auto deferred = startable - wanted;
+    if (left + deferred > 0) provisioning_.request(job, left + deferred);
     // Its tasks can be as large as a machine: then nothing less than a whole one serves it.
     if (left == wanted && job.starved) reservation_.reserve(job, 1);
 }
@@ -128,7 +128,7 @@
     state_.assume(job.spec, placement);
 }
 
-bool PlanCycle::image_too_late(const QueuedJob& job, const Placement& placement) const {
+bool PlanCycle::image_fetch_exceeds_slack(const QueuedJob& job, const Placement& placement) const {
     if (!job.spec.has_start_objective) return false;
     double fetch_s = 0;
     for (const auto machine : placement.machines) {
--- a/src/core/plan_cycle.h
+++ b/src/core/plan_cycle.h
@@ -30,7 +30,8 @@
     std::uint32_t nominate(const PlacementRequest& request, CapacitySource source);
     std::uint32_t preempt(const PlacementRequest& request);
     void add_start(const QueuedJob& job, const Placement& placement);
-    [[nodiscard]] bool image_too_late(const QueuedJob& job, const Placement& placement) const;
+    [[nodiscard]] bool image_fetch_exceeds_slack(const QueuedJob& job,
+                                                 const Placement& placement) const;
 
     std::vector<QueuedJob> queue_;
     PlanState state_;
--- a/src/core/plan_drain.cpp
+++ b/src/core/plan_drain.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Machines tried in a plan, beside two for each that may be drained.
-constexpr std::size_t kMaxTried = 16;
+constexpr std::size_t kBaseMachinesTried = 16;
 // Work that ends within so long is left to end; work with less left is not worth a move.
 constexpr double kEndsSoonS = 40;
 constexpr double kMinRemainingToMoveS = 60;
@@ -24,7 +24,7 @@
     auto order = candidates();
     const auto limit = 1 + static_cast<std::size_t>(state_.snapshot.tuning.max_drained_share *
                                                     static_cast<double>(order.size()));
-    const auto tried = std::min(order.size(), kMaxTried + 2 * limit);
+    const auto tried = std::min(order.size(), kBaseMachinesTried + 2 * limit);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(tried),
                       order.end());
     drained_.assign(state_.snapshot.machines.size(), 0);
@@ -37,7 +37,7 @@
             continue;
         }
         state_.plan.drains.push_back(state_.snapshot.machines[at].index);
-        guaranteed_.give_up(at);
+        guaranteed_.remove(at);
     }
 }
 
@@ -45,7 +45,7 @@
     const auto& machines = state_.snapshot.machines;
     std::vector<Candidate> result;
     for (MachinePosition at = 0; at < machines.size(); ++at) {
-        const auto allocations = state_.allocations.on(at).size();
+        const auto allocations = state_.allocations.on_machine(at).size();
         if (!machines[at].usable || allocations == 0) continue;
         if (state_.capacity.in_use(at) || state_.capacity.reserved(at)) continue;
         if (machines[at].age_ms < kMinMachineAgeMs || guaranteed_.needs(at)) continue;
@@ -57,23 +57,23 @@
 // Whether each task of the machine ends soon or fits on another one; takes that capacity if so.
 bool DrainPhase::find_moves(MachinePosition from) {
     moves_.clear();
-    bool all = true;
-    for (const auto at : state_.allocations.on(from)) {
+    bool all_fit = true;
+    for (const auto at : state_.allocations.on_machine(from)) {
         if (state_.allocations.view(at).remaining_s < kEndsSoonS) continue;
-        const auto to = can_move(at) ? target_of(at) : drained_.size();
-        all = to != drained_.size();
-        if (!all) break;
+        const auto to = can_move(at) ? find_target(at) : drained_.size();
+        all_fit = to != drained_.size();
+        if (!all_fit) break;
         moves_.push_back({to, state_.allocations.resources(at)});
         state_.capacity.take_on_trial(to, moves_.back().resources);
     }
     for (const auto& move : moves_) {
-        if (all) {
-            state_.capacity.keep(move.to);
+        if (all_fit) {
+            state_.capacity.mark_in_use(move.to);
         } else {
             state_.capacity.undo_trial(move.to, move.resources);
         }
     }
-    return all;
+    return all_fit;
 }
 
 // Whether the task loses little by a move.
@@ -87,21 +87,22 @@
 }
 
 // A cheaper machine, or one as cheap and in use; the number of machines if there is none.
-MachinePosition DrainPhase::target_of(AllocationPosition at) {
+MachinePosition DrainPhase::find_target(AllocationPosition at) {
     const auto from = state_.allocations.machine(at);
     const auto count = state_.snapshot.machines.size();
-    auto as_cheap = count;
+    auto same_price = count;
     for (MachinePosition to = 0; to < count; ++to) {
         state_.count_step();
-        if (!may_take(to, at)) continue;
+        if (!is_valid_target(to, at)) continue;
         if (hourly(to) < hourly(from)) return to;
-        const bool in_use = !state_.allocations.on(to).empty() || state_.capacity.in_use(to);
-        if (in_use && as_cheap == count) as_cheap = to;
+        const bool in_use =
+            !state_.allocations.on_machine(to).empty() || state_.capacity.in_use(to);
+        if (in_use && same_price == count) same_price = to;
     }
-    return as_cheap;
+    return same_price;
 }
 
-bool DrainPhase::may_take(MachinePosition to, AllocationPosition at) const {
+bool DrainPhase::is_valid_target(MachinePosition to, AllocationPosition at) const {
     const auto from = state_.allocations.machine(at);
     const auto& spec = state_.allocations.job(at).spec;
     const auto& machine = state_.snapshot.machines[to];
--- a/src/core/plan_drain.h
+++ b/src/core/plan_drain.h
@@ -41,8 +41,8 @@
     [[nodiscard]] std::vector<Candidate> candidates() const;
     [[nodiscard]] bool can_move(AllocationPosition at) const;
     bool find_moves(MachinePosition from);
-    MachinePosition target_of(AllocationPosition at);
-    [[nodiscard]] bool may_take(MachinePosition to, AllocationPosition at) const;
+    MachinePosition find_target(AllocationPosition at);
+    [[nodiscard]] bool is_valid_target(MachinePosition to, AllocationPosition at) const;
 
     PlanState& state_;
     GuaranteedCapacity& guaranteed_;
--- a/src/core/plan_filter.cpp
+++ b/src/core/plan_filter.cpp
@@ -9,7 +9,7 @@
     return all_zones(zone_count);
 }
 
-FailedFits::Key FailedFits::key_of(const QueuedJob& job) {
+FailedPlacements::Key FailedPlacements::key_of(const QueuedJob& job) {
     const auto& spec = job.spec;
     return {spec.need,     spec.types,    spec.zone,
             spec.team,     spec.priority, spec.spot,
@@ -17,29 +17,30 @@
 }
 
 // Whether nothing but its key decides where the job fits.
-bool FailedFits::key_decides(const QueuedJob& job) {
+bool FailedPlacements::depends_on_key_only(const QueuedJob& job) {
     const auto& waiting = job.waiting;
     return waiting.avoided_machines.empty() &&
            (!job.spec.one_zone || waiting.zone == kInvalidIndex) &&
            (!job.spec.apart || !waiting.has_started);
 }
 
-bool FailedFits::known(const PlacementRequest& request, CapacitySource source) const {
-    if (!key_decides(request.job)) return false;
+bool FailedPlacements::is_known_to_fail(const PlacementRequest& request,
+                                        CapacitySource source) const {
+    if (!depends_on_key_only(request.job)) return false;
     const auto it = failed_.find(key_of(request.job));
     if (it == failed_.end()) return false;
     return it->second[static_cast<std::size_t>(source)] <= tasks_of(request);
 }
 
-void FailedFits::note(const PlacementRequest& request, CapacitySource source) {
-    if (!key_decides(request.job)) return;
-    auto [it, fresh] = failed_.try_emplace(key_of(request.job));
-    if (fresh) it->second.fill(kNoFailure);
+void FailedPlacements::record(const PlacementRequest& request, CapacitySource source) {
+    if (!depends_on_key_only(request.job)) return;
+    auto [it, inserted] = failed_.try_emplace(key_of(request.job));
+    if (inserted) it->second.fill(kNoFailure);
     auto& min_tasks = it->second[static_cast<std::size_t>(source)];
     min_tasks = std::min(min_tasks, tasks_of(request));
 }
 
-void FailedFits::forget_releasing() {
+void FailedPlacements::clear_releasing() {
     for (auto& [key, min_tasks] : failed_) {
         min_tasks[static_cast<std::size_t>(CapacitySource::Releasing)] = kNoFailure;
         min_tasks[static_cast<std::size_t>(CapacitySource::Booting)] = kNoFailure;
--- a/src/core/plan_filter.h
+++ b/src/core/plan_filter.h
@@ -45,14 +45,15 @@
 
 /// Remembers what did not fit: the next job that asks the same of the machines is not tried
 /// (docs/design.md, "How a plan keeps its cost by what waits").
-class FailedFits {
+class FailedPlacements {
   public:
     /// Whether the request is known not to fit. Partial requests fail from one task on.
-    [[nodiscard]] bool known(const PlacementRequest& request, CapacitySource source) const;
+    [[nodiscard]] bool is_known_to_fail(const PlacementRequest& request,
+                                        CapacitySource source) const;
     /// The request, in part or as a whole, found no capacity.
-    void note(const PlacementRequest& request, CapacitySource source);
+    void record(const PlacementRequest& request, CapacitySource source);
     /// Resources are being released: what did not fit there may fit now.
-    void forget_releasing();
+    void clear_releasing();
 
   private:
     // Jobs with the same key ask the same of the machines: if one does not fit, none does.
@@ -73,7 +74,7 @@
     using MinTasks = std::array<std::uint32_t, kCapacitySources>;
 
     static Key key_of(const QueuedJob& job);
-    static bool key_decides(const QueuedJob& job);
+    static bool depends_on_key_only(const QueuedJob& job);
     static std::uint32_t tasks_of(const PlacementRequest& request) {
         return request.partial ? 1 : request.count;
     }
--- a/src/core/plan_new_machines.cpp
+++ b/src/core/plan_new_machines.cpp
@@ -15,36 +15,36 @@
 std::uint32_t NewMachines::place(const JobSpec& spec, ZoneIndex zone, std::uint32_t count,
                                  bool spot) {
     for (; count > 0; --count) {
-        if (take(spec, zone)) continue;
-        if (!add(spec, zone, spot)) break;
-        take(spec, zone);
+        if (place_on_added(spec, zone)) continue;
+        if (!add_machine(spec, zone, spot)) break;
+        place_on_added(spec, zone);
     }
     return count;
 }
 
-bool NewMachines::take(const JobSpec& spec, ZoneIndex zone) {
-    for (std::size_t k = 0; k < open_.size(); ++k) {
+bool NewMachines::place_on_added(const JobSpec& spec, ZoneIndex zone) {
+    for (std::size_t k = 0; k < with_capacity_.size(); ++k) {
         state_.count_step();
-        auto& [pool, free] = machines_[open_[k]];
+        auto& [pool, free] = machines_[with_capacity_[k]];
         if ((spec.types >> pool.type & 1) == 0 || (pool.spot && !spec.spot)) continue;
         if (zone != kInvalidIndex && pool.zone != zone) continue;
         if (!free.covers(spec.need)) continue;
         free -= spec.need;
         if (!free.covers(state_.capacity.smallest_need())) {
-            open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(k));
+            with_capacity_.erase(with_capacity_.begin() + static_cast<std::ptrdiff_t>(k));
         }
         return true;
     }
     return false;
 }
 
-bool NewMachines::add(const JobSpec& spec, ZoneIndex zone, bool spot) {
+bool NewMachines::add_machine(const JobSpec& spec, ZoneIndex zone, bool spot) {
     if (machines_.size() >= kMaxNewMachines) return false;
     machines_by_zone();
     const auto machine = cheapest(spec, zone, spot);
     if (!machine) return false;
     ++machines_by_zone_[machine->pool.zone];
-    open_.push_back(machines_.size());
+    with_capacity_.push_back(machines_.size());
     machines_.push_back(*machine);
     return true;
 }
@@ -87,7 +87,7 @@
 
 void NewMachines::add_fitting(const JobSpec& spec,
                               std::vector<std::int64_t>& fitting_by_zone) const {
-    for (const auto at : open_) {
+    for (const auto at : with_capacity_) {
         const auto& [pool, free] = machines_[at];
         fitting_by_zone[pool.zone] += free.fits(spec.need);
     }
--- a/src/core/plan_new_machines.h
+++ b/src/core/plan_new_machines.h
@@ -30,14 +30,14 @@
         Resources free;
     };
 
-    bool take(const JobSpec& spec, ZoneIndex zone);
-    bool add(const JobSpec& spec, ZoneIndex zone, bool spot);
+    bool place_on_added(const JobSpec& spec, ZoneIndex zone);
+    bool add_machine(const JobSpec& spec, ZoneIndex zone, bool spot);
     std::optional<NewMachine> cheapest(const JobSpec& spec, ZoneIndex zone, bool spot);
     [[nodiscard]] bool provisionable(const JobSpec& spec, const ProvisioningPool& pool) const;
 
     PlanState& state_;
     std::vector<NewMachine> machines_;
-    std::vector<std::size_t> open_;  // positions of those with any capacity
+    std::vector<std::size_t> with_capacity_;  // positions of those with any capacity
     std::vector<std::int64_t> machines_by_zone_;
 };
 
--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -8,13 +8,13 @@
 // Points off for each replica of the same service on the machine and in the zone: the loss of one
 // should take few replicas with it (docs/design.md, "Services"). The machine's is less than the
 // weight of the image being there.
-constexpr double kMachineCrowding = 2.5;
-constexpr double kZoneCrowding = 0.5;
+constexpr double kMachineColocationPenalty = 2.5;
+constexpr double kZoneColocationPenalty = 0.5;
 
 }  // namespace
 
 Placement PlacementPhase::find(const PlacementRequest& request, CapacitySource source) {
-    if (state_.failed_fits.known(request, source)) return {};
+    if (state_.failed_placements.is_known_to_fail(request, source)) return {};
     Placement best;
     std::vector<ZoneIndex> rejected_zones;
     for (const auto zone : candidate_zones(request.job.spec, state_.snapshot.zone_count)) {
@@ -30,7 +30,7 @@
         }
     }
     best.rejected_zones = std::move(rejected_zones);
-    if (best.tasks() < request.count) state_.failed_fits.note(request, source);
+    if (best.tasks() < request.count) state_.failed_placements.record(request, source);
     return best;
 }
 
@@ -71,14 +71,14 @@
             continue;
         }
         if (spec.service &&
-            lower_for_crowding(best, request.job, zone_counts, placement.machines)) {
+            apply_colocation_penalty(best, request.job, zone_counts, placement.machines)) {
             std::push_heap(candidates_.begin(), candidates_.end());
             continue;
         }
         ++in_zone;
         score += best.score;
         placement.machines.push_back(best.machine);
-        return_candidate(spec);
+        reinsert_candidate(spec);
     }
     if (!request.accepts(placement.tasks())) return {};
     placement.score = score / static_cast<double>(placement.tasks());
@@ -87,31 +87,31 @@
 
 // Lowers the score of a machine for the replicas that were placed since it was computed; returns
 // whether it fell.
-bool PlacementPhase::lower_for_crowding(ScoredMachine& candidate, const QueuedJob& job,
-                                        const std::vector<std::uint32_t>& zone_counts,
-                                        const std::vector<MachinePosition>& chosen) const {
+bool PlacementPhase::apply_colocation_penalty(ScoredMachine& candidate, const QueuedJob& job,
+                                              const std::vector<std::uint32_t>& zone_counts,
+                                              const std::vector<MachinePosition>& chosen) const {
     const auto& machine = state_.snapshot.machines[candidate.machine];
     const auto& replicas = job.waiting.replica_machines;
     const auto on_machine = std::count(replicas.begin(), replicas.end(), machine.index) +
                             std::count(chosen.begin(), chosen.end(), candidate.machine);
     const auto in_zone = machine.zone < zone_counts.size() ? zone_counts[machine.zone] : 0;
-    const auto crowding = kMachineCrowding * static_cast<double>(on_machine) +
-                          kZoneCrowding * static_cast<double>(in_zone);
-    if (crowding <= candidate.crowding) return false;
-    candidate.score -= crowding - candidate.crowding;
-    candidate.crowding = crowding;
+    const auto penalty = kMachineColocationPenalty * static_cast<double>(on_machine) +
+                         kZoneColocationPenalty * static_cast<double>(in_zone);
+    if (penalty <= candidate.colocation_penalty) return false;
+    candidate.score -= penalty - candidate.colocation_penalty;
+    candidate.colocation_penalty = penalty;
     return true;
 }
 
 // The machine at the heap's back got a task: it stays a candidate while another one fits.
-void PlacementPhase::return_candidate(const JobSpec& spec) {
+void PlacementPhase::reinsert_candidate(const JobSpec& spec) {
     auto& candidate = candidates_.back();
     candidate.available -= spec.need;
     if (!candidate.available.covers(spec.need)) {
         candidates_.pop_back();
         return;
     }
-    candidate.crowding = 0;
+    candidate.colocation_penalty = 0;
     candidate.score = state_.score.of(spec, candidate.machine, candidate.available);
     std::push_heap(candidates_.begin(), candidates_.end());
 }
--- a/src/core/plan_placement.h
+++ b/src/core/plan_placement.h
@@ -19,10 +19,10 @@
   private:
     Placement place_in(const PlacementRequest& request, ZoneIndex zone, CapacitySource source);
     std::int64_t score_candidates(const QueuedJob& job, ZoneIndex zone, CapacitySource source);
-    bool lower_for_crowding(ScoredMachine& candidate, const QueuedJob& job,
-                            const std::vector<std::uint32_t>& zone_counts,
-                            const std::vector<MachinePosition>& chosen) const;
-    void return_candidate(const JobSpec& spec);
+    bool apply_colocation_penalty(ScoredMachine& candidate, const QueuedJob& job,
+                                  const std::vector<std::uint32_t>& zone_counts,
+                                  const std::vector<MachinePosition>& chosen) const;
+    void reinsert_candidate(const JobSpec& spec);
 
     PlanState& state_;
     std::vector<ScoredMachine> candidates_;  // of the trial under way: kept to save allocations
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -11,13 +11,14 @@
 }  // namespace
 
 bool PreemptionPhase::may_preempt(const QueuedJob& job, AllocationPosition victim) const {
-    const auto& owner = state_.allocations.job(victim);
+    const auto& victim_job = state_.allocations.job(victim);
     const bool in_guarantee = job.waiting.in_guarantee;
     if (state_.allocations.view(victim).job == job.waiting.job) return false;
-    if (owner.spec.priority < job.spec.priority && (in_guarantee || !owner.in_guarantee)) {
+    if (victim_job.spec.priority < job.spec.priority &&
+        (in_guarantee || !victim_job.in_guarantee)) {
         return true;
     }
-    return in_guarantee && !owner.in_guarantee && owner.spec.team != job.spec.team &&
+    return in_guarantee && !victim_job.in_guarantee && victim_job.spec.team != job.spec.team &&
            state_.snapshot.teams[job.spec.team].guarantee != Resources{};
 }
 
@@ -34,17 +35,17 @@
 }
 
 Placement PreemptionPhase::find(const PlacementRequest& request) {
-    if (state_.failed_fits.known(request, CapacitySource::Preemptible)) return {};
-    auto best = cheapest(request, false);
-    if (!best.found()) state_.failed_fits.note(request, CapacitySource::Preemptible);
+    if (state_.failed_placements.is_known_to_fail(request, CapacitySource::Preemptible)) return {};
+    auto best = find_cheapest(request, false);
+    if (!best.found()) state_.failed_placements.record(request, CapacitySource::Preemptible);
     return best;
 }
 
-Placement PreemptionPhase::find_where_image_is(const PlacementRequest& request) {
-    return cheapest(request, true);
+Placement PreemptionPhase::find_with_image(const PlacementRequest& request) {
+    return find_cheapest(request, true);
 }
 
-Placement PreemptionPhase::cheapest(const PlacementRequest& request, bool image_present) {
+Placement PreemptionPhase::find_cheapest(const PlacementRequest& request, bool image_present) {
     CostedPlacement best;
     for (const auto zone : candidate_zones(request.job.spec, state_.snapshot.zone_count)) {
         auto found = place_in(request, zone, image_present);
@@ -69,20 +70,20 @@
     std::make_heap(evictions_.begin(), evictions_.end());
     while (placement.tasks() < request.count && !evictions_.empty()) {
         std::pop_heap(evictions_.begin(), evictions_.end());
-        const auto taken = std::move(evictions_.back());
+        const auto eviction = std::move(evictions_.back());
         evictions_.pop_back();
-        auto& in_zone = zone_counts[state_.snapshot.machines[taken.machine].zone];
+        auto& in_zone = zone_counts[state_.snapshot.machines[eviction.machine].zone];
         if (spec.apart && in_zone + 1 > max_tasks_in_zone(spec)) continue;
         ++in_zone;
-        cost += taken.cost;
-        placement.machines.push_back(taken.machine);
-        placement.victims.insert(placement.victims.end(), taken.victims.begin(),
-                                 taken.victims.end());
-        next_.machine = taken.machine;
-        next_.available = taken.available;
-        next_.available -= spec.need;
-        if (evict(request.job, placement.victims, next_)) {
-            evictions_.push_back(std::move(next_));
+        cost += eviction.cost;
+        placement.machines.push_back(eviction.machine);
+        placement.victims.insert(placement.victims.end(), eviction.victims.begin(),
+                                 eviction.victims.end());
+        scratch_.machine = eviction.machine;
+        scratch_.available = eviction.available;
+        scratch_.available -= spec.need;
+        if (plan_eviction(request.job, placement.victims, scratch_)) {
+            evictions_.push_back(std::move(scratch_));
             std::push_heap(evictions_.begin(), evictions_.end());
         }
     }
@@ -98,20 +99,21 @@
         if (!machine.usable || !state_.filter.admits(job, zone, at)) continue;
         if (!machine.capacity.covers(job.spec.need)) continue;
         if (image_present && state_.fetches.fetch_s(job.spec, at) > 0) continue;
-        next_.machine = at;
-        next_.available = state_.capacity.available(at, CapacitySource::Releasing);
-        if (evict(job, {}, next_)) evictions_.push_back(next_);
+        scratch_.machine = at;
+        scratch_.available = state_.capacity.available(at, CapacitySource::Releasing);
+        if (plan_eviction(job, {}, scratch_)) evictions_.push_back(scratch_);
     }
 }
 
 // Fills in the victims that have to go from the machine, so that one more task fits into what is
 // available there; false if that can't be.
-bool PreemptionPhase::evict(const QueuedJob& job, const std::vector<AllocationPosition>& chosen,
-                            Eviction& eviction) {
+bool PreemptionPhase::plan_eviction(const QueuedJob& job,
+                                    const std::vector<AllocationPosition>& chosen,
+                                    Eviction& eviction) {
     const auto& need = job.spec.need;
-    auto reach = eviction.available;
-    reach += collect_victims(job, eviction.machine, chosen);
-    if (!reach.covers(need)) return false;
+    auto max_available = eviction.available;
+    max_available += collect_victims(job, eviction.machine, chosen);
+    if (!max_available.covers(need)) return false;
     std::sort(possible_victims_.begin(), possible_victims_.end(), [&](auto left, auto right) {
         const auto left_priority = state_.allocations.job(left).spec.priority;
         const auto right_priority = state_.allocations.job(right).spec.priority;
@@ -128,7 +130,7 @@
         eviction.cost += cost_of(victim);
         eviction.victims.push_back(victim);
     }
-    spare_victims(need, eviction);
+    remove_unneeded_victims(need, eviction);
     return true;
 }
 
@@ -137,9 +139,9 @@
                                            const std::vector<AllocationPosition>& chosen) {
     Resources sum;
     possible_victims_.clear();
-    for (const auto at : state_.allocations.on(machine)) {
+    for (const auto at : state_.allocations.on_machine(machine)) {
         state_.count_step();
-        if (state_.allocations.ends(at) || !may_preempt(job, at)) continue;
+        if (state_.allocations.is_ending(at) || !may_preempt(job, at)) continue;
         if (std::find(chosen.begin(), chosen.end(), at) != chosen.end()) continue;
         possible_victims_.push_back(at);
         sum += state_.allocations.resources(at);
@@ -148,7 +150,7 @@
 }
 
 // Victims that turned out not to be needed are spared, as KEP-5732 reprieves them.
-void PreemptionPhase::spare_victims(const Resources& need, Eviction& eviction) const {
+void PreemptionPhase::remove_unneeded_victims(const Resources& need, Eviction& eviction) const {
     auto& victims = eviction.victims;
     for (auto victim = victims.begin(); victim != victims.end();) {
         auto without = eviction.available;
@@ -174,7 +176,7 @@
     const auto job = state_.allocations.view(victim).job;
     for (AllocationPosition at = 0; at < state_.allocations.size(); ++at) {
         state_.count_step();
-        if (state_.allocations.view(at).job == job && !state_.allocations.ends(at)) {
+        if (state_.allocations.view(at).job == job && !state_.allocations.is_ending(at)) {
             mark_victim(at);
         }
     }
@@ -188,7 +190,7 @@
         if (state_.allocations.job(victim).spec.gang) mark_rest_of_gang(victim);
     }
     state_.nominate(job.spec, placement);
-    state_.failed_fits.forget_releasing();
+    state_.failed_placements.clear_releasing();
 }
 
 }  // namespace lichendrift::core
--- a/src/core/plan_preemption.h
+++ b/src/core/plan_preemption.h
@@ -17,7 +17,7 @@
     /// Machines on which the request fits with victims removed: most tasks, then the lowest cost.
     Placement find(const PlacementRequest& request);
     /// The same, on machines that have the image only (docs/design.md, exception 2).
-    Placement find_where_image_is(const PlacementRequest& request);
+    Placement find_with_image(const PlacementRequest& request);
     /// Preempts the victims of the placement and nominates its machines for the job.
     void preempt(const QueuedJob& job, const Placement& placement);
 
@@ -40,14 +40,14 @@
 
     [[nodiscard]] bool may_preempt(const QueuedJob& job, AllocationPosition victim) const;
     [[nodiscard]] double cost_of(AllocationPosition victim) const;
-    Placement cheapest(const PlacementRequest& request, bool image_present);
+    Placement find_cheapest(const PlacementRequest& request, bool image_present);
     CostedPlacement place_in(const PlacementRequest& request, ZoneIndex zone, bool image_present);
     void collect_evictions(const QueuedJob& job, ZoneIndex zone, bool image_present);
-    bool evict(const QueuedJob& job, const std::vector<AllocationPosition>& chosen,
-               Eviction& eviction);
+    bool plan_eviction(const QueuedJob& job, const std::vector<AllocationPosition>& chosen,
+                       Eviction& eviction);
     Resources collect_victims(const QueuedJob& job, MachinePosition machine,
                               const std::vector<AllocationPosition>& chosen);
-    void spare_victims(const Resources& need, Eviction& eviction) const;
+    void remove_unneeded_victims(const Resources& need, Eviction& eviction) const;
     void mark_victim(AllocationPosition victim);
     void mark_rest_of_gang(AllocationPosition victim);
 
@@ -55,7 +55,7 @@
     // Of the search under way: kept to save allocations.
     std::vector<AllocationPosition> possible_victims_;
     std::vector<Eviction> evictions_;
-    Eviction next_;
+    Eviction scratch_;
 };
 
 }  // namespace lichendrift::core
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxTasksOfDemand = 400;
+constexpr std::uint32_t kMaxTasksPerDemand = 400;
 
 // Whether no zone may get more than half of the tasks, and any zone a part.
 bool spreads_over_zones(const JobSpec& spec) {
@@ -29,14 +29,14 @@
 void ProvisioningPhase::provision(const Demand& demand) {
     const auto& job = *demand.job;
     const auto& spec = job.spec;
-    auto left = std::min(demand.count, kMaxTasksOfDemand);
+    auto left = std::min(demand.count, kMaxTasksPerDemand);
     if (!spec.gang) {
         const auto booting = placement_.find({job, left, true}, CapacitySource::Booting);
         if (booting.found()) state_.nominate(spec, booting);
         left -= booting.tasks();
     }
-    if (spec.gang && !kept_for_gang_) keep_provisioned(job);
-    if (spreads_over_zones(spec)) return provision_apart(job, left);
+    if (spec.gang && !retained_for_gang_) retain_machines_for_gang(job);
+    if (spreads_over_zones(spec)) return provision_spread(job, left);
     std::vector<ZoneIndex> zones{job.waiting.zone};
     if (spec.gang && spec.one_zone && job.waiting.zone == kInvalidIndex) {
         zones = zones_by_capacity(job);
@@ -49,24 +49,25 @@
 
 // No zone gets more than half of the job: what is free or provisioned there beyond that is of no
 // use to it (docs/design.md, exception 5).
-void ProvisioningPhase::provision_apart(const QueuedJob& job, std::uint32_t count) {
+void ProvisioningPhase::provision_spread(const QueuedJob& job, std::uint32_t count) {
     const auto& spec = job.spec;
     const auto max_in_zone = max_tasks_in_zone(spec);
     const auto fitting = fitting_by_zone(job);
     const auto& zone_counts = job.waiting.zone_counts;
-    std::vector<std::uint32_t> open(state_.snapshot.zone_count);  // tasks each zone may still get
-    for (ZoneIndex zone = 0; zone < open.size(); ++zone) {
-        const auto there = zone < zone_counts.size() ? zone_counts[zone] : 0;
-        const auto limit = max_in_zone - std::min(max_in_zone, there);
+    // Number of tasks that may still be added to each zone.
+    std::vector<std::uint32_t> allowed(state_.snapshot.zone_count);
+    for (ZoneIndex zone = 0; zone < allowed.size(); ++zone) {
+        const auto in_zone = zone < zone_counts.size() ? zone_counts[zone] : 0;
+        const auto limit = max_in_zone - std::min(max_in_zone, in_zone);
         const auto fits = static_cast<std::uint32_t>(std::min<std::int64_t>(limit, fitting[zone]));
-        open[zone] = limit - fits;
+        allowed[zone] = limit - fits;
         count -= std::min(count, fits);
     }
     for (const bool spot : {true, false}) {
-        for (ZoneIndex zone = 0; zone < open.size(); ++zone) {
-            const auto wanted = std::min(count, open[zone]);
+        for (ZoneIndex zone = 0; zone < allowed.size(); ++zone) {
+            const auto wanted = std::min(count, allowed[zone]);
             const auto placed = wanted - new_machines_.place(spec, zone, wanted, spot);
-            open[zone] -= placed;
+            allowed[zone] -= placed;
             count -= placed;
         }
     }
@@ -74,14 +75,14 @@
 
 // How many of `count` tasks are left without an allocation that ends within the patience.
 std::uint32_t ProvisioningPhase::await_capacity(const JobSpec& spec, std::uint32_t count,
-                                                double patience_s) {
+                                                double max_wait_s) {
     const auto& allocations = state_.allocations;
     index_ending();
     for (const auto at : ending_) {
         if (count == 0) break;
         state_.count_step();
         if (awaited_[at] != 0 || allocations.is_victim(at)) continue;
-        if (allocations.view(at).remaining_s > patience_s) continue;
+        if (allocations.view(at).remaining_s > max_wait_s) continue;
         const auto& machine = state_.snapshot.machines[allocations.machine(at)];
         if (!machine.usable || !MachineFilter::allows(spec, machine)) continue;
         if (!allocations.resources(at).covers(spec.need)) continue;
@@ -95,12 +96,12 @@
     if (!awaited_.empty()) return;
     const auto& allocations = state_.allocations;
     awaited_.resize(allocations.size());
-    double longest_patience_s = 0;
+    double longest_wait_s = 0;
     for (const auto& waiting : state_.snapshot.waiting_jobs) {
-        longest_patience_s = std::max(longest_patience_s, waiting.on_demand_wait_s);
+        longest_wait_s = std::max(longest_wait_s, waiting.on_demand_wait_s);
     }
     for (AllocationPosition at = 0; at < allocations.size(); ++at) {
-        if (allocations.view(at).remaining_s <= longest_patience_s) ending_.push_back(at);
+        if (allocations.view(at).remaining_s <= longest_wait_s) ending_.push_back(at);
     }
 }
 
@@ -108,28 +109,28 @@
 // cloud has few machines to give they come one by one, and each was idle for long enough to be
 // released before the next one came; kept for several gangs, none ever got enough (docs/design.md,
 // exception 7).
-void ProvisioningPhase::keep_provisioned(const QueuedJob& job) {
+void ProvisioningPhase::retain_machines_for_gang(const QueuedJob& job) {
     const auto& spec = job.spec;
-    kept_for_gang_ = true;
+    retained_for_gang_ = true;
     if (spreads_over_zones(spec)) {
         for (ZoneIndex zone = 0; zone < state_.snapshot.zone_count; ++zone) {
-            keep_in(job, zone, max_tasks_in_zone(spec));
+            retain_in_zone(job, zone, max_tasks_in_zone(spec));
         }
     } else if (spec.one_zone && spec.zone == kInvalidIndex) {
         const auto zones = zones_by_capacity(job);
-        if (!zones.empty()) keep_in(job, zones.front(), spec.count);
+        if (!zones.empty()) retain_in_zone(job, zones.front(), spec.count);
     } else {
-        keep_in(job, spec.zone, spec.count);
+        retain_in_zone(job, spec.zone, spec.count);
     }
 }
 
 // Keeps machines of a zone that fit so many tasks of the job, or as many as there are.
-void ProvisioningPhase::keep_in(const QueuedJob& job, ZoneIndex zone, std::int64_t count) {
+void ProvisioningPhase::retain_in_zone(const QueuedJob& job, ZoneIndex zone, std::int64_t count) {
     for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
         state_.count_step();
         if (count <= 0 || !state_.filter.admits(job, zone, at)) continue;
         const auto fits = state_.capacity.free(at).fits(job.spec.need);
-        if (fits > 0) state_.capacity.keep(at);
+        if (fits > 0) state_.capacity.mark_in_use(at);
         count -= fits;
     }
 }
--- a/src/core/plan_provisioning.h
+++ b/src/core/plan_provisioning.h
@@ -35,11 +35,11 @@
     };
 
     void provision(const Demand& demand);
-    void provision_apart(const QueuedJob& job, std::uint32_t count);
-    std::uint32_t await_capacity(const JobSpec& spec, std::uint32_t count, double patience_s);
+    void provision_spread(const QueuedJob& job, std::uint32_t count);
+    std::uint32_t await_capacity(const JobSpec& spec, std::uint32_t count, double max_wait_s);
     void index_ending();
-    void keep_provisioned(const QueuedJob& job);
-    void keep_in(const QueuedJob& job, ZoneIndex zone, std::int64_t count);
+    void retain_machines_for_gang(const QueuedJob& job);
+    void retain_in_zone(const QueuedJob& job, ZoneIndex zone, std::int64_t count);
     std::vector<std::int64_t> fitting_by_zone(const QueuedJob& job);
     std::vector<ZoneIndex> zones_by_capacity(const QueuedJob& job);
 
@@ -50,7 +50,7 @@
     std::vector<WarmDemand> warm_demands_;
     std::vector<AllocationPosition> ending_;  // within the longest patience of any job
     std::vector<char> awaited_;               // by allocation: its capacity is for a job already
-    bool kept_for_gang_ = false;
+    bool retained_for_gang_ = false;
 };
 
 }  // namespace lichendrift::core
--- a/src/core/plan_queue.cpp
+++ b/src/core/plan_queue.cpp
@@ -14,7 +14,7 @@
     auto operator<=>(const QueueRank&) const = default;
 };
 
-bool beyond_threshold(const PlannerTuning& tuning, const QueuedJob& job) {
+bool past_starvation_threshold(const PlannerTuning& tuning, const QueuedJob& job) {
     if (!tuning.reservations || job.waiting.waited_ms <= job.spec.starvation_threshold_ms) {
         return false;
     }
@@ -50,13 +50,15 @@
 std::vector<QueuedJob> scheduling_queue(const Snapshot& snapshot) {
     std::vector<QueuedJob> jobs;
     jobs.reserve(snapshot.waiting_jobs.size());
-    std::vector<QueuedJob*> waited_long;
+    std::vector<QueuedJob*> starvation_candidates;
     for (const auto& waiting : snapshot.waiting_jobs) {
         if (waiting.backing_off) continue;
         jobs.push_back({waiting, snapshot.jobs.at(waiting.job).spec});
-        if (beyond_threshold(snapshot.tuning, jobs.back())) waited_long.push_back(&jobs.back());
+        if (past_starvation_threshold(snapshot.tuning, jobs.back())) {
+            starvation_candidates.push_back(&jobs.back());
+        }
     }
-    mark_starved(snapshot.tuning, std::move(waited_long));
+    mark_starved(snapshot.tuning, std::move(starvation_candidates));
     std::vector<const QueuedJob*> order;
     order.reserve(jobs.size());
     for (const auto& job : jobs) order.push_back(&job);
--- a/src/core/plan_release.h
+++ b/src/core/plan_release.h
@@ -18,11 +18,11 @@
     /// Whether the guarantees would lack capacity without the machine.
     [[nodiscard]] bool needs(MachinePosition machine) const;
     /// The machine is given up.
-    void give_up(MachinePosition machine) { left_ -= snapshot_.machines[machine].capacity; }
+    void remove(MachinePosition machine) { remaining_ -= snapshot_.machines[machine].capacity; }
 
   private:
     const Snapshot& snapshot_;
-    Resources left_;  // capacity of all machines but those given up
+    Resources remaining_;  // capacity of all machines but those given up
 };
 
 /// Releases idle machines, expensive ones first.
@@ -36,7 +36,7 @@
     void run();
 
   private:
-    [[nodiscard]] bool idle_for_long(MachinePosition at) const;
+    [[nodiscard]] bool idle_past_retention(MachinePosition at) const;
 
     PlanState& state_;
     GuaranteedCapacity& guaranteed_;
--- a/src/core/plan_reservation.cpp
+++ b/src/core/plan_reservation.cpp
@@ -12,7 +12,7 @@
 void ReservationPhase::reserve(const QueuedJob& job, std::uint32_t count) {
     MachineSet best;
     for (const auto zone : candidate_zones(job.spec, state_.snapshot.zone_count)) {
-        auto soonest = soonest_in(job, zone, count);
+        auto soonest = find_soonest(job, zone, count);
         if (soonest.after_s < best.after_s) best = std::move(soonest);
     }
     if (!within_share(best.machines.size())) return;
@@ -28,8 +28,8 @@
 }
 
 // The machines of a candidate zone that fit the tasks soonest; none if they never do.
-ReservationPhase::MachineSet ReservationPhase::soonest_in(const QueuedJob& job, ZoneIndex zone,
-                                                          std::uint32_t count) {
+ReservationPhase::MachineSet ReservationPhase::find_soonest(const QueuedJob& job, ZoneIndex zone,
+                                                            std::uint32_t count) {
     const auto& machines = state_.snapshot.machines;
     const auto& need = job.spec.need;
     std::vector<AvailableMachine> available;
@@ -57,10 +57,10 @@
     auto available = state_.capacity.free(machine);
     if (available.covers(need)) return 0;
     const auto& allocations = state_.allocations;
-    const auto on_machine = allocations.on(machine);
+    const auto on_machine = allocations.on_machine(machine);
     std::vector<AllocationPosition> order(on_machine.begin(), on_machine.end());
     const auto remaining_s = [&](AllocationPosition at) {
-        return allocations.ends(at) ? 0.0 : allocations.view(at).remaining_s;
+        return allocations.is_ending(at) ? 0.0 : allocations.view(at).remaining_s;
     };
     std::sort(order.begin(), order.end(),
               [&](auto left, auto right) { return remaining_s(left) < remaining_s(right); });
--- a/src/core/plan_reservation.h
+++ b/src/core/plan_reservation.h
@@ -29,7 +29,7 @@
         double after_s = kMaxCost;  // until one task fits on each
     };
 
-    MachineSet soonest_in(const QueuedJob& job, ZoneIndex zone, std::uint32_t count);
+    MachineSet find_soonest(const QueuedJob& job, ZoneIndex zone, std::uint32_t count);
     [[nodiscard]] double available_after_s(MachinePosition machine, const Resources& need) const;
     [[nodiscard]] bool within_share(std::size_t machines) const;
 
--- a/src/core/plan_score.h
+++ b/src/core/plan_score.h
@@ -111,10 +111,10 @@
 
 /// A machine with its score, in a heap with the highest score on top.
 struct ScoredMachine {
-    double score = 0;             ///< points, less the crowding
-    MachinePosition machine = 0;  ///< the machine
-    Resources available;          ///< what of it the next task can use
-    double crowding = 0;          ///< points taken off for other replicas of the service
+    double score = 0;               ///< points, less the crowding
+    MachinePosition machine = 0;    ///< the machine
+    Resources available;            ///< what of it the next task can use
+    double colocation_penalty = 0;  ///< points taken off for other replicas of the service
     /// By score; among equals the machine that comes first in the snapshot is the greater.
     bool operator<(const ScoredMachine& other) const {
         return score != other.score ? score < other.score : machine > other.machine;
--- a/src/core/plan_state.h
+++ b/src/core/plan_state.h
@@ -30,20 +30,20 @@
     void nominate(const JobSpec& spec, const Placement& placement) {
         for (const auto machine : placement.machines) capacity.take(machine, spec.need);
         quota.use(spec, placement.tasks());
-        capacity.thin_out();
+        capacity.prune_full_machines();
     }
     /// Counts a machine or allocation that was looked at.
     void count_step() { ++plan.steps; }
 
-    const Snapshot& snapshot;     ///< what is planned for
-    AllocationTable allocations;  ///< what runs, and the victims
-    FreeCapacityIndex capacity;   ///< capacity left
-    QuotaTracker quota;           ///< quota left
-    ImageFetches fetches;         ///< images, and fetches of the tasks that start
-    MachineFilter filter;         ///< where tasks may go
-    MachineScore score;           ///< where they had best go
-    FailedFits failed_fits;       ///< what is known not to fit
-    Plan plan;                    ///< the decisions
+    const Snapshot& snapshot;            ///< what is planned for
+    AllocationTable allocations;         ///< what runs, and the victims
+    FreeCapacityIndex capacity;          ///< capacity left
+    QuotaTracker quota;                  ///< quota left
+    ImageFetches fetches;                ///< images, and fetches of the tasks that start
+    MachineFilter filter;                ///< where tasks may go
+    MachineScore score;                  ///< where they had best go
+    FailedPlacements failed_placements;  ///< what is known not to fit
+    Plan plan;                           ///< the decisions
 };
 
 }  // namespace lichendrift::core
--- a/src/core/plan_warm_capacity.cpp
+++ b/src/core/plan_warm_capacity.cpp
@@ -10,31 +10,32 @@
 
 }  // namespace
 
-void WarmCapacityPhase::before(const QueuedJob& job) {
+void WarmCapacityPhase::before_job(const QueuedJob& job) {
     if (kept_ || job.spec.has_start_objective || job.waiting.slack_s <= kUrgentSlackS) return;
     kept_ = true;
     for (const auto& warm : state_.snapshot.warm_capacity) {
-        if (warm.spec.priority <= job.spec.priority) keep(warm);
+        if (warm.spec.priority <= job.spec.priority) keep_free(warm);
     }
 }
 
 void WarmCapacityPhase::after_all_jobs() {
     if (kept_) return;
-    for (const auto& warm : state_.snapshot.warm_capacity) keep(warm);
+    for (const auto& warm : state_.snapshot.warm_capacity) keep_free(warm);
 }
 
-void WarmCapacityPhase::keep(const WarmCapacity& warm) {
+void WarmCapacityPhase::keep_free(const WarmCapacity& warm) {
     auto left = warm.tasks;
     for (const auto source : {CapacitySource::Free, CapacitySource::Booting}) {
-        collect(warm.spec, source, left);
+        collect_candidates(warm.spec, source, left);
         left -= take_best(warm.spec, left);
     }
-    state_.capacity.thin_out();
+    state_.capacity.prune_full_machines();
     if (left > 0) provisioning_.request_warm(warm.spec, left);
 }
 
 // Scores the machines that fit a task; none if no task is left.
-void WarmCapacityPhase::collect(const JobSpec& spec, CapacitySource source, std::uint32_t count) {
+void WarmCapacityPhase::collect_candidates(const JobSpec& spec, CapacitySource source,
+                                           std::uint32_t count) {
     candidates_.clear();
     for (const auto at : state_.capacity.machines_with(source)) {
         if (count == 0) break;
--- a/src/core/plan_warm_capacity.h
+++ b/src/core/plan_warm_capacity.h
@@ -15,13 +15,13 @@
 
     /// Called before each job is placed: keeps the capacity before the first job that can wait.
     /// What a class could preempt from that job on needs no keeping.
-    void before(const QueuedJob& job);
+    void before_job(const QueuedJob& job);
     /// Called when all jobs are placed: keeps the capacity of all classes, if no job could wait.
     void after_all_jobs();
 
   private:
-    void keep(const WarmCapacity& warm);
-    void collect(const JobSpec& spec, CapacitySource source, std::uint32_t count);
+    void keep_free(const WarmCapacity& warm);
+    void collect_candidates(const JobSpec& spec, CapacitySource source, std::uint32_t count);
     std::uint32_t take_best(const JobSpec& spec, std::uint32_t count);
 
     PlanState& state_;
