--- a/src/core/plan_allocations.cpp
+++ b/src/core/plan_allocations.cpp
@@ -1,11 +1,11 @@
-// The snapshot's allocations by machine and rank, and which of them a plan preempts.
+// The snapshot's allocations by machine and rank, and the victims that a plan preempts.
 #include "core/plan_allocations.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// Positions by machine index.
+// Maps machine indices to positions in the snapshot.
 std::vector<MachinePosition> positions_of(const std::vector<MachineView>& machines) {
     MachineIndex last = 0;
     for (const auto& machine : machines) last = std::max(last, machine.index);
--- a/src/core/plan_allocations.h
+++ b/src/core/plan_allocations.h
@@ -1,4 +1,4 @@
-// The snapshot's allocations by machine and rank, and which of them a plan preempts.
+// The snapshot's allocations by machine and rank, and the victims that a plan preempts.
 #pragma once
 
 #include <map>
@@ -8,47 +8,47 @@
 
 namespace lichendrift::core {
 
-/// What decides whether an allocation may be preempted, and by whom.
+/// The properties of an allocation that decide which jobs may preempt it.
 struct AllocationRank {
-    bool in_guarantee = false;             ///< of a job within its team's guarantee
-    Priority priority = Priority::Normal;  ///< of its job
-    TeamIndex team = kInvalidIndex;        ///< of its job
-    /// Member by member.
+    bool in_guarantee = false;             ///< whether its job is within its team's guarantee
+    Priority priority = Priority::Normal;  ///< priority of its job
+    TeamIndex team = kInvalidIndex;        ///< team of its job
+    /// Compares member by member.
     auto operator<=>(const AllocationRank&) const = default;
 };
 
-/// The snapshot's allocations. Victims, once marked, count as stopping.
+/// The snapshot's allocations. An allocation marked as a victim counts as being stopped.
 class AllocationTable {
   public:
-    /// Keeps a reference to the snapshot.
+    /// Keeps a reference to the snapshot, which has to outlive it.
     explicit AllocationTable(const Snapshot& snapshot);
 
     /// Number of allocations.
     [[nodiscard]] std::size_t size() const { return views_.size(); }
-    /// The allocation as in the snapshot.
+    /// The allocation as it is in the snapshot.
     [[nodiscard]] const AllocationView& view(AllocationPosition at) const { return views_[at]; }
-    /// Its job.
+    /// The job of the allocation.
     [[nodiscard]] const JobView& job(AllocationPosition at) const { return *jobs_[at]; }
-    /// Its resources.
+    /// The resources that the allocation takes up.
     [[nodiscard]] const Resources& resources(AllocationPosition at) const {
         return jobs_[at]->spec.need;
     }
-    /// Its machine.
+    /// The machine of the allocation.
     [[nodiscard]] MachinePosition machine(AllocationPosition at) const { return machines_[at]; }
-    /// The allocations of a machine.
+    /// The allocations on a machine, in the order of the snapshot.
     [[nodiscard]] std::span<const AllocationPosition> on_machine(MachinePosition machine) const {
         return {by_machine_.data() + first_of_machine_[machine],
                 first_of_machine_[machine + 1] - first_of_machine_[machine]};
     }
-    /// Whether the plan preempts it.
+    /// Whether the plan preempts the allocation.
     [[nodiscard]] bool is_victim(AllocationPosition at) const { return victim_[at] != 0; }
-    /// Whether it is being stopped or the plan preempts it.
+    /// Whether the allocation is being stopped or the plan preempts it.
     [[nodiscard]] bool is_ending(AllocationPosition at) const {
         return views_[at].stopping || is_victim(at);
     }
-    /// The plan preempts it.
+    /// Marks the allocation as preempted by the plan.
     void mark_victim(AllocationPosition at) { victim_[at] = 1; }
-    /// Every rank that is not stopping, with one allocation of it.
+    /// The ranks of all allocations that are not being stopped, each with one such allocation.
     [[nodiscard]] const std::map<AllocationRank, AllocationPosition>& ranks() const {
         return ranks_;
     }
@@ -57,8 +57,8 @@
     const std::vector<AllocationView>& views_;
     std::vector<MachinePosition> machines_;
     std::vector<const JobView*> jobs_;
-    std::vector<std::size_t> first_of_machine_;  // into by_machine_
-    std::vector<AllocationPosition> by_machine_;
+    std::vector<std::size_t> first_of_machine_;   // offsets into by_machine_
+    std::vector<AllocationPosition> by_machine_;  // grouped by machine
     std::vector<char> victim_;
     std::map<AllocationRank, AllocationPosition> ranks_;
 };
