--- a/src/core/plan_capacity.cpp
+++ b/src/core/plan_capacity.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kTakesBetweenPrunes = 16;
 
-// The least of each resource that any waiting job or warm capacity asks for.
+// The minimum of each resource over the needs of all waiting jobs and warm capacity.
 Resources smallest_need_of(const Snapshot& snapshot) {
     Resources smallest;
     bool any = false;
