--- a/src/core/plan_drain.cpp
+++ b/src/core/plan_drain.cpp
@@ -1,19 +1,20 @@
-// Machines whose work fits elsewhere, drained to save their price.
+// Drains machines whose tasks fit on other machines, to save their price.
 #include "core/plan_drain.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// Machines tried in a plan, beside two for each that may be drained.
+// A plan examines this many machines, plus two for each that it may drain.
 constexpr std::size_t kBaseMachinesTried = 16;
-// Work that ends within so long is left to end; work with less left is not worth a move.
+// Tasks that end within kEndsSoonS are left to finish. A task is moved only if it has more than
+// kMinRemainingToMoveS left and saves its checkpoint in less than kMaxSaveToMoveS.
 constexpr double kEndsSoonS = 40;
 constexpr double kMinRemainingToMoveS = 60;
 constexpr double kMaxSaveToMoveS = 10;
-// Fetching the image may take so much of what is left to run.
+// Fetching the image may take at most this share of the task's remaining run time.
 constexpr double kMaxFetchShare = 0.12;
-// A replica is moved after running for so long at the earliest.
+// A service replica is moved only after running for longer than this.
 constexpr Millis kMinReplicaRunMs = 600'000;
 
 }  // namespace
@@ -54,7 +55,8 @@
     return result;
 }
 
-// Whether each task of the machine ends soon or fits on another one; takes that capacity if so.
+// Whether each task of the machine ends soon or fits on another machine. If so, takes the capacity
+// for the moves; otherwise gives it back.
 bool DrainPhase::find_moves(MachinePosition from) {
     moves_.clear();
     bool all_fit = true;
@@ -76,7 +78,7 @@
     return all_fit;
 }
 
-// Whether the task loses little by a move.
+// Whether the task loses little work if it is moved.
 bool DrainPhase::can_move(AllocationPosition at) const {
     const auto& view = state_.allocations.view(at);
     const auto& spec = state_.allocations.job(at).spec;
@@ -86,7 +88,8 @@
            view.remaining_s > kMinRemainingToMoveS;
 }
 
-// A cheaper machine, or one as cheap and in use; the number of machines if there is none.
+// Returns a cheaper machine, or else one in use at the same price; the number of machines if there
+// is none.
 MachinePosition DrainPhase::find_target(AllocationPosition at) {
     const auto from = state_.allocations.machine(at);
     const auto count = state_.snapshot.machines.size();
@@ -109,8 +112,8 @@
     if (!state_.capacity.free(to).covers(spec.need) || to == from || !machine.usable) return false;
     if (state_.capacity.reserved(to) || drained_[to] != 0) return false;
     if (!MachineFilter::allows(spec, machine) || hourly(to) > hourly(from)) return false;
-    // The rest of its gang stays where it is; a replica keeps its zone, so that what has to be
-    // apart stays so.
+    // A task of a job with `one_zone` has to stay in the zone of the job's other tasks. A service
+    // replica keeps its zone, so that the spread of the replicas over the zones stays as it is.
     const bool bound_to_zone = (spec.one_zone && spec.count > 1) || spec.service;
     if (bound_to_zone && machine.zone != state_.snapshot.machines[from].zone) return false;
     const auto remaining_s = state_.allocations.view(at).remaining_s;
--- a/src/core/plan_drain.h
+++ b/src/core/plan_drain.h
@@ -1,29 +1,31 @@
-// Machines whose work fits elsewhere, drained to save their price.
+// Drains machines whose tasks fit on other machines, to save their price.
 #pragma once
 
 #include "core/plan_release.h"
 
 namespace lichendrift::core {
 
-/// Exception 4 of docs/design.md: drains machines whose work can go on elsewhere. What has
-/// checkpoints is moved, the rest is left to end. The expensive ones go first, a share of the fleet
-/// at a time: one at a time took most of an hour to shrink a fleet of a thousand. The protocol lets
-/// tasks be stopped to release a machine.
+/// Drains machines whose tasks can continue elsewhere (docs/design.md, exception 4: tasks may be
+/// stopped to release a machine, which the protocol allows). Tasks with checkpoints and service
+/// replicas are moved; tasks that end soon are left to finish. Expensive machines are drained
+/// first, a share of them per plan: draining one at a time took most of an hour to shrink a fleet
+/// of a thousand machines.
 class DrainPhase {
   public:
-    /// Keeps references to both.
+    /// Keeps references to both arguments, which have to outlive it.
     DrainPhase(PlanState& state, GuaranteedCapacity& guaranteed)
         : state_(state), guaranteed_(guaranteed) {}
 
-    /// Selects the machines to drain, unless capacity is short or anything is preempted.
+    /// Selects the machines to drain. Does nothing if the plan lacks capacity or preempts tasks, or
+    /// if the snapshot forbids drains.
     void run();
 
   private:
     struct Candidate {
-        double hourly = 0;            // price of an hour
-        std::size_t allocations = 0;  // number on it
+        double hourly = 0;            // price per hour
+        std::size_t allocations = 0;  // number of allocations on the machine
         MachinePosition machine = 0;
-        // Expensive machines first, then those with little work.
+        // Expensive machines first, then those with few allocations.
         bool operator<(const Candidate& other) const {
             if (hourly != other.hourly) return hourly > other.hourly;
             if (allocations != other.allocations) return allocations < other.allocations;
@@ -47,7 +49,7 @@
     PlanState& state_;
     GuaranteedCapacity& guaranteed_;
     std::vector<char> drained_;  // by machine
-    std::vector<Move> moves_;    // off the machine that is looked at
+    std::vector<Move> moves_;    // moves off the machine under examination
 };
 
 }  // namespace lichendrift::core
