--- a/src/core/plan_filter.cpp
+++ b/src/core/plan_filter.cpp
@@ -1,4 +1,4 @@
-// Candidate zones, and the memory of what did not fit.
+// Candidate zones and the record of failed placements.
 #include "core/plan_filter.h"
 
 namespace lichendrift::core {
@@ -16,7 +16,8 @@
             spec.one_zone, spec.apart,    job.waiting.in_guarantee};
 }
 
-// Whether nothing but its key decides where the job fits.
+// Whether the key alone decides where the job fits: the job is bound neither by machines that it
+// avoids nor by where its other tasks are.
 bool FailedPlacements::depends_on_key_only(const QueuedJob& job) {
     const auto& waiting = job.waiting;
     return waiting.avoided_machines.empty() &&
--- a/src/core/plan_filter.h
+++ b/src/core/plan_filter.h
@@ -1,4 +1,4 @@
-// Candidate zones and the filter: where tasks of a job may go at all (KEP-5732, phase 1).
+// Candidate zones and the filter: where tasks of a job may be placed at all (KEP-5732, phase 1).
 #pragma once
 
 #include <array>
@@ -9,25 +9,26 @@
 
 namespace lichendrift::core {
 
-/// The zones to try one after the other for a job that must be in one zone; kInvalidIndex, the
-/// fleet as a whole, for others.
+/// The zones to try one after the other for a job whose tasks must share a zone. For other jobs the
+/// only entry is the required zone or, without one, kInvalidIndex, which stands for all zones.
 std::vector<ZoneIndex> candidate_zones(const JobSpec& spec, std::size_t zone_count);
 
-/// Decides whether a task may go to a machine, its capacity aside.
+/// Decides whether a task may be placed on a machine, regardless of the machine's capacity.
 class MachineFilter {
   public:
-    /// Keeps references to both.
+    /// Keeps references to the snapshot's machines and to the capacity; both have to outlive it.
     MachineFilter(const Snapshot& snapshot, const FreeCapacityIndex& capacity)
         : machines_(snapshot.machines), capacity_(capacity) {}
 
-    /// Whether the job asks for such a machine: its type, zone and price model.
+    /// Whether the job allows the machine's type, zone and price model.
     [[nodiscard]] static bool allows(const JobSpec& spec, const MachineView& machine) {
         return machine.type < kMaxTypes && (spec.types >> machine.type & 1) != 0 &&
                (spec.zone == kInvalidIndex || spec.zone == machine.zone) &&
                (spec.spot || !machine.spot);
     }
-    /// Whether the machine is in the candidate zone, not reserved, and right for the job, for its
-    /// other tasks and after its failures.
+    /// Whether the job may use the machine: it is in the candidate zone, not reserved, allowed by
+    /// the job, in the zone of the job's other tasks if they must share one, and not avoided by the
+    /// job after failures.
     [[nodiscard]] bool admits(const QueuedJob& job, ZoneIndex candidate, MachinePosition at) const {
         const auto& machine = machines_[at];
         if (capacity_.reserved(at) || !allows(job.spec, machine)) return false;
@@ -43,20 +44,22 @@
     const FreeCapacityIndex& capacity_;
 };
 
-/// Remembers what did not fit: the next job that asks the same of the machines is not tried
-/// (docs/design.md, "How a plan keeps its cost by what waits").
+/// Remembers the requests that did not fit, so that other jobs with the same requirements are not
+/// tried again, which bounds the cost of a plan (docs/design.md, "How a plan keeps its cost by what
+/// waits").
 class FailedPlacements {
   public:
-    /// Whether the request is known not to fit. Partial requests fail from one task on.
+    /// Whether the request is known not to fit. A partial request fails only if not even one task
+    /// fits.
     [[nodiscard]] bool is_known_to_fail(const PlacementRequest& request,
                                         CapacitySource source) const;
-    /// The request, in part or as a whole, found no capacity.
+    /// Records that the request, or a part of its tasks, found no capacity.
     void record(const PlacementRequest& request, CapacitySource source);
-    /// Resources are being released: what did not fit there may fit now.
+    /// Clears the failures that depend on releasing capacity, after more is being released.
     void clear_releasing();
 
   private:
-    // Jobs with the same key ask the same of the machines: if one does not fit, none does.
+    // Jobs with the same key have the same requirements: if one does not fit, none does.
     struct Key {
         Resources need;
         std::uint64_t types = 0;
@@ -70,7 +73,7 @@
         auto operator<=>(const Key&) const = default;
     };
     static constexpr auto kNoFailure = std::numeric_limits<std::uint32_t>::max();
-    // By source: the smallest number of tasks that does not fit.
+    // The smallest number of tasks that does not fit, by capacity source.
     using MinTasks = std::array<std::uint32_t, kCapacitySources>;
 
     static Key key_of(const QueuedJob& job);
