--- a/src/core/plan_new_machines.cpp
+++ b/src/core/plan_new_machines.cpp
@@ -1,12 +1,13 @@
-// Machines that a plan provisions.
+// The machines that a plan provisions.
 #include "core/plan_new_machines.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-constexpr std::size_t kMaxNewMachines = 200;  // of a plan
-// A zone with all machines costs a fifth more; the base damps the share of small fleets.
+constexpr std::size_t kMaxNewMachines = 200;  // per plan
+// Raises the cost of a zone with its share of the machines, by a fifth if it has all of them. The
+// base is added to the number of machines, so that the share matters less in a small fleet.
 constexpr double kZoneSpread = 0.2;
 constexpr std::size_t kZoneSpreadBase = 100;
 
@@ -56,7 +57,8 @@
     return std::find(refused.begin(), refused.end(), pool) == refused.end();
 }
 
-// The machine with the lowest price per task that fits on it.
+// Returns the machine with the lowest price per task that fits on it, adjusted for the spread over
+// zones; none if nothing allowed can be provisioned.
 std::optional<NewMachines::NewMachine> NewMachines::cheapest(const JobSpec& spec, ZoneIndex zone,
                                                              bool spot) {
     const auto& types = state_.snapshot.types;
@@ -74,7 +76,8 @@
             const ProvisioningPool pool{index, type_zone, spot};
             if (zone != kInvalidIndex && type_zone != zone) continue;
             if (!provisionable(spec, pool)) continue;
-            // Spread machines over the zones: one wave of reclaims, or one cut, takes fewer.
+            // Spreads machines over the zones, so that one wave of spot reclaims or the loss of
+            // the connection to a zone affects fewer of them.
             const auto in_zone = static_cast<double>(machines_by_zone_[type_zone]);
             const auto cost = price * (1.0 + kZoneSpread * in_zone / fleet);
             if (cost >= lowest_cost) continue;
--- a/src/core/plan_new_machines.h
+++ b/src/core/plan_new_machines.h
@@ -1,4 +1,4 @@
-// Machines that a plan provisions.
+// The machines that a plan provisions.
 #pragma once
 
 #include <optional>
@@ -7,21 +7,24 @@
 
 namespace lichendrift::core {
 
-/// The machines to provision, with the capacity that tasks leave on each.
+/// The machines to provision, with the capacity left on each by the tasks placed there.
 class NewMachines {
   public:
-    /// Keeps a reference to the state.
+    /// Keeps a reference to the state, which has to outlive it.
     explicit NewMachines(PlanState& state) : state_(state) {}
 
-    /// Finds capacity on new machines for tasks of the job, adding spot or on-demand machines as
-    /// needed, in the zone or, with kInvalidIndex, in any. Returns for how many there is none.
+    /// Places `count` tasks of the job on new machines, adding spot or on-demand machines as
+    /// needed, in the zone or, with kInvalidIndex, in any zone. Returns the number of tasks not
+    /// placed.
     std::uint32_t place(const JobSpec& spec, ZoneIndex zone, std::uint32_t count, bool spot);
-    /// Adds to each zone the number of the job's tasks that new machines there still fit.
+    /// Adds to the entry of each zone the number of the job's tasks that still fit on its new
+    /// machines.
     void add_fitting(const JobSpec& spec, std::vector<std::int64_t>& fitting_by_zone) const;
-    /// Number of machines by zone, new ones included; the last entry is of those in no known zone.
+    /// Number of machines by zone, including new ones; the last entry counts machines without a
+    /// known zone.
     const std::vector<std::int64_t>& machines_by_zone();
-    /// The machines by pool, in the order in which they were added: where the cloud has few left,
-    /// what waits first gets them.
+    /// The machines to provision, grouped by pool in the order in which they were added: if the
+    /// cloud has little capacity left, jobs that come first in the queue are served first.
     [[nodiscard]] std::vector<Provision> provisions() const;
 
   private:
@@ -37,7 +40,7 @@
 
     PlanState& state_;
     std::vector<NewMachine> machines_;
-    std::vector<std::size_t> with_capacity_;  // positions of those with any capacity
+    std::vector<std::size_t> with_capacity_;  // positions of machines that may fit a task
     std::vector<std::int64_t> machines_by_zone_;
 };
 
