--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -1,13 +1,13 @@
-// Trial placement: the best machines for tasks of a job (KEP-5732, phases 2 and 3).
+// Trial placement: finds the best machines for tasks of a job (KEP-5732, phases 2 and 3).
 #include "core/plan_placement.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// Points off for each replica of the same service on the machine and in the zone: the loss of one
-// should take few replicas with it (docs/design.md, "Services"). The machine's is less than the
-// weight of the image being there.
+// Points subtracted for each replica of the same service on the machine and in the zone, so that
+// the loss of a machine or a zone takes down few replicas (docs/design.md, "Services"). The penalty
+// for the machine is less than the weight of the image being there (kImageWeight).
 constexpr double kMachineColocationPenalty = 2.5;
 constexpr double kZoneColocationPenalty = 0.5;
 
@@ -23,7 +23,7 @@
             if (zone != kInvalidIndex) rejected_zones.push_back(zone);
             continue;
         }
-        // With a partial placement more tasks come first, then the tightest fit.
+        // A partial placement with more tasks wins over one with a higher score.
         if (placement.tasks() > best.tasks() ||
             (placement.tasks() == best.tasks() && placement.score > best.score)) {
             best = std::move(placement);
@@ -34,7 +34,8 @@
     return best;
 }
 
-// Scores each machine that fits a task at least; returns how many tasks fit on all of them.
+// Scores each machine that fits at least one task; returns how many tasks fit on all of them
+// together.
 std::int64_t PlacementPhase::score_candidates(const QueuedJob& job, ZoneIndex zone,
                                               CapacitySource source) {
     const auto& spec = job.spec;
@@ -50,13 +51,13 @@
     return fitting;
 }
 
-// Places the tasks one by one inside a candidate zone, each where it scores best.
+// Places the tasks one by one in a candidate zone, each on the machine with the highest score.
 Placement PlacementPhase::place_in(const PlacementRequest& request, ZoneIndex zone,
                                    CapacitySource source) {
     const auto& spec = request.job.spec;
     const auto fitting = score_candidates(request.job, zone, source);
     Placement placement;
-    // KEP-5732's early rejection.
+    // Early rejection (KEP-5732): the zone as a whole lacks capacity for the request.
     if (candidates_.empty() || (!request.partial && fitting < request.count)) return placement;
     auto zone_counts = request.job.waiting.zone_counts;
     zone_counts.resize(state_.snapshot.zone_count);
@@ -85,8 +86,8 @@
     return placement;
 }
 
-// Lowers the score of a machine for the replicas that were placed since it was computed; returns
-// whether it fell.
+// Lowers the score of a machine by the penalty for replicas placed since the score was computed;
+// returns whether the score fell.
 bool PlacementPhase::apply_colocation_penalty(ScoredMachine& candidate, const QueuedJob& job,
                                               const std::vector<std::uint32_t>& zone_counts,
                                               const std::vector<MachinePosition>& chosen) const {
@@ -103,7 +104,8 @@
     return true;
 }
 
-// The machine at the heap's back got a task: it stays a candidate while another one fits.
+// Called after the candidate at the heap's back got a task: updates its score and puts it back into
+// the heap, or removes it if no further task fits.
 void PlacementPhase::reinsert_candidate(const JobSpec& spec) {
     auto& candidate = candidates_.back();
     candidate.available -= spec.need;
--- a/src/core/plan_placement.h
+++ b/src/core/plan_placement.h
@@ -1,19 +1,19 @@
-// Trial placement: the best machines for tasks of a job (KEP-5732, phases 2 and 3).
+// Trial placement: finds the best machines for tasks of a job (KEP-5732, phases 2 and 3).
 #pragma once
 
 #include "core/plan_state.h"
 
 namespace lichendrift::core {
 
-/// Trial-places tasks in each candidate zone and selects the best placement. Changes nothing but
-/// the step count and the memory of what did not fit.
+/// Places tasks on trial in each candidate zone and selects the best placement. Changes nothing in
+/// the state but the step count and the record of failed placements.
 class PlacementPhase {
   public:
-    /// Keeps a reference to the state.
+    /// Keeps a reference to the state, which has to outlive it.
     explicit PlacementPhase(PlanState& state) : state_(state) {}
 
-    /// The placement with most tasks, then the highest score; none found if the request does not
-    /// fit into capacity of the source.
+    /// Returns the placement with the most tasks, then the highest score. It is empty if the
+    /// request does not fit into capacity of the source.
     Placement find(const PlacementRequest& request, CapacitySource source);
 
   private:
@@ -25,7 +25,7 @@
     void reinsert_candidate(const JobSpec& spec);
 
     PlanState& state_;
-    std::vector<ScoredMachine> candidates_;  // of the trial under way: kept to save allocations
+    std::vector<ScoredMachine> candidates_;  // of the current trial; a member to reuse its memory
 };
 
 }  // namespace lichendrift::core
