--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -1,12 +1,12 @@
-// Preemption: whose tasks may be stopped for whom, and which of them are.
+// Preemption: which tasks may be stopped for a job, and which of them the plan stops.
 #include "core/plan_preemption.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-constexpr double kVictimCost = 5;    // of each victim, beside a point for a second of lost work
-constexpr double kScoreShare = 0.5;  // of the machine's score, taken off the cost
+constexpr double kVictimCost = 5;    // per victim, plus one point per second of lost work
+constexpr double kScoreShare = 0.5;  // share of the machine's score subtracted from the cost
 
 }  // namespace
 
@@ -105,8 +105,8 @@
     }
 }
 
-// Fills in the victims that have to go from the machine, so that one more task fits into what is
-// available there; false if that can't be.
+// Selects the victims to stop on the machine so that one more task fits there, lowest priority and
+// least lost work first. Returns false if it does not fit even without all possible victims.
 bool PreemptionPhase::plan_eviction(const QueuedJob& job,
                                     const std::vector<AllocationPosition>& chosen,
                                     Eviction& eviction) {
@@ -134,7 +134,8 @@
     return true;
 }
 
-// Lists what may be preempted on the machine, but for victims chosen already; returns its sum.
+// Collects the allocations on the machine that may be preempted, except victims already chosen.
+// Returns the sum of their resources.
 Resources PreemptionPhase::collect_victims(const QueuedJob& job, MachinePosition machine,
                                            const std::vector<AllocationPosition>& chosen) {
     Resources sum;
@@ -149,7 +150,7 @@
     return sum;
 }
 
-// Victims that turned out not to be needed are spared, as KEP-5732 reprieves them.
+// Removes victims that turned out not to be needed (a reprieve in KEP-5732).
 void PreemptionPhase::remove_unneeded_victims(const Resources& need, Eviction& eviction) const {
     auto& victims = eviction.victims;
     for (auto victim = victims.begin(); victim != victims.end();) {
@@ -171,7 +172,7 @@
                                   state_.allocations.resources(victim));
 }
 
-// Stopping one task of a gang stops the gang.
+// Stopping one task of a gang stops the whole gang.
 void PreemptionPhase::mark_rest_of_gang(AllocationPosition victim) {
     const auto job = state_.allocations.view(victim).job;
     for (AllocationPosition at = 0; at < state_.allocations.size(); ++at) {
--- a/src/core/plan_preemption.h
+++ b/src/core/plan_preemption.h
@@ -1,34 +1,36 @@
-// Preemption: whose tasks may be stopped for whom, and which of them are.
+// Preemption: which tasks may be stopped for a job, and which of them the plan stops.
 #pragma once
 
 #include "core/plan_state.h"
 
 namespace lichendrift::core {
 
-/// Finds the cheapest victims for a job and takes their resources (KEP-5732, integration with
-/// workload-aware preemption).
+/// Finds the cheapest victims for a job and takes their resources for it (KEP-5732, integration
+/// with workload-aware preemption).
 class PreemptionPhase {
   public:
-    /// Keeps a reference to the state.
+    /// Keeps a reference to the state, which has to outlive it.
     explicit PreemptionPhase(PlanState& state) : state_(state) {}
 
-    /// Whether anything that runs may be preempted for the job.
+    /// Whether any allocation may be preempted for the job.
     bool has_victims(const QueuedJob& job);
-    /// Machines on which the request fits with victims removed: most tasks, then the lowest cost.
+    /// Returns the placement with the most tasks, then the lowest cost of victims. It is empty if
+    /// the request does not fit even with preemption.
     Placement find(const PlacementRequest& request);
-    /// The same, on machines that have the image only (docs/design.md, exception 2).
+    /// Like find(), but only on machines that have the image, so that no fetch delays the start
+    /// (docs/design.md, exception 2).
     Placement find_with_image(const PlacementRequest& request);
     /// Preempts the victims of the placement and nominates its machines for the job.
     void preempt(const QueuedJob& job, const Placement& placement);
 
   private:
-    // The cheapest way to fit one more task on a machine.
+    // The victims to stop on a machine so that one more task fits there.
     struct Eviction {
         double cost = 0;
         MachinePosition machine = 0;
-        Resources available;  // with the victims gone
+        Resources available;  // once the victims are stopped
         std::vector<AllocationPosition> victims;
-        // The lowest cost is on top of a heap.
+        // Puts the lowest cost on top of a heap.
         bool operator<(const Eviction& other) const {
             return cost != other.cost ? cost > other.cost : machine > other.machine;
         }
@@ -52,7 +54,7 @@
     void mark_rest_of_gang(AllocationPosition victim);
 
     PlanState& state_;
-    // Of the search under way: kept to save allocations.
+    // Buffers of the current search; members to reuse their memory.
     std::vector<AllocationPosition> possible_victims_;
     std::vector<Eviction> evictions_;
     Eviction scratch_;
