--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -1,4 +1,4 @@
-// Machines to provision for tasks that found no capacity.
+// Provisions machines for tasks that found no capacity.
 #include "core/plan_provisioning.h"
 
 namespace lichendrift::core {
@@ -7,7 +7,7 @@
 
 constexpr std::uint32_t kMaxTasksPerDemand = 400;
 
-// Whether no zone may get more than half of the tasks, and any zone a part.
+// Whether no zone may hold more than half of the tasks, and every zone may hold some.
 bool spreads_over_zones(const JobSpec& spec) {
     return spec.apart && !spec.one_zone && spec.zone == kInvalidIndex;
 }
@@ -16,16 +16,17 @@
 
 void ProvisioningPhase::run() {
     for (const auto& demand : demands_) provision(demand);
-    // Warm capacity is provisioned only where it is cheap.
+    // Warm capacity on spot machines, the cheap ones, wherever the class may use them.
     for (const auto& [spec, count] : warm_demands_) {
         new_machines_.place(*spec, kInvalidIndex, count, spec->spot);
     }
     state_.plan.provisions = new_machines_.provisions();
 }
 
-// Capacity that is free again in time needs no new machine. On-demand machines cost a multiple of
-// spot ones, so work that has time waits longer before it gets one. A gang of one zone needs its
-// machines together; where the cloud refuses, the next zone is asked for the rest.
+// Tasks whose capacity becomes free within their job's wait time get no new machine. On-demand
+// machines cost several times as much as spot machines, so jobs with slack wait longer before they
+// get one. A one-zone gang needs its machines in one zone, so the zones are tried one after the
+// other, each for the tasks that the zones before it could not take.
 void ProvisioningPhase::provision(const Demand& demand) {
     const auto& job = *demand.job;
     const auto& spec = job.spec;
@@ -47,14 +48,14 @@
     for (const auto zone : zones) left = new_machines_.place(spec, zone, left, false);
 }
 
-// No zone gets more than half of the job: what is free or provisioned there beyond that is of no
-// use to it (docs/design.md, exception 5).
+// No zone may hold more than half of the job's tasks, so capacity beyond that in a zone is of no
+// use to the job: it is neither counted nor provisioned (docs/design.md, exception 5).
 void ProvisioningPhase::provision_spread(const QueuedJob& job, std::uint32_t count) {
     const auto& spec = job.spec;
     const auto max_in_zone = max_tasks_in_zone(spec);
     const auto fitting = fitting_by_zone(job);
     const auto& zone_counts = job.waiting.zone_counts;
-    // Number of tasks that may still be added to each zone.
+    // The largest number of tasks to provision for, by zone.
     std::vector<std::uint32_t> allowed(state_.snapshot.zone_count);
     for (ZoneIndex zone = 0; zone < allowed.size(); ++zone) {
         const auto in_zone = zone < zone_counts.size() ? zone_counts[zone] : 0;
@@ -73,7 +74,8 @@
     }
 }
 
-// How many of `count` tasks are left without an allocation that ends within the patience.
+// Lets each of `count` tasks wait for one allocation that ends within `max_wait_s` and frees enough
+// resources for it. Returns the number of tasks for which there is none.
 std::uint32_t ProvisioningPhase::await_capacity(const JobSpec& spec, std::uint32_t count,
                                                 double max_wait_s) {
     const auto& allocations = state_.allocations;
@@ -105,10 +107,10 @@
     }
 }
 
-// What the first of the waiting gangs could use already is kept until the rest has come. Where the
-// cloud has few machines to give they come one by one, and each was idle for long enough to be
-// released before the next one came; kept for several gangs, none ever got enough (docs/design.md,
-// exception 7).
+// Retains the machines that the first waiting gang can use until the rest of its machines have been
+// provisioned (docs/design.md, exception 7). When the cloud has few machines they arrive one by
+// one, and each stayed idle for so long that it was released before the next arrived. Only one gang
+// retains machines: when several did, none ever got enough.
 void ProvisioningPhase::retain_machines_for_gang(const QueuedJob& job) {
     const auto& spec = job.spec;
     retained_for_gang_ = true;
@@ -124,7 +126,8 @@
     }
 }
 
-// Keeps machines of a zone that fit so many tasks of the job, or as many as there are.
+// Retains machines of a zone until they fit `count` tasks of the job, or all of them if they fit
+// fewer.
 void ProvisioningPhase::retain_in_zone(const QueuedJob& job, ZoneIndex zone, std::int64_t count) {
     for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
         state_.count_step();
@@ -135,8 +138,8 @@
     }
 }
 
-// How many tasks of the job fit on what is free, by zone. Machines that it avoids after failures
-// are no capacity for it.
+// Returns how many tasks of the job fit on free capacity, by zone. Machines that the job avoids
+// after failures do not count.
 std::vector<std::int64_t> ProvisioningPhase::fitting_by_zone(const QueuedJob& job) {
     std::vector<std::int64_t> fitting(state_.snapshot.zone_count);
     for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
@@ -147,14 +150,16 @@
     return fitting;
 }
 
-// The zones the job may use, the one with most capacity for it first, new machines included.
+// Returns the zones that the job may use, those with most capacity for it first, including capacity
+// on new machines.
 std::vector<ZoneIndex> ProvisioningPhase::zones_by_capacity(const QueuedJob& job) {
     if (job.spec.zone != kInvalidIndex) return {job.spec.zone};
     auto fitting = fitting_by_zone(job);
     new_machines_.add_fitting(job.spec, fitting);
     const auto& machines_by_zone = new_machines_.machines_by_zone();
     auto zones = all_zones(state_.snapshot.zone_count);
-    // Among equals the zone with fewer machines: they would all pile up in the first.
+    // Of zones with equal capacity the one with fewer machines comes first; otherwise all jobs
+    // would use the first zone.
     std::stable_sort(zones.begin(), zones.end(), [&](ZoneIndex left, ZoneIndex right) {
         if (fitting[left] != fitting[right]) return fitting[left] > fitting[right];
         return machines_by_zone[left] < machines_by_zone[right];
--- a/src/core/plan_provisioning.h
+++ b/src/core/plan_provisioning.h
@@ -1,4 +1,4 @@
-// Machines to provision for tasks that found no capacity.
+// Provisions machines for tasks that found no capacity.
 #pragma once
 
 #include "core/plan_new_machines.h"
@@ -6,22 +6,23 @@
 
 namespace lichendrift::core {
 
-/// Collects what found no capacity and provisions machines for it, in the order of the queue.
+/// Collects the tasks that found no capacity and provisions machines for them, in queue order.
 class ProvisioningPhase {
   public:
-    /// Keeps references to both.
+    /// Keeps references to both arguments, which have to outlive it.
     ProvisioningPhase(PlanState& state, PlacementPhase& placement)
         : state_(state), placement_(placement), new_machines_(state) {}
 
-    /// So many tasks of the job, which has to outlive this, found no capacity.
+    /// Records that `count` tasks of the job found no capacity. The job has to outlive this object.
     void request(const QueuedJob& job, std::uint32_t count) { demands_.push_back({&job, count}); }
-    /// There is no capacity to keep warm for so many tasks.
+    /// Records that warm capacity for `count` tasks is missing. The spec has to outlive this
+    /// object.
     void request_warm(const JobSpec& spec, std::uint32_t count) {
         warm_demands_.push_back({&spec, count});
     }
-    /// Whether tasks found no capacity; what is kept warm does not count.
+    /// Whether any tasks found no capacity; missing warm capacity does not count.
     [[nodiscard]] bool any_demand() const { return !demands_.empty(); }
-    /// Provisions for all that was requested, into the plan.
+    /// Adds the machines for all recorded requests to the plan. To be called once.
     void run();
 
   private:
@@ -48,8 +49,8 @@
     NewMachines new_machines_;
     std::vector<Demand> demands_;
     std::vector<WarmDemand> warm_demands_;
-    std::vector<AllocationPosition> ending_;  // within the longest patience of any job
-    std::vector<char> awaited_;               // by allocation: its capacity is for a job already
+    std::vector<AllocationPosition> ending_;  // that end within the longest wait of any job
+    std::vector<char> awaited_;  // by allocation: whether a job already waits for its capacity
     bool retained_for_gang_ = false;
 };
 
