--- a/src/core/plan_queue.cpp
+++ b/src/core/plan_queue.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Jobs are starved against those of the same rank.
+// The number of starved jobs is limited for each rank separately.
 struct QueueRank {
     bool in_guarantee;
     Priority priority;
@@ -21,9 +21,9 @@
     return !job.spec.gang || job.spec.count > 1;
 }
 
-// What waited too long goes first among its equals, a few at a time: without that, newcomers with
-// an objective still ahead of them kept the largest jobs from starting for as long as they came
-// (docs/design.md, exception 1).
+// Marks the longest-waiting jobs as starved, up to max_starved_jobs of each rank: they go first
+// within their rank. Without that, the largest jobs did not start as long as new jobs kept coming
+// whose objectives could still be met (docs/design.md, exception 1).
 void mark_starved(const PlannerTuning& tuning, std::vector<QueuedJob*> jobs) {
     std::stable_sort(jobs.begin(), jobs.end(), [](const auto* left, const auto* right) {
         return left->waiting.waited_ms > right->waiting.waited_ms;
--- a/src/core/plan_queue.h
+++ b/src/core/plan_queue.h
@@ -5,8 +5,9 @@
 
 namespace lichendrift::core {
 
-/// The waiting jobs that are not backing off, in the order of docs/design.md: guarantee, priority,
-/// starvation, then the policy's order (by default the slack), then age. Refers to the snapshot.
+/// Returns the waiting jobs that are not backing off, in the order of docs/design.md: by guarantee,
+/// priority, starvation, the policy's sort key (by default the slack), then age. The result refers
+/// to the snapshot, which has to outlive it.
 std::vector<QueuedJob> scheduling_queue(const Snapshot& snapshot);
 
 }  // namespace lichendrift::core
