--- a/src/core/plan_release.cpp
+++ b/src/core/plan_release.cpp
@@ -1,4 +1,4 @@
-// Idle machines that are released, and what is not given up for the guarantees.
+// Releases idle machines, except those needed for the teams' guarantees.
 #include "core/plan_release.h"
 
 namespace lichendrift::core {
@@ -35,7 +35,8 @@
         return hourly_price(state_.snapshot, machines[left]) >
                hourly_price(state_.snapshot, machines[right]);
     });
-    // While tasks lack capacity, a spare machine may be what the cloud has no second of for them.
+    // While tasks lack capacity no machine is kept as spare: the cloud may have no other machine
+    // to give them.
     const auto spare = state_.plan.capacity_short ? 0 : state_.snapshot.tuning.spare_machines;
     for (std::size_t k = 0; k + spare < idle.size(); ++k) {
         if (guaranteed_.needs(idle[k])) continue;
