--- a/src/core/plan_reservation.cpp
+++ b/src/core/plan_reservation.cpp
@@ -1,4 +1,4 @@
-// Machines reserved for starved jobs.
+// Reserves machines for starved jobs.
 #include "core/plan_reservation.h"
 
 namespace lichendrift::core {
@@ -20,14 +20,14 @@
     reserved_ += best.machines.size();
 }
 
-// One reservation is always granted, however large.
+// The first reservation is always granted, however large it is.
 bool ReservationPhase::within_share(std::size_t machines) const {
     const auto fleet = static_cast<double>(state_.snapshot.machines.size());
     const auto limit = state_.snapshot.tuning.max_reserved_share * fleet + 1;
     return reserved_ == 0 || static_cast<double>(reserved_ + machines) <= limit;
 }
 
-// The machines of a candidate zone that fit the tasks soonest; none if they never do.
+// Returns the machines of a candidate zone that fit the tasks soonest; none if they never fit.
 ReservationPhase::MachineSet ReservationPhase::find_soonest(const QueuedJob& job, ZoneIndex zone,
                                                             std::uint32_t count) {
     const auto& machines = state_.snapshot.machines;
@@ -45,7 +45,7 @@
     std::int64_t fitting = 0;
     for (const auto& [after_s, machine] : available) {
         if (fitting >= count) break;
-        // Its first task there is what the time stands for; more may fit later.
+        // `after_s` is the time until the first task fits; the machine may fit the others later.
         fitting += machines[machine].capacity.fits(need);
         set.after_s = std::max(set.after_s, after_s);
         set.machines.push_back(machine);
