--- a/src/core/plan_warm_capacity.cpp
+++ b/src/core/plan_warm_capacity.cpp
@@ -1,11 +1,11 @@
-// Capacity kept free for classes with a start objective.
+// Keeps capacity free for classes with a start objective.
 #include "core/plan_warm_capacity.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// A job with less slack is itself too urgent to wait for others.
+// A job with no more slack than this is too urgent to be placed after warm capacity.
 constexpr double kUrgentSlackS = 15;
 
 }  // namespace
@@ -33,7 +33,7 @@
     if (left > 0) provisioning_.request_warm(warm.spec, left);
 }
 
-// Scores the machines that fit a task; none if no task is left.
+// Collects and scores the machines that fit a task; none if `count` is 0.
 void WarmCapacityPhase::collect_candidates(const JobSpec& spec, CapacitySource source,
                                            std::uint32_t count) {
     candidates_.clear();
@@ -50,7 +50,8 @@
     std::make_heap(candidates_.begin(), candidates_.end());
 }
 
-// Takes capacity for the tasks one by one where they score best; returns for how many.
+// Takes capacity for the tasks one by one, each on the machine with the highest score. Returns the
+// number of tasks for which there was capacity.
 std::uint32_t WarmCapacityPhase::take_best(const JobSpec& spec, std::uint32_t count) {
     std::uint32_t taken = 0;
     while (taken < count && !candidates_.empty()) {
--- a/src/core/plan_warm_capacity.h
+++ b/src/core/plan_warm_capacity.h
@@ -1,22 +1,24 @@
-// Capacity kept free for classes with a start objective.
+// Keeps capacity free for classes with a start objective.
 #pragma once
 
 #include "core/plan_provisioning.h"
 
 namespace lichendrift::core {
 
-/// Exception 3 of docs/design.md: capacity stays free for classes whose tasks should start sooner
-/// than resources become free. It is taken from the plan before the jobs that can wait.
+/// Keeps capacity free for classes whose tasks should start sooner than resources become free
+/// (docs/design.md, exception 3). The capacity is taken before the jobs that can wait are placed.
 class WarmCapacityPhase {
   public:
-    /// Keeps references to both; what has no capacity is requested of the provisioning.
+    /// Keeps references to both arguments, which have to outlive it. Missing capacity is requested
+    /// from `provisioning`.
     WarmCapacityPhase(PlanState& state, ProvisioningPhase& provisioning)
         : state_(state), provisioning_(provisioning) {}
 
-    /// Called before each job is placed: keeps the capacity before the first job that can wait.
-    /// What a class could preempt from that job on needs no keeping.
+    /// To be called before each job is placed. Takes the warm capacity once, before the first job
+    /// that can wait, and only for classes that could not preempt that job and those after it.
     void before_job(const QueuedJob& job);
-    /// Called when all jobs are placed: keeps the capacity of all classes, if no job could wait.
+    /// To be called after all jobs are placed. Takes the warm capacity of all classes if no job
+    /// could wait.
     void after_all_jobs();
 
   private:
