--- a/src/core/plan_cycle.cpp
+++ b/src/core/plan_cycle.cpp
@@ -1,12 +1,12 @@
-// One plan from its snapshot to its decisions.
+// Makes one plan from a snapshot.
 #include "core/plan_cycle.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// With less slack a start is late wherever the image comes from.
-constexpr double kMinSlackToWaitS = 1;
+// With less slack than this, the start is late even where no image has to be fetched.
+constexpr double kMinSlackToPreemptForImageS = 1;
 
 }  // namespace
 
@@ -43,7 +43,8 @@
 void PlanCycle::place_gang(const QueuedJob& job) {
     const auto& spec = job.spec;
     if (state_.quota.tasks_within_limit(spec, spec.count) < spec.count) {
-        // Smaller jobs of its team would take each bit of the limit that becomes free.
+        // Counts the whole gang as used; otherwise smaller jobs of the team would take every part
+        // of the limit as soon as it becomes free.
         if (job.starved) state_.quota.use(spec, spec.count);
         return;
     }
@@ -56,8 +57,9 @@
     if (job.starved) reservation_.reserve(job, spec.count);
 }
 
-// Exception 2 of docs/design.md: with free capacity only where the image would come too late for
-// the class's start objective, lower priorities are preempted where it is.
+// Starts the gang on free capacity. If fetching the image there would miss the class's start
+// objective, preempts lower priorities on machines that have the image instead (docs/design.md,
+// exception 2).
 bool PlanCycle::start_gang(const PlacementRequest& request) {
     const auto& job = request.job;
     const auto free = placement_.find(request, CapacitySource::Free);
@@ -90,25 +92,25 @@
     }
     const auto deferred = startable - wanted;
     if (left + deferred > 0) provisioning_.request(job, left + deferred);
-    // Its tasks can be as large as a machine: then nothing less than a whole one serves it.
+    // A task can be as large as a machine; only a reserved machine is then sure to fit it.
     if (left == wanted && job.starved) reservation_.reserve(job, 1);
 }
 
-// Starts tasks on free capacity; returns how many.
+// Starts tasks on free capacity; returns the number of tasks started.
 std::uint32_t PlanCycle::start(const PlacementRequest& request) {
     const auto placement = placement_.find(request, CapacitySource::Free);
     if (placement.found()) add_start(request.job, placement);
     return placement.tasks();
 }
 
-// Nominates machines for tasks that can start there later; returns for how many.
+// Nominates machines for tasks that can start there later; returns the number of tasks.
 std::uint32_t PlanCycle::nominate(const PlacementRequest& request, CapacitySource source) {
     const auto placement = placement_.find(request, source);
     if (placement.found()) state_.nominate(request.job.spec, placement);
     return placement.tasks();
 }
 
-// Preempts victims for tasks; returns for how many.
+// Preempts victims to make room for tasks; returns the number of tasks that will fit.
 std::uint32_t PlanCycle::preempt(const PlacementRequest& request) {
     const auto placement = preemption_.find(request);
     if (placement.found()) preemption_.preempt(request.job, placement);
@@ -134,7 +136,7 @@
     for (const auto machine : placement.machines) {
         fetch_s = std::max(fetch_s, state_.fetches.fetch_s(job.spec, machine));
     }
-    return fetch_s > job.waiting.slack_s && job.waiting.slack_s > kMinSlackToWaitS;
+    return fetch_s > job.waiting.slack_s && job.waiting.slack_s > kMinSlackToPreemptForImageS;
 }
 
 Plan make_plan(const Snapshot& snapshot) { return PlanCycle(snapshot).run(); }
--- a/src/core/plan_cycle.h
+++ b/src/core/plan_cycle.h
@@ -1,4 +1,4 @@
-// One plan from its snapshot to its decisions.
+// Makes one plan from a snapshot.
 #pragma once
 
 #include "core/plan_drain.h"
@@ -12,14 +12,15 @@
 
 namespace lichendrift::core {
 
-/// Takes the waiting jobs in their order and for each one tries, in this order: free capacity,
-/// capacity being released, preemption, booting machines, and at last new machines and, if it is
-/// starved, a reservation. Then releases and drains machines that nothing needs.
+/// Goes through the waiting jobs in queue order. For each job it tries free capacity, capacity
+/// being released, preemption and booting machines, in this order; if all fail, it requests new
+/// machines and, for a starved job, a reservation. Then releases and drains machines that are not
+/// needed.
 class PlanCycle {
   public:
     /// Refers to the snapshot, which has to outlive it.
     explicit PlanCycle(const Snapshot& snapshot);
-    /// Makes the plan; to be called once.
+    /// Makes the plan; must be called only once.
     Plan run();
 
   private:
