--- a/src/core/plan_quota.h
+++ b/src/core/plan_quota.h
@@ -1,18 +1,18 @@
-// What a plan leaves of the teams' quotas.
+// The quota of each team that a plan has left.
 #pragma once
 
 #include "core/plan_types.h"
 
 namespace lichendrift::core {
 
-/// Counts what is in use against each team's limit, decisions of the plan included.
+/// Counts the resources used against each team's limit, including those of the plan's decisions.
 class QuotaTracker {
   public:
-    /// Keeps a reference to the snapshot's teams.
+    /// Keeps a reference to the snapshot's teams, which have to outlive it.
     explicit QuotaTracker(const Snapshot& snapshot)
         : teams_(snapshot.teams), used_(snapshot.team_used) {}
 
-    /// How many tasks of the job the team's limit lets start, at most `count`.
+    /// Returns how many of `count` tasks of the job fit into its team's limit.
     [[nodiscard]] std::uint32_t tasks_within_limit(const JobSpec& spec, std::uint32_t count) const {
         const Resources& limit = teams_[spec.team].limit;
         const Resources& used = used_[spec.team];
@@ -25,7 +25,7 @@
         }
         return tasks < 0 ? 0 : static_cast<std::uint32_t>(tasks);
     }
-    /// Counts so many tasks of the job against its team's limit.
+    /// Counts `count` tasks of the job against its team's limit.
     void use(const JobSpec& spec, std::uint32_t count) {
         used_[spec.team] += spec.need.times(count);
     }
