--- a/src/core/plan_state.h
+++ b/src/core/plan_state.h
@@ -1,4 +1,4 @@
-// What all phases of a plan share: what is left of the snapshot, and the decisions so far.
+// State shared by all phases of a plan: remaining capacity and quota, and the decisions so far.
 #pragma once
 
 #include "core/plan_filter.h"
@@ -7,7 +7,8 @@
 
 namespace lichendrift::core {
 
-/// The state of a plan in the making. Each part owns its own; phases change them by decisions only.
+/// The state of the plan being made. Each member owns its part of the state; a phase changes a
+/// member only by making a decision.
 struct PlanState {
     /// Refers to the snapshot, which has to outlive it.
     explicit PlanState(const Snapshot& taken)
@@ -21,29 +22,29 @@
     PlanState(const PlanState&) = delete;
     PlanState& operator=(const PlanState&) = delete;
 
-    /// Uses capacity and quota for tasks that start now.
+    /// Takes capacity and quota, and adds image fetches, for tasks that start now.
     void assume(const JobSpec& spec, const Placement& placement) {
         for (const auto machine : placement.machines) fetches.plan_fetch(machine, spec.image);
         nominate(spec, placement);
     }
-    /// Takes capacity and quota for tasks that can't start yet, as KEP-5732 nominates nodes.
+    /// Takes capacity and quota for tasks that can start there later (nominated nodes in KEP-5732).
     void nominate(const JobSpec& spec, const Placement& placement) {
         for (const auto machine : placement.machines) capacity.take(machine, spec.need);
         quota.use(spec, placement.tasks());
         capacity.prune_full_machines();
     }
-    /// Counts a machine or allocation that was looked at.
+    /// Counts a machine or allocation that was examined, for Plan::steps.
     void count_step() { ++plan.steps; }
 
-    const Snapshot& snapshot;            ///< what is planned for
-    AllocationTable allocations;         ///< what runs, and the victims
+    const Snapshot& snapshot;            ///< the input of the plan
+    AllocationTable allocations;         ///< running tasks, and which are preempted
     FreeCapacityIndex capacity;          ///< capacity left
     QuotaTracker quota;                  ///< quota left
-    ImageFetches fetches;                ///< images, and fetches of the tasks that start
-    MachineFilter filter;                ///< where tasks may go
-    MachineScore score;                  ///< where they had best go
-    FailedPlacements failed_placements;  ///< what is known not to fit
-    Plan plan;                           ///< the decisions
+    ImageFetches fetches;                ///< images on machines, and fetches that the plan adds
+    MachineFilter filter;                ///< which machines a job may use
+    MachineScore score;                  ///< ranks the machines for a job
+    FailedPlacements failed_placements;  ///< requests known not to fit
+    Plan plan;                           ///< the decisions so far
 };
 
 }  // namespace lichendrift::core
--- a/src/core/plan_types.h
+++ b/src/core/plan_types.h
@@ -17,34 +17,34 @@
 
 /// Score of a placement without tasks.
 inline constexpr double kWorstScore = -1e300;
-/// Cost beyond any that occurs.
+/// Greater than any cost that occurs.
 inline constexpr double kMaxCost = 1e300;
 
-/// Which capacity a trial placement counts. The first three each include the one before.
+/// The capacity that a trial placement may use. Each of the first three includes the one before.
 enum class CapacitySource : std::uint8_t {
-    Free,         ///< free now, on usable machines: tasks start at once
-    Releasing,    ///< and what stopping tasks release there
-    Booting,      ///< and machines that boot
-    Preemptible,  ///< free, or releasing, or allocated to victims
+    Free,         ///< free now on usable machines: tasks start at once
+    Releasing,    ///< also the resources of tasks being stopped there
+    Booting,      ///< also capacity of machines that boot
+    Preemptible,  ///< free, being released, or allocated to victims
 };
 /// Number of capacity sources.
 inline constexpr std::size_t kCapacitySources = 4;
 
-/// A job in the order of the plan.
+/// A waiting job in the scheduling queue. Refers to the snapshot.
 struct QueuedJob {
-    const WaitingJob& waiting;  ///< what waits of it
-    const JobSpec& spec;        ///< what it asks for
-    /// It waited beyond its starvation threshold, and is one of the few that go first for that
-    /// (docs/design.md, exception 1).
+    const WaitingJob& waiting;  ///< its waiting tasks
+    const JobSpec& spec;        ///< its requirements
+    /// Whether it waited for longer than its starvation threshold and is one of the few jobs that
+    /// go first within their rank for that (docs/design.md, exception 1).
     bool starved = false;
 };
 
-/// How many tasks of a job a phase is to place.
+/// A request to place tasks of a job.
 struct PlacementRequest {
     const QueuedJob& job;     ///< the job
     std::uint32_t count = 0;  ///< number of tasks
-    bool partial = false;     ///< as many as fit; otherwise all or none
-    /// Whether so many tasks are an answer.
+    bool partial = false;     ///< place as many as fit; otherwise all or none
+    /// Whether placing this number of tasks satisfies the request.
     [[nodiscard]] bool accepts(std::size_t tasks) const {
         return tasks > 0 && (partial || tasks >= count);
     }
@@ -54,8 +54,8 @@
 struct Placement {
     std::vector<MachinePosition> machines;    ///< one for each task
     double score = kWorstScore;               ///< mean score of the tasks
-    std::vector<AllocationPosition> victims;  ///< to be preempted for it
-    std::vector<ZoneIndex> rejected_zones;    ///< candidate zones that did not fit the whole
+    std::vector<AllocationPosition> victims;  ///< allocations to preempt for it
+    std::vector<ZoneIndex> rejected_zones;    ///< candidate zones where the request did not fit
     /// Whether any task was placed.
     [[nodiscard]] bool found() const { return !machines.empty(); }
     /// Number of tasks placed.
@@ -64,13 +64,13 @@
     }
 };
 
-/// Price of an hour of the machine.
+/// Price of the machine per hour, spot or on demand.
 inline double hourly_price(const Snapshot& snapshot, const MachineView& machine) {
     const auto& type = snapshot.types[machine.type];
     return machine.spot ? type.spot_hourly : type.hourly;
 }
 
-/// How many tasks of an `apart` job a zone may get: half of them, rounded up.
+/// The largest number of tasks of an `apart` job in one zone: half of them, rounded up.
 inline std::uint32_t max_tasks_in_zone(const JobSpec& spec) { return (spec.count + 1) / 2; }
 
 /// Every zone, in the order of the indices.
@@ -80,7 +80,7 @@
     return zones;
 }
 
-/// Whether any of the images is the given one.
+/// Whether `image` is among the images.
 inline bool contains(const std::vector<ImageIndex>& images, ImageIndex image) {
     return std::find(images.begin(), images.end(), image) != images.end();
 }
