--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,4 +1,4 @@
-// The placement rule of docs/design.md on small snapshots.
+// Tests the placement rule of docs/design.md on small snapshots.
 #include "core/planner.h"
 
 #include <gtest/gtest.h>
@@ -8,13 +8,14 @@
 namespace lichendrift::core {
 namespace {
 
-// Machines of one type with 8 cores, in the zones 0 and 1; the team 0 without quota and the team 1
-// with a guarantee of 4 cores.
+// Uses machines of one type with 8 cores in zones 0 and 1, team 0 without a quota, and team 1 with
+// a guarantee of 4 cores.
 class PlannerTest : public ::testing::Test {
   protected:
     static constexpr std::int64_t kCore = 1000;  // thousandths
     static constexpr std::int64_t kWholeMachine = 8 * kCore;
-    static constexpr Millis kOldEnoughMs = 100'000;  // to be released or drained
+    static constexpr Millis kOldEnoughMs =
+        100'000;  // age or idle time sufficient for release and drain
     static constexpr TeamIndex kTeamWithGuarantee = 1;
 
     PlannerTest() {
@@ -71,7 +72,7 @@
     }
     JobSpec& spec(JobIndex job) { return snapshot_.jobs[job].spec; }
     WaitingJob& waiting(std::size_t position) { return snapshot_.waiting_jobs[position]; }
-    // A task of the job runs on the machine; nothing of the job waits any more.
+    // Adds a running task of the job on the machine and removes the job from the waiting jobs.
     AllocationView& add_allocation(JobIndex job, MachineIndex machine) {
         AllocationView allocation;
         allocation.index = static_cast<AllocationIndex>(snapshot_.allocations.size());
@@ -92,47 +93,49 @@
     Snapshot snapshot_;
 };
 
-// One zone has capacity for all of it and the other none: each plan asked for one more machine
-// where there was capacity already, and the last that the cloud had went there.
+// One zone has capacity for all tasks and the other for none. Guards against provisioning another
+// machine per plan in the zone that has capacity already, which used up the cloud's last machine.
 TEST_F(PlannerTest, ProvisionsForApartJobOnlyInZoneWithoutCapacity) {
     add_machine(1, kWholeMachine);
     add_machine(1, kWholeMachine);
     spec(add_gang(2, kWholeMachine)).apart = true;
-    const auto made = plan();
-    ASSERT_EQ(made.provisions.size(), 1U);
-    EXPECT_EQ(made.provisions[0].zone, 0U);
-    EXPECT_EQ(made.provisions[0].count, 1U);
+    const auto result = plan();
+    ASSERT_EQ(result.provisions.size(), 1U);
+    EXPECT_EQ(result.provisions[0].zone, 0U);
+    EXPECT_EQ(result.provisions[0].count, 1U);
     refuse_provisions(0);
     EXPECT_TRUE(plan().provisions.empty());
 }
 
-// A gang waited for ever: the machines that it avoided after failures counted as capacity for it,
-// so nothing was provisioned.
-TEST_F(PlannerTest, ProvisionsBesideMachinesThatTheJobAvoids) {
+// Guards against counting machines that a gang avoids after failures as capacity for it: nothing
+// was provisioned, so the gang never started.
+TEST_F(PlannerTest, ProvisionsInsteadOfUsingAvoidedMachines) {
     const auto failed = add_machine(0, kWholeMachine);
     add_machine(1, kWholeMachine);
     spec(add_gang(2, kWholeMachine)).apart = true;
     waiting(0).avoided_machines = {failed};
-    const auto made = plan();
-    EXPECT_TRUE(made.starts.empty());
-    ASSERT_EQ(made.provisions.size(), 1U);
-    EXPECT_EQ(made.provisions[0].zone, 0U);
+    const auto result = plan();
+    EXPECT_TRUE(result.starts.empty());
+    ASSERT_EQ(result.provisions.size(), 1U);
+    EXPECT_EQ(result.provisions[0].zone, 0U);
 }
 
-// The rest of an array was provisioned in the zone of its last task, where it may not go.
+// Guards against provisioning for the rest of an array in the zone of its last task, which may not
+// hold more of its tasks.
 TEST_F(PlannerTest, ProvisionsForRestOfApartArrayInTheOtherZone) {
     spec(add_array(4, kWholeMachine)).apart = true;
     waiting(0).waiting_tasks = 2;
     waiting(0).has_started = true;
     waiting(0).zone_counts = {0, 2};
-    const auto made = plan();
-    ASSERT_EQ(made.provisions.size(), 1U);
-    EXPECT_EQ(made.provisions[0].zone, 0U);
-    EXPECT_EQ(made.provisions[0].count, 2U);
+    const auto result = plan();
+    ASSERT_EQ(result.provisions.size(), 1U);
+    EXPECT_EQ(result.provisions[0].zone, 0U);
+    EXPECT_EQ(result.provisions[0].count, 2U);
 }
 
-// Two gangs of different zones each had a part of the few machines that the cloud gave. What the
-// first could use is kept, what only the second could use is released.
+// Two gangs bound to different zones each have only some of their machines, and the cloud has no
+// more. The machine that the first gang can use is kept; the one that only the second can use is
+// released.
 TEST_F(PlannerTest, KeepsIdleMachinesForTheFirstWaitingGangOnly) {
     const auto first = add_machine(0, kWholeMachine);
     const auto second = add_machine(1, kWholeMachine);
@@ -149,26 +152,26 @@
 TEST_F(PlannerTest, SpreadsReplicasOverMachinesWithoutTheImage) {
     for (int k = 0; k < 4; ++k) add_machine(static_cast<ZoneIndex>(k % 2), kWholeMachine);
     spec(add_array(4, kCore, Priority::Critical)).service = true;
-    const auto made = plan();
-    ASSERT_EQ(made.starts.size(), 1U);
-    auto machines = made.starts[0].machines;
+    const auto result = plan();
+    ASSERT_EQ(result.starts.size(), 1U);
+    auto machines = result.starts[0].machines;
     std::sort(machines.begin(), machines.end());
     EXPECT_EQ(std::unique(machines.begin(), machines.end()), machines.end());
 }
 
-TEST_F(PlannerTest, OneZoneGangTakesTheTightestZoneThatFitsItWhole) {
+TEST_F(PlannerTest, OneZoneGangIsPlacedInTheTightestFittingZone) {
     add_machine(0, kWholeMachine);
     add_machine(0, kWholeMachine);
     const auto tight = add_machine(1, 4 * kCore);
     spec(add_gang(2, 2 * kCore)).one_zone = true;
-    auto made = plan();
-    ASSERT_EQ(made.starts.size(), 1U);
-    EXPECT_EQ(made.starts[0].machines, (std::vector<MachineIndex>{tight, tight}));
-    EXPECT_TRUE(made.starts[0].rejected_zones.empty());
+    auto result = plan();
+    ASSERT_EQ(result.starts.size(), 1U);
+    EXPECT_EQ(result.starts[0].machines, (std::vector<MachineIndex>{tight, tight}));
+    EXPECT_TRUE(result.starts[0].rejected_zones.empty());
     snapshot_.machines[tight].free.cpus = 3 * kCore;
-    made = plan();
-    ASSERT_EQ(made.starts.size(), 1U);
-    EXPECT_EQ(made.starts[0].rejected_zones, (std::vector<ZoneIndex>{1}));
+    result = plan();
+    ASSERT_EQ(result.starts.size(), 1U);
+    EXPECT_EQ(result.starts[0].rejected_zones, (std::vector<ZoneIndex>{1}));
 }
 
 TEST_F(PlannerTest, GangIsNeverStartedInPart) {
@@ -184,32 +187,32 @@
 TEST_F(PlannerTest, ArrayStartsAsManyTasksAsFitInOneDecision) {
     add_machine(0, kWholeMachine);
     add_array(100'000, kCore);
-    const auto made = plan();
-    ASSERT_EQ(made.starts.size(), 1U);
-    EXPECT_EQ(made.starts[0].machines.size(), 8U);
+    const auto result = plan();
+    ASSERT_EQ(result.starts.size(), 1U);
+    EXPECT_EQ(result.starts[0].machines.size(), 8U);
 }
 
 TEST_F(PlannerTest, ApartJobHasAtMostHalfOfItsTasksInAZone) {
     add_machine(0, kWholeMachine);
     add_machine(1, kWholeMachine);
     spec(add_gang(5, kCore)).apart = true;
-    const auto made = plan();
-    ASSERT_EQ(made.starts.size(), 1U);
-    const auto& machines = made.starts[0].machines;
+    const auto result = plan();
+    ASSERT_EQ(result.starts.size(), 1U);
+    const auto& machines = result.starts[0].machines;
     EXPECT_LE(std::count(machines.begin(), machines.end(), 0U), 3);
     EXPECT_LE(std::count(machines.begin(), machines.end(), 1U), 3);
 }
 
-TEST_F(PlannerTest, HigherPriorityPreemptsAsFewAsItCan) {
+TEST_F(PlannerTest, HigherPriorityPreemptsAsFewTasksAsPossible) {
     const auto machine = add_machine(0, 0);
     const auto low = add_array(4, 2 * kCore, Priority::Low);
     for (int k = 0; k < 4; ++k) add_allocation(low, machine);
     const auto high = add_gang(1, 4 * kCore, Priority::High);
-    const auto made = plan();
-    EXPECT_TRUE(made.starts.empty());
-    ASSERT_EQ(made.preemptions.size(), 2U);
-    EXPECT_EQ(made.preemptions[0].preemptor, high);
-    EXPECT_EQ(made.preemptions[1].preemptor, high);
+    const auto result = plan();
+    EXPECT_TRUE(result.starts.empty());
+    ASSERT_EQ(result.preemptions.size(), 2U);
+    EXPECT_EQ(result.preemptions[0].preemptor, high);
+    EXPECT_EQ(result.preemptions[1].preemptor, high);
 }
 
 TEST_F(PlannerTest, SamePriorityIsNeverPreempted) {
@@ -231,13 +234,13 @@
     EXPECT_TRUE(plan().preemptions.empty());
 }
 
-TEST_F(PlannerTest, ReleasingCapacityIsHeldForTheJobThatPreempted) {
+TEST_F(PlannerTest, ReleasingCapacityIsNominatedForTheHigherPriorityJob) {
     const auto machine = add_machine(0, 0);
     add_allocation(add_array(1, kWholeMachine, Priority::Low), machine).stopping = true;
     add_gang(1, kWholeMachine, Priority::High);
     add_array(1, kCore);
     snapshot_.machines[0].free = {kCore, 2000, 16000};
-    // The small one would take a part of what the stopped task releases.
+    // Starting the small array would take a part of the capacity that the stopped task releases.
     EXPECT_TRUE(plan().starts.empty());
 }
 
@@ -253,12 +256,12 @@
     EXPECT_TRUE(plan().starts.empty());
 }
 
-TEST_F(PlannerTest, ProvisionsTheCheapestAllowedKind) {
+TEST_F(PlannerTest, ProvisionsSpotMachinesIfAllowed) {
     const auto array = add_array(3, 4 * kCore);
-    const auto made = plan();
-    ASSERT_FALSE(made.provisions.empty());
+    const auto result = plan();
+    ASSERT_FALSE(result.provisions.empty());
     std::uint32_t machines = 0;
-    for (const auto& provision : made.provisions) {
+    for (const auto& provision : result.provisions) {
         EXPECT_TRUE(provision.spot);
         machines += provision.count;
     }
@@ -267,7 +270,7 @@
     for (const auto& provision : plan().provisions) EXPECT_FALSE(provision.spot);
 }
 
-// Many large starved arrays: each starts with a few tasks, none takes all the capacity.
+// With many large starved arrays, each starts a few tasks and none takes all the capacity.
 TEST_F(PlannerTest, StarvedArraysAllStart) {
     for (int k = 0; k < 3; ++k) add_machine(0, kWholeMachine);
     for (int k = 0; k < 6; ++k) {
@@ -277,9 +280,9 @@
     EXPECT_EQ(plan().starts.size(), 6U);
 }
 
-// After a peak each machine keeps a little work: a share of the fleet is drained by one plan, and
-// its work never counts on the same capacity twice.
-TEST_F(PlannerTest, DrainsSeveralMachinesOntoCapacityThatThereIs) {
+// After a peak each machine has little work left. One plan drains a share of the fleet and never
+// assigns the same free capacity to two moved tasks.
+TEST_F(PlannerTest, DrainsSeveralMachinesOntoExistingCapacity) {
     constexpr ImageIndex kImage = 7;
     snapshot_.tuning.max_drained_share = 0.5;
     for (int k = 0; k < 8; ++k) {
@@ -291,10 +294,10 @@
         spec(gang).image = kImage;
         add_allocation(gang, machine).ran_ms = 60'000;
     }
-    // On-demand machines first, each onto the one free half of a spot machine.
+    // On-demand machines are drained first, each to the free half of a different spot machine.
     EXPECT_EQ(plan().drains, (std::vector<MachineIndex>{0, 1, 2, 3}));
     for (const MachineIndex machine : {4U, 5U}) snapshot_.machines[machine].free = {0, 0, 0};
-    // Two onto spot capacity, one onto another on-demand machine.
+    // Two are drained to spot machines, one to another on-demand machine.
     EXPECT_EQ(plan().drains.size(), 3U);
 }
 
@@ -303,9 +306,9 @@
     snapshot_.teams[0].limit = {3 * kCore, 0, 0};
     snapshot_.team_used[0] = {kCore, 0, 0};
     add_array(8, kCore);
-    const auto made = plan();
-    ASSERT_EQ(made.starts.size(), 1U);
-    EXPECT_EQ(made.starts[0].machines.size(), 2U);
+    const auto result = plan();
+    ASSERT_EQ(result.starts.size(), 1U);
+    EXPECT_EQ(result.starts[0].machines.size(), 2U);
 }
 
 }  // namespace
