--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -59,8 +59,9 @@
 /// The planner's settings; the policy may replace some of them.
 struct PlannerTuning {
     double warm_capacity_s =
-        kWarmCapacityS;        ///< warm capacity covers the arrivals expected in this time, seconds
-    bool reservations = true;  ///< whether jobs can be starved; off in tests only
+        kWarmCapacityS;  ///< warm capacity covers the arrivals expected in this time, seconds
+    bool reservations =
+        true;  ///< whether starved jobs go first and reserve machines; off in tests only
     std::size_t max_starved_jobs =
         kMaxStarvedJobs;  ///< longest-waiting starved jobs that go first, per rank
     std::uint32_t starved_array_tasks = 4;  ///< tasks of a starved array that one plan places
@@ -208,8 +209,8 @@
 };
 
 /// Makes a plan by the placement rule of docs/design.md: a gang is placed as a whole or not at all,
-/// the tightest fit wins, victims of lower rank are preempted only if necessary, and a
-/// request that failed for one job is not tried again for jobs with the same requirements. Pure and
+/// the tightest fit wins, victims of lower rank are preempted only if necessary, and a request that
+/// failed for one job is not tried again for jobs with the same requirements. Pure and
 /// deterministic; may run on any thread.
 Plan make_plan(const Snapshot& snapshot);
 
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -14,8 +14,7 @@
   protected:
     static constexpr std::int64_t kCore = 1000;  // thousandths
     static constexpr std::int64_t kWholeMachine = 8 * kCore;
-    static constexpr Millis kOldEnoughMs =
-        100'000;  // age or idle time sufficient for release and drain
+    static constexpr Millis kOldEnoughMs = 100'000;  // for release and drain
     static constexpr TeamIndex kTeamWithGuarantee = 1;
 
     PlannerTest() {
