--- a/src/core/plan_drain.h
+++ b/src/core/plan_drain.h
@@ -5,11 +5,11 @@
 
 namespace lichendrift::core {
 
-/// Drains machines whose tasks can continue elsewhere (docs/design.md, exception 4: tasks may be
-/// stopped to release a machine, which the protocol allows). Tasks with checkpoints and service
-/// replicas are moved; tasks that end soon are left to finish. Expensive machines are drained
-/// first, a share of them per plan: draining one at a time took most of an hour to shrink a fleet
-/// of a thousand machines.
+/// Drains machines whose tasks can continue elsewhere (docs/design.md, exception 4); the protocol
+/// allows stopping tasks to release a machine. Tasks with checkpoints and service replicas are
+/// moved; tasks that end soon are left to finish. Expensive machines are drained first, a share of
+/// them per plan: draining one at a time took most of an hour to shrink a fleet of a thousand
+/// machines.
 class DrainPhase {
   public:
     /// Keeps references to both arguments, which have to outlive it.
--- a/src/core/plan_filter.h
+++ b/src/core/plan_filter.h
@@ -9,8 +9,8 @@
 
 namespace lichendrift::core {
 
-/// The zones to try one after the other for a job whose tasks must share a zone. For other jobs the
-/// only entry is the required zone or, without one, kInvalidIndex, which stands for all zones.
+/// The zones to try one after the other: the required zone if the job has one, every zone if its
+/// tasks must share a zone, otherwise only kInvalidIndex, which stands for the whole fleet.
 std::vector<ZoneIndex> candidate_zones(const JobSpec& spec, std::size_t zone_count);
 
 /// Decides whether a task may be placed on a machine, regardless of the machine's capacity.
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -16,7 +16,8 @@
 
 void ProvisioningPhase::run() {
     for (const auto& demand : demands_) provision(demand);
-    // Warm capacity on spot machines, the cheap ones, wherever the class may use them.
+    // For a class that may use spot machines, warm capacity is provisioned only on those, because
+    // they are cheap.
     for (const auto& [spec, count] : warm_demands_) {
         new_machines_.place(*spec, kInvalidIndex, count, spec->spot);
     }
