--- a/src/core/plan_score.h
+++ b/src/core/plan_score.h
@@ -98,8 +98,9 @@
                                 : share(available.cpus - spec.need.cpus, capacity.cpus);
         return spec.weights.fit * left;
     }
-    // Points subtracted for the machine's price as a share of the highest price of any type.
-    // Differs from KEP-5732 (docs/design.md, "What was changed, and why").
+    // Points subtracted for the machine's price as a share of the highest price of any type, so
+    // that of equal candidates the cheaper one wins. KEP-5732 has no such term: it scores only how
+    // tightly a candidate fits (docs/design.md, "What was changed, and why").
     [[nodiscard]] double price(const JobSpec& spec, MachinePosition machine) const {
         return spec.weights.price * hourly_price(snapshot_, snapshot_.machines[machine]) /
                max_hourly_;
