--- a/src/core/plan_drain.cpp
+++ b/src/core/plan_drain.cpp
@@ -1,4 +1,4 @@
-// Drains machines whose tasks fit on other machines, to save their price.
+// Drains machines whose tasks fit on other machines, to save cost.
 #include "core/plan_drain.h"
 
 namespace lichendrift::core {
@@ -7,8 +7,8 @@
 
 // A plan examines this many machines, plus two for each that it may drain.
 constexpr std::size_t kBaseMachinesTried = 16;
-// Tasks that end within kEndsSoonS are left to finish. A task is moved only if it has more than
-// kMinRemainingToMoveS left and saves its checkpoint in less than kMaxSaveToMoveS.
+// Tasks that end within kEndsSoonS are left to finish. A task with checkpoints is moved only if it
+// has more than kMinRemainingToMoveS left and saves a checkpoint in less than kMaxSaveToMoveS.
 constexpr double kEndsSoonS = 40;
 constexpr double kMinRemainingToMoveS = 60;
 constexpr double kMaxSaveToMoveS = 10;
--- a/src/core/plan_drain.h
+++ b/src/core/plan_drain.h
@@ -1,4 +1,4 @@
-// Drains machines whose tasks fit on other machines, to save their price.
+// Drains machines whose tasks fit on other machines, to save cost.
 #pragma once
 
 #include "core/plan_release.h"
--- a/src/core/plan_score.h
+++ b/src/core/plan_score.h
@@ -106,8 +106,7 @@
                max_hourly_;
     }
 
-    static constexpr double kMinHourly =
-        1e-9;  // lower bound of the highest price, which is a divisor
+    static constexpr double kMinHourly = 1e-9;  // keeps the divisor above 0
 
     const Snapshot& snapshot_;
     const ImageFetches& fetches_;
