--- a/src/core/plan_new_machines.cpp
+++ b/src/core/plan_new_machines.cpp
@@ -1,12 +1,13 @@
-// Machines that a plan provisions.
+// The machines that a plan provisions.
 #include "core/plan_new_machines.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-constexpr std::size_t kMaxNewMachines = 200;  // of a plan
-// A zone with all machines costs a fifth more; the base damps the share of small fleets.
+constexpr std::size_t kMaxNewMachines = 200;  // per plan
+// Raises the cost of a zone with its share of the machines, by a fifth if it has all of them. The
+// base is added to the number of machines, so that the share matters less in a small fleet.
 constexpr double kZoneSpread = 0.2;
 constexpr std::size_t kZoneSpreadBase = 100;
 
@@ -15,36 +16,36 @@
 std::uint32_t NewMachines::place(const JobSpec& spec, ZoneIndex zone, std::uint32_t count,
                                  bool spot) {
     for (; count > 0; --count) {
-        if (take(spec, zone)) continue;
-        if (!add(spec, zone, spot)) break;
-        take(spec, zone);
+        if (place_on_added(spec, zone)) continue;
+        if (!add_machine(spec, zone, spot)) break;
+        place_on_added(spec, zone);
     }
     return count;
 }
 
-bool NewMachines::take(const JobSpec& spec, ZoneIndex zone) {
-    for (std::size_t k = 0; k < open_.size(); ++k) {
+bool NewMachines::place_on_added(const JobSpec& spec, ZoneIndex zone) {
+    for (std::size_t k = 0; k < with_capacity_.size(); ++k) {
         state_.count_step();
-        auto& [pool, free] = machines_[open_[k]];
+        auto& [pool, free] = machines_[with_capacity_[k]];
         if ((spec.types >> pool.type & 1) == 0 || (pool.spot && !spec.spot)) continue;
         if (zone != kInvalidIndex && pool.zone != zone) continue;
         if (!free.covers(spec.need)) continue;
         free -= spec.need;
         if (!free.covers(state_.capacity.smallest_need())) {
-            open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(k));
+            with_capacity_.erase(with_capacity_.begin() + static_cast<std::ptrdiff_t>(k));
         }
         return true;
     }
     return false;
 }
 
-bool NewMachines::add(const JobSpec& spec, ZoneIndex zone, bool spot) {
+bool NewMachines::add_machine(const JobSpec& spec, ZoneIndex zone, bool spot) {
     if (machines_.size() >= kMaxNewMachines) return false;
     machines_by_zone();
     const auto machine = cheapest(spec, zone, spot);
     if (!machine) return false;
     ++machines_by_zone_[machine->pool.zone];
-    open_.push_back(machines_.size());
+    with_capacity_.push_back(machines_.size());
     machines_.push_back(*machine);
     return true;
 }
@@ -56,7 +57,8 @@
     return std::find(refused.begin(), refused.end(), pool) == refused.end();
 }
 
-// The machine with the lowest price per task that fits on it.
+// Returns the machine with the lowest price per task that fits on it, adjusted for the spread over
+// zones; none if nothing allowed can be provisioned.
 std::optional<NewMachines::NewMachine> NewMachines::cheapest(const JobSpec& spec, ZoneIndex zone,
                                                              bool spot) {
     const auto& types = state_.snapshot.types;
@@ -74,7 +76,8 @@
             const ProvisioningPool pool{index, type_zone, spot};
             if (zone != kInvalidIndex && type_zone != zone) continue;
             if (!provisionable(spec, pool)) continue;
-            // Spread machines over the zones: one wave of reclaims, or one cut, takes fewer.
+            // Spreads machines over the zones, so that one wave of spot reclaims or the loss of
+            // the connection to a zone affects fewer of them.
             const auto in_zone = static_cast<double>(machines_by_zone_[type_zone]);
             const auto cost = price * (1.0 + kZoneSpread * in_zone / fleet);
             if (cost >= lowest_cost) continue;
@@ -87,7 +90,7 @@
 
 void NewMachines::add_fitting(const JobSpec& spec,
                               std::vector<std::int64_t>& fitting_by_zone) const {
-    for (const auto at : open_) {
+    for (const auto at : with_capacity_) {
         const auto& [pool, free] = machines_[at];
         fitting_by_zone[pool.zone] += free.fits(spec.need);
     }
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -126,7 +126,7 @@
         if (machine.allocations.empty()) ++fleet.idle;
     }
     for (const auto& [index, job] : jobs_) fleet.waiting += waiting(job) > 0 ? 1 : 0;
-    fleet.report_s = static_cast<double>(settings_.report_ms) / 1000.0;
+    fleet.heartbeat_interval_s = static_cast<double>(settings_.report_ms) / 1000.0;
     fleet.lease_s = static_cast<double>(settings_.lease_ms) / 1000.0;
     return fleet;
 }
@@ -276,7 +276,7 @@
                                   const FleetFacts& fleet) const {
     if (!settings_.policy) return machine.spot ? kIdleRetentionSpot : kIdleRetentionOnDemand;
     const auto& type = type_info_[machine.type];
-    const double keep_s = settings_.policy->idle_keep_s(
+    const double keep_s = settings_.policy->idle_retention_s(
         {types_.name(machine.type), zones_.name(machine.zone), machine.spot,
          machine.spot ? type.spot_hourly : type.hourly, static_cast<double>(age_ms) / 1000.0},
         fleet);
@@ -314,10 +314,10 @@
     // While a replica waits its service lacks it, however long ago the service was submitted.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlackS);
     item.order_s = item.slack_s;
-    item.provision_patience_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
-                                           kMinProvisionPatienceS, kMaxProvisionPatienceS);
-    item.on_demand_patience_s = std::clamp(item.slack_s * kOnDemandShareOfSlack,
-                                           item.provision_patience_s, kMaxOnDemandPatienceS);
+    item.provision_wait_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
+                                       kMinProvisionPatienceS, kMaxProvisionPatienceS);
+    item.on_demand_wait_s = std::clamp(item.slack_s * kOnDemandShareOfSlack, item.provision_wait_s,
+                                       kMaxOnDemandPatienceS);
     if (settings_.policy) {
         auto job_facts = facts(job);
         job_facts.slack_s = item.slack_s;
@@ -325,8 +325,8 @@
         job_facts.age_s = age_s;
         job_facts.waiting = item.waiting_tasks;
         item.order_s = settings_.policy->order_s(job_facts);
-        item.provision_patience_s = settings_.policy->provision_patience_s(job_facts);
-        item.on_demand_patience_s = settings_.policy->on_demand_patience_s(job_facts);
+        item.provision_wait_s = settings_.policy->provision_wait_s(job_facts);
+        item.on_demand_wait_s = settings_.policy->on_demand_wait_s(job_facts);
     }
     // A job that fails on every machine is itself at fault. If it avoided ever more machines, a new
     // one would be provisioned for each attempt, and it would wait beside capacity that fits.
