--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -149,7 +149,7 @@
     duty::RemovalPlan plan;
     for (const auto& [entry, job_index] : page_.placements) {
         const auto& job = page_.jobs[job_index];
-        const auto decision = duty::decide(entry, job.state);
+        const auto decision = duty::cleanup_decision(entry, job.state);
         if (decision == duty::CleanupDecision::Suspicious) {
             ++counters_.suspicious;
             services_.host.log(events::CleanupSuspicious{entry.key});
@@ -157,8 +157,9 @@
         if (decision != duty::CleanupDecision::Remove) continue;
         plan.records.push_back({entry.key, entry.revision});
         const auto& proof = job.terminal_state;
-        if (std::find(plan.proofs.begin(), plan.proofs.end(), proof) == plan.proofs.end()) {
-            plan.proofs.push_back(proof);
+        if (std::find(plan.preconditions.begin(), plan.preconditions.end(), proof) ==
+            plan.preconditions.end()) {
+            plan.preconditions.push_back(proof);
         }
         if (plan.records.size() < services_.store.max_transaction_operations()) continue;
         remove(std::exchange(plan, {}));
@@ -195,7 +196,7 @@
                                 const std::set<std::string>& listed) {
     duty::RemovalPlan plan;
     for (const auto& entry : hints) {
-        if (duty::decide(entry, listed) != duty::CleanupDecision::Remove) continue;
+        if (duty::cleanup_decision(entry, listed) != duty::CleanupDecision::Remove) continue;
         if (plan.records.size() >= services_.store.max_transaction_operations()) break;
         plan.records.push_back({entry.key, entry.revision});
     }
--- a/src/control/fenced_store.cpp
+++ b/src/control/fenced_store.cpp
@@ -29,7 +29,7 @@
             return duty::WriteOutcome::Conflict;
         case store::Outcome::Unavailable:
         case store::Outcome::Missing:
-            return duty::WriteOutcome::Refused;
+            return duty::WriteOutcome::Unavailable;
         case store::Outcome::Rejected:
             return duty::WriteOutcome::Rejected;
         case store::Outcome::Unknown:
--- a/src/control/fleet_sync.cpp
+++ b/src/control/fleet_sync.cpp
@@ -37,12 +37,12 @@
 }
 
 void FleetSync::on_failover_complete() {
-    duties_->records_known();
+    duties_->on_placement_records_loaded();
     failover_complete_at_ = term_.runtime.now();
 }
 
 bool FleetSync::inherited_releases_known() {
-    if (duties_->inherited_known()) return true;
+    if (duties_->inherited_intents_loaded()) return true;
     duties_->pump();
     return false;
 }
@@ -144,14 +144,13 @@
 void FleetSync::request_provision(const core::Provision& provision) {
     // Token and counter: no request name is ever used twice, by any controller.
     duty::ProvisionRequest request;
-    request.request =
-        "r-" + std::to_string(term_.token) + "-" + std::to_string(++provision_requests_);
+    request.id = "r-" + std::to_string(term_.token) + "-" + std::to_string(++provision_requests_);
     request.spot = provision.spot;
-    request.number = provision.count;
+    request.count = provision.count;
     request.type = term_.cluster->type_name(provision.type);
     request.zone = term_.cluster->zone_name(provision.zone);
-    term_.host.log(events::ProvisionRequested{request.request, request.number, request.type,
-                                              request.zone, request.spot});
+    term_.host.log(events::ProvisionRequested{request.id, request.count, request.type, request.zone,
+                                              request.spot});
     duties_->queue_provision(std::move(request));
 }
 
@@ -189,7 +188,7 @@
         term_.cluster->with_lock(
             [&](core::Cluster& cluster) { cluster.on_refused(type, zone, request.spot, now); });
     }
-    term_.host.log(events::ProvisionCompleted{request.request, machines.size(),
+    term_.host.log(events::ProvisionCompleted{request.id, machines.size(),
                                               result == cloud::Result::NoCapacity});
     events_.on_provision_completed();
 }
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -49,17 +49,17 @@
       intents_kept_(services.settings.guards.intent_kept),
       reported_at_(services.runtime.now()) {}
 
-duty::MachineDutyHolder::Moment MachineDuties::moment() {
+duty::MachineDutyHolder::Inputs MachineDuties::holder_inputs() {
     auto& store = services_.store;
-    duty::MachineDutyHolder::Moment moment;
-    moment.now = services_.runtime.now();
-    moment.lease_valid = services_.host.has_leader_lease();
-    moment.records_known = records_known_;
-    moment.not_after = services_.host.leader_lease_valid_until();
-    moment.may_activate = services_.host.peers_fence_duties();
-    moment.room_for_writes = store.can_write_at_once(store.max_transaction_operations());
-    moment.limits = {store.max_value_bytes_from_now_on(), store.max_transaction_operations()};
-    return moment;
+    duty::MachineDutyHolder::Inputs inputs;
+    inputs.now = services_.runtime.now();
+    inputs.lease_valid = services_.host.has_leader_lease();
+    inputs.placement_records_loaded = placement_records_loaded_;
+    inputs.not_after = services_.host.leader_lease_valid_until();
+    inputs.may_begin_fencing = services_.host.peers_fence_duties();
+    inputs.background_writes_allowed = store.can_write_at_once(store.max_transaction_operations());
+    inputs.limits = {store.max_value_bytes_from_now_on(), store.max_transaction_operations()};
+    return inputs;
 }
 
 void MachineDuties::pump() {
@@ -71,7 +71,7 @@
     pumping_ = true;
     do {
         pump_again_ = false;
-        for (const auto& action : holder_.due(moment())) {
+        for (const auto& action : holder_.due_actions(holder_inputs())) {
             std::visit([this](const auto& what) { carry_out(what); }, action);
         }
     } while (pump_again_ && !stopped_);
@@ -199,10 +199,10 @@
         [self = shared_from_this(), slot = action.slot, request = action.request.request()](
             cloud::Result result, const std::vector<std::string>& machines) {
             if (self->stopped_) return;
-            if (result == cloud::Result::StaleEpoch) self->log_stale_epoch(request.request);
-            self->holder_.on_provisioned(slot, request.request, cloud_outcome(result),
+            if (result == cloud::Result::StaleEpoch) self->log_stale_epoch(request.id);
+            self->holder_.on_provisioned(slot, request.id, cloud_outcome(result),
                                          self->services_.runtime.now());
-            const bool too_few = result == cloud::Result::Ok && machines.size() < request.number;
+            const bool too_few = result == cloud::Result::Ok && machines.size() < request.count;
             const bool refused = too_few || result == cloud::Result::NoCapacity;
             self->services_.listener.on_provisioned(request, machines, refused, result);
         });
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -54,7 +54,7 @@
     /// The term has ended.
     void stop() { stopped_ = true; }
     /// All placement records are read; from now on the cloud gets requests.
-    void records_known() { records_known_ = true; }
+    void on_placement_records_loaded() { placement_records_loaded_ = true; }
 
     /// Wants a machine released. `urgent`: without waiting for further machines.
     void queue_release(const std::string& machine, bool urgent);
@@ -65,10 +65,12 @@
         return holder_.ledger().provisioning_in_flight();
     }
     /// Whether all intents of earlier holders are known: before that nothing is placed.
-    [[nodiscard]] bool inherited_known() const { return holder_.inherited_known(); }
+    [[nodiscard]] bool inherited_intents_loaded() const {
+        return holder_.inherited_intents_loaded();
+    }
 
   private:
-    [[nodiscard]] duty::MachineDutyHolder::Moment moment();
+    [[nodiscard]] duty::MachineDutyHolder::Inputs holder_inputs();
     void carry_out(const duty::ReadDuty& action);
     void carry_out(const duty::ReadIntents& action);
     void carry_out(const duty::ReadIntent& action);
@@ -88,7 +90,7 @@
     duty::MachineDutyHolder holder_;
     bool intents_kept_;  // off only in tests of this guard
     bool stopped_ = false;
-    bool records_known_ = false;
+    bool placement_records_loaded_ = false;
     bool pumping_ = false;
     bool pump_again_ = false;
     std::uint64_t refused_as_stale_ = 0;
--- a/src/duty/claim.cpp
+++ b/src/duty/claim.cpp
@@ -56,7 +56,7 @@
         case WriteOutcome::Conflict:
             state_ = result.failed_on(setup_.lease.key) ? State::Lost : State::ReadDue;
             return;
-        case WriteOutcome::Refused:
+        case WriteOutcome::Unavailable:
         case WriteOutcome::Rejected:
         case WriteOutcome::Unknown:
             // It may still be executed. The same write again fails then, and the read that follows
--- a/src/duty/cleanup.cpp
+++ b/src/duty/cleanup.cpp
@@ -5,7 +5,7 @@
 
 namespace lichendrift::duty {
 
-CleanupDecision decide(const PlacementEntry& entry, KnownJobState job) {
+CleanupDecision cleanup_decision(const PlacementEntry& entry, KnownJobState job) {
     switch (job) {
         case KnownJobState::Open:
             return CleanupDecision::Keep;
@@ -21,7 +21,7 @@
     return CleanupDecision::Keep;
 }
 
-CleanupDecision decide(const HintEntry& entry, const std::set<std::string>& listed) {
+CleanupDecision cleanup_decision(const HintEntry& entry, const std::set<std::string>& listed) {
     if (!entry.readable) return CleanupDecision::Suspicious;
     // The list lags: a machine newer than all that it shows may be missing from it.
     if (listed.empty()) return CleanupDecision::Keep;
@@ -34,7 +34,7 @@
 
 FencedWrite removal_write(const Permit& permit, const RemovalPlan& plan) {
     FencedWrite write(permit);
-    for (const auto& proof : plan.proofs) write.require(proof);
+    for (const auto& precondition : plan.preconditions) write.require(precondition);
     for (const auto& record : plan.records) {
         write.require(record);
         write.remove(record.key);
--- a/src/duty/cleanup.h
+++ b/src/duty/cleanup.h
@@ -45,16 +45,17 @@
 };
 
 /// Decides on a placement record.
-[[nodiscard]] CleanupDecision decide(const PlacementEntry& entry, KnownJobState job);
+[[nodiscard]] CleanupDecision cleanup_decision(const PlacementEntry& entry, KnownJobState job);
 
 /// Decides on image hints. `listed`: all machines of the cloud, by a complete list read after the
 /// record.
-[[nodiscard]] CleanupDecision decide(const HintEntry& entry, const std::set<std::string>& listed);
+[[nodiscard]] CleanupDecision cleanup_decision(const HintEntry& entry,
+                                               const std::set<std::string>& listed);
 
 /// Records to remove, and what the decision rests on.
 struct RemovalPlan {
-    std::vector<RecordVersion> records;  ///< to remove
-    std::vector<RecordVersion> proofs;   ///< terminal states of their jobs
+    std::vector<RecordVersion> records;        ///< to remove
+    std::vector<RecordVersion> preconditions;  ///< terminal states of their jobs
 };
 
 /// A removal that fails if a record or a proof has changed, or if the duty has passed to another
--- a/src/duty/duty.h
+++ b/src/duty/duty.h
@@ -42,11 +42,11 @@
 /// A request to provision machines. Its name makes it idempotent: the cloud executes it once,
 /// however often it is sent.
 struct ProvisionRequest {
-    std::string request;       ///< name of the request
-    std::string type;          ///< machine type
-    std::string zone;          ///< where the machines are to be
-    bool spot = false;         ///< preemptible instances
-    std::uint32_t number = 0;  ///< how many machines
+    std::string id;           ///< name of the request
+    std::string type;         ///< machine type
+    std::string zone;         ///< where the machines are to be
+    bool spot = false;        ///< preemptible instances
+    std::uint32_t count = 0;  ///< how many machines
     /// Compares all fields.
     auto operator<=>(const ProvisionRequest&) const = default;
 };
--- a/src/duty/intent_ledger.cpp
+++ b/src/duty/intent_ledger.cpp
@@ -299,7 +299,7 @@
         if (!batch.releases.empty()) {
             oldest->first_machine = batch.releases.front();
         } else if (!batch.provisions.empty()) {
-            oldest->provision_request = batch.provisions.front().request().request;
+            oldest->provision_request = batch.provisions.front().request().id;
         }
     }
     return oldest;
--- a/src/duty/intent_queue.cpp
+++ b/src/duty/intent_queue.cpp
@@ -69,7 +69,7 @@
     while (!provisions_.empty() && batch.provisions.size() < limit) {
         const auto& request = provisions_.front().request();
         const auto size =
-            request.request.size() + request.type.size() + request.zone.size() + kProvisionBytes;
+            request.id.size() + request.type.size() + request.zone.size() + kProvisionBytes;
         if (!batch.provisions.empty() && bytes + size > value_bytes) break;
         bytes += size;
         batch.provisions.push_back(std::move(provisions_.front()));
--- a/src/duty/intent_slot.cpp
+++ b/src/duty/intent_slot.cpp
@@ -82,7 +82,7 @@
             return WriteEffect::FenceFailed;
         case WriteOutcome::Rejected:
             return WriteEffect::TooLarge;
-        case WriteOutcome::Refused:
+        case WriteOutcome::Unavailable:
         case WriteOutcome::Unknown:
             state_ = State::Unconfirmed;
             due_at_ = now + kWriteRetryMs;
@@ -173,7 +173,7 @@
 
 void IntentSlot::on_provisioned(const std::string& request, CloudOutcome outcome, Millis now) {
     for (auto& provision : batch_.provisions) {
-        if (provision.request().request != request || !provision.in_flight()) continue;
+        if (provision.request().id != request || !provision.in_flight()) continue;
         provision.on_outcome(outcome, inherited_, now);
     }
 }
--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -21,62 +21,63 @@
       ledger_(setup.guards),
       intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Known) {}
 
-std::vector<Action> MachineDutyHolder::due(const Moment& moment) {
+std::vector<Action> MachineDutyHolder::due_actions(const Inputs& inputs) {
     std::vector<Action> out;
     if (lost()) return out;
-    if (intents_ == InheritedIntents::ReadDue && retry_at_ <= moment.now) {
+    if (intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
         intents_ = InheritedIntents::Reading;
         out.emplace_back(ReadIntents{last_read_key_});
     }
-    add_claim_actions(provisioning_, moment, out);
-    add_claim_actions(reclaiming_, moment, out);
-    if (!moment.lease_valid || !moment.records_known || !inherited_known()) return out;
-    const auto provisioning = provisioning_.permit(moment.not_after);
-    const auto reclaiming = reclaiming_.permit(moment.not_after);
+    add_claim_actions(provisioning_, inputs, out);
+    add_claim_actions(reclaiming_, inputs, out);
+    if (!inputs.lease_valid || !inputs.placement_records_loaded || !inherited_intents_loaded())
+        return out;
+    const auto provisioning = provisioning_.permit(inputs.not_after);
+    const auto reclaiming = reclaiming_.permit(inputs.not_after);
     // While fencing begins, one duty is fenced and the other is not yet.
     if (!provisioning || !reclaiming || provisioning->fenced() != reclaiming->fenced()) return out;
     if (provisioning->fenced()) {
         ledger_.requeue_unfenced();
-        add_intent_actions(*provisioning, *reclaiming, moment, out);
+        add_intent_actions(*provisioning, *reclaiming, inputs, out);
     } else {
-        ledger_.open_unfenced(moment.now);
+        ledger_.open_unfenced(inputs.now);
     }
-    add_requests(*provisioning, moment, out);
+    add_requests(*provisioning, inputs, out);
     return out;
 }
 
-void MachineDutyHolder::add_claim_actions(Claim& claim, const Moment& moment,
+void MachineDutyHolder::add_claim_actions(Claim& claim, const Inputs& inputs,
                                           std::vector<Action>& out) {
-    if (retry_at_ > moment.now) return;
+    if (retry_at_ > inputs.now) return;
     claim.retry_damaged_record();
     if (claim.begin_read()) {
         out.emplace_back(ReadDuty{claim.duty()});
         return;
     }
-    if (!moment.lease_valid) return;
-    if (auto write = claim.begin_write(moment.may_activate)) {
+    if (!inputs.lease_valid) return;
+    if (auto write = claim.begin_write(inputs.may_begin_fencing)) {
         out.emplace_back(WriteDuty{claim.duty(), std::move(*write)});
     }
 }
 
 void MachineDutyHolder::add_intent_actions(const Permit& provisioning, const Permit& reclaiming,
-                                           const Moment& moment, std::vector<Action>& out) {
-    while (auto write = ledger_.next_write(provisioning, reclaiming, moment.limits, moment.now)) {
+                                           const Inputs& inputs, std::vector<Action>& out) {
+    while (auto write = ledger_.next_write(provisioning, reclaiming, inputs.limits, inputs.now)) {
         out.emplace_back(std::move(*write));
     }
-    while (const auto read = ledger_.next_read(moment.now)) out.emplace_back(*read);
-    if (!moment.room_for_writes) return;
-    if (auto removal = ledger_.next_removal(provisioning, moment.limits.operations, moment.now)) {
+    while (const auto read = ledger_.next_read(inputs.now)) out.emplace_back(*read);
+    if (!inputs.background_writes_allowed) return;
+    if (auto removal = ledger_.next_removal(provisioning, inputs.limits.operations, inputs.now)) {
         out.emplace_back(std::move(*removal));
     }
 }
 
-void MachineDutyHolder::add_requests(const Permit& provisioning, const Moment& moment,
+void MachineDutyHolder::add_requests(const Permit& provisioning, const Inputs& inputs,
                                      std::vector<Action>& out) {
-    while (auto release = ledger_.next_release(provisioning, moment.now)) {
+    while (auto release = ledger_.next_release(provisioning, inputs.now)) {
         out.emplace_back(std::move(*release));
     }
-    while (auto provision = ledger_.next_provision(provisioning, moment.now)) {
+    while (auto provision = ledger_.next_provision(provisioning, inputs.now)) {
         out.emplace_back(std::move(*provision));
     }
 }
--- a/src/duty/machine_duty_holder.h
+++ b/src/duty/machine_duty_holder.h
@@ -11,9 +11,9 @@
 
 /// What a leader does for the duties of provisioning and reclaiming, in its order: intents of
 /// earlier holders are read and the duties are claimed under the leader's lease before anything is
-/// requested from the cloud. Pure: due() gives the actions, each is under way until its result is
-/// handed in. The daemon carries them out (control/machine_duties.h); the exploration in the tests
-/// drives the same class through all interleavings.
+/// requested from the cloud. Pure: due_actions() gives the actions, each is under way until its
+/// result is handed in. The daemon carries them out (control/machine_duties.h); the exploration
+/// in the tests drives the same class through all interleavings.
 class MachineDutyHolder {
   public:
     /// What a holder is made for.
@@ -26,23 +26,23 @@
         IntentGuards guards;     ///< see IntentGuards
     };
     /// What the next actions depend on, as of now.
-    struct Moment {
+    struct Inputs {
         Millis now = 0;            ///< steady time
         bool lease_valid = false;  ///< surely the leader by its own clock
         Millis not_after = 0;      ///< steady time after which the lease may have expired
         /// All placement records are read: a release that was confirmed before would leave the
         /// tasks that they name on a machine that is known to be gone.
-        bool records_known = false;
-        bool may_activate = false;     ///< every controller is known to understand intents
-        bool room_for_writes = false;  ///< there is room for writes that nobody waits for
-        IntentLedger::Limits limits;   ///< of the state service
+        bool placement_records_loaded = false;
+        bool may_begin_fencing = false;  ///< every controller is known to understand intents
+        bool background_writes_allowed = false;  ///< there is room for writes that nobody waits for
+        IntentLedger::Limits limits;             ///< of the state service
     };
 
     /// A holder that has neither read nor claimed anything yet.
     explicit MachineDutyHolder(const Setup& setup);
 
     /// The actions that are due now.
-    [[nodiscard]] std::vector<Action> due(const Moment& moment);
+    [[nodiscard]] std::vector<Action> due_actions(const Inputs& inputs);
 
     /// Result of ReadDuty.
     void on_duty_read(Duty duty, const DutyReadResult& result, Millis now);
@@ -81,7 +81,9 @@
     }
 
     /// Whether all intents of earlier holders are known. Nothing is placed before.
-    [[nodiscard]] bool inherited_known() const { return intents_ == InheritedIntents::Known; }
+    [[nodiscard]] bool inherited_intents_loaded() const {
+        return intents_ == InheritedIntents::Known;
+    }
     /// Whether both duties are held with an epoch.
     [[nodiscard]] bool fenced() const { return provisioning_.held() && reclaiming_.held(); }
     /// Whether the lease has passed to another controller.
@@ -105,10 +107,10 @@
     [[nodiscard]] Claim& claim_to(Duty duty) {
         return duty == Duty::Provisioning ? provisioning_ : reclaiming_;
     }
-    void add_claim_actions(Claim& claim, const Moment& moment, std::vector<Action>& out);
+    void add_claim_actions(Claim& claim, const Inputs& inputs, std::vector<Action>& out);
     void add_intent_actions(const Permit& provisioning, const Permit& reclaiming,
-                            const Moment& moment, std::vector<Action>& out);
-    void add_requests(const Permit& provisioning, const Moment& moment, std::vector<Action>& out);
+                            const Inputs& inputs, std::vector<Action>& out);
+    void add_requests(const Permit& provisioning, const Inputs& inputs, std::vector<Action>& out);
     void on_fence_checked(IntentLedger::FenceCheck check, const WriteResult& result);
 
     Setup setup_;
--- a/src/duty/results.h
+++ b/src/duty/results.h
@@ -43,10 +43,10 @@
 /// What came of a transaction.
 enum class WriteOutcome : std::uint8_t {
     Written,
-    Conflict,  ///< certainly not executed: a condition failed
-    Refused,   ///< certainly not executed
-    Rejected,  ///< certainly not executed, and never will be: too large
-    Unknown,   ///< may have been executed, or may still be
+    Conflict,     ///< certainly not executed: a condition failed
+    Unavailable,  ///< certainly not executed
+    Rejected,     ///< certainly not executed, and never will be: too large
+    Unknown,      ///< may have been executed, or may still be
 };
 
 /// Result of a transaction.
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -86,11 +86,11 @@
 
 std::string provision_body(const duty::ProvisionRequest& order, duty::Epoch epoch) {
     return json::object_text([&](json::Writer& out) {
-        out.field(field::kRequestName, order.request);
+        out.field(field::kRequestName, order.id);
         out.field(field::kMachineType, order.type);
         out.field(field::kZone, order.zone);
         out.field(field::kSpot, order.spot);
-        out.field(field::kNumber, order.number);
+        out.field(field::kNumber, order.count);
         write_epoch(out, epoch);
     });
 }
--- a/src/wire/stored_duties.cpp
+++ b/src/wire/stored_duties.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr std::uint32_t kMaxProvisioned = 1000;       // in one request; the protocol allows fewer
-constexpr rapidjson::SizeType kProvisionEntries = 5;  // request, type, zone, spot, number
+constexpr rapidjson::SizeType kProvisionEntries = 5;  // id, type, zone, spot, count
 
 void write_provision(json::Writer& out, const duty::ProvisionRequest& provision) {
-    out.value(provision.request);
+    out.value(provision.id);
     out.value(provision.type);
     out.value(provision.zone);
     out.value(provision.spot);
-    out.value(provision.number);
+    out.value(provision.count);
 }
 
 std::optional<duty::ProvisionRequest> read_provision(const json::Value& entry) {
@@ -24,12 +24,12 @@
     rapidjson::SizeType at = 0;
     duty::ProvisionRequest provision;
     const bool typed =
-        json::read(entry[at++], provision.request) && json::read(entry[at++], provision.type) &&
+        json::read(entry[at++], provision.id) && json::read(entry[at++], provision.type) &&
         json::read(entry[at++], provision.zone) && json::read(entry[at++], provision.spot) &&
-        json::read(entry[at++], provision.number);
-    const bool valid = typed && json::is_valid_name(provision.request) &&
+        json::read(entry[at++], provision.count);
+    const bool valid = typed && json::is_valid_name(provision.id) &&
                        json::is_valid_name(provision.type) && json::is_valid_name(provision.zone) &&
-                       provision.number > 0 && provision.number <= kMaxProvisioned;
+                       provision.count > 0 && provision.count <= kMaxProvisioned;
     if (!valid) return std::nullopt;
     return provision;
 }
--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -180,12 +180,12 @@
     using duty::HintEntry;
     const std::set<std::string> listed{"host-000002", "host-000005"};
     const auto decision = [&](std::vector<std::string> machines) {
-        return duty::decide(HintEntry{"images/0", 1, true, std::move(machines)}, listed);
+        return duty::cleanup_decision(HintEntry{"images/0", 1, true, std::move(machines)}, listed);
     };
     EXPECT_EQ(decision({"host-000001", "host-000003"}), CleanupDecision::Remove);
     EXPECT_EQ(decision({"host-000001", "host-000002"}), CleanupDecision::Keep);
     EXPECT_EQ(decision({"host-000001", "host-000009"}), CleanupDecision::Keep);
-    EXPECT_EQ(duty::decide(HintEntry{"images/0", 1, true, {"host-000001"}}, {}),
+    EXPECT_EQ(duty::cleanup_decision(HintEntry{"images/0", 1, true, {"host-000001"}}, {}),
               CleanupDecision::Keep);
 }
 
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -139,32 +139,32 @@
 TEST(Fencing, ProvisionsNotSentInTimeAreWithdrawn) {
     for (const bool fence : {true, false}) {
         duty::MachineDutyHolder holder({"n0", 1, {"leader", 1}, fence, true, {}});
-        duty::MachineDutyHolder::Moment moment;
-        moment.lease_valid = true;
-        moment.records_known = true;
-        moment.may_activate = true;
+        duty::MachineDutyHolder::Inputs inputs;
+        inputs.lease_valid = true;
+        inputs.placement_records_loaded = true;
+        inputs.may_begin_fencing = true;
         const auto answer = [&](const duty::Action& action) {
             if (const auto* read = std::get_if<duty::ReadDuty>(&action)) {
-                holder.on_duty_read(read->duty, {duty::ReadOutcome::Missing, {}, 0}, moment.now);
+                holder.on_duty_read(read->duty, {duty::ReadOutcome::Missing, {}, 0}, inputs.now);
             } else if (std::holds_alternative<duty::ReadIntents>(action)) {
-                EXPECT_TRUE(holder.on_intents_read({}, moment.now).empty());
+                EXPECT_TRUE(holder.on_intents_read({}, inputs.now).empty());
             } else if (const auto* write = std::get_if<duty::WriteDuty>(&action)) {
                 holder.on_duty_written(write->duty, {duty::WriteOutcome::Written, 5, {}},
-                                       moment.now);
+                                       inputs.now);
             }
             return std::holds_alternative<duty::RequestProvision>(action);
         };
         for (int i = 0; i < 4; ++i) {
-            for (const auto& action : holder.due(moment)) answer(action);
+            for (const auto& action : holder.due_actions(inputs)) answer(action);
         }
         EXPECT_EQ(holder.fenced(), fence);
-        holder.queue_provision({"r-1", "box", "a", true, 3}, moment.now);
+        holder.queue_provision({"r-1", "box", "a", true, 3}, inputs.now);
         EXPECT_TRUE(holder.ledger().provisioning_in_flight());
-        moment.lease_valid = false;
-        EXPECT_TRUE(holder.due(moment).empty());
-        moment.now += 20'000;
-        moment.lease_valid = true;
-        for (const auto& action : holder.due(moment)) EXPECT_FALSE(answer(action));
+        inputs.lease_valid = false;
+        EXPECT_TRUE(holder.due_actions(inputs).empty());
+        inputs.now += 20'000;
+        inputs.lease_valid = true;
+        for (const auto& action : holder.due_actions(inputs)) EXPECT_FALSE(answer(action));
         EXPECT_FALSE(holder.ledger().provisioning_in_flight());
         EXPECT_EQ(holder.ledger().counters().withdrawn, 1U);
     }
--- a/tests/duties_intents_test.cpp
+++ b/tests/duties_intents_test.cpp
@@ -137,7 +137,7 @@
     EXPECT_EQ(provision->request(), request);
     provision->begin_attempt();
     EXPECT_FALSE(slot.settle_if_complete());
-    slot.on_provisioned(request.request, CloudOutcome::NoCapacity, 0);
+    slot.on_provisioned(request.id, CloudOutcome::NoCapacity, 0);
     EXPECT_TRUE(slot.settle_if_complete());
     EXPECT_EQ(slot.state(), IntentSlot::State::Settled);
 }
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -193,13 +193,13 @@
     // Carries out what is due. Reads are answered at once: what they find may be old by the time at
     // which it is acted on, as other events come in between.
     bool step(State& state, std::size_t node_index) const {
-        MachineDutyHolder::Moment moment;
-        moment.now = kActsAt;
-        moment.lease_valid = true;
-        moment.records_known = true;
-        moment.may_activate = true;
-        moment.room_for_writes = true;
-        auto actions = changed(state, node_index)->due(moment);
+        MachineDutyHolder::Inputs inputs;
+        inputs.now = kActsAt;
+        inputs.lease_valid = true;
+        inputs.placement_records_loaded = true;
+        inputs.may_begin_fencing = true;
+        inputs.background_writes_allowed = true;
+        auto actions = changed(state, node_index)->due_actions(inputs);
         for (auto& action : actions) {
             state.messages.push_back({node_index, state.nodes[node_index].term, true,
                                       std::make_shared<Action>(std::move(action))});
@@ -218,16 +218,16 @@
     // released.
     static bool place(State& state, std::size_t node_index, std::size_t machine_index) {
         const auto& node = state.nodes[node_index];
-        const bool may = node.holder->inherited_known() && state.leader == node.lease_revision &&
-                         !node.unusable[machine_index] && !state.gone[machine_index] &&
-                         state.used_by[machine_index] != node.term;
+        const bool may = node.holder->inherited_intents_loaded() &&
+                         state.leader == node.lease_revision && !node.unusable[machine_index] &&
+                         !state.gone[machine_index] && state.used_by[machine_index] != node.term;
         if (may) state.used_by[machine_index] = node.term;
         return may;
     }
 
     bool decide_release(State& state, std::size_t node_index, std::size_t machine_index) const {
         auto& node = state.nodes[node_index];
-        if (!node.holder->inherited_known() || node.unusable[machine_index] ||
+        if (!node.holder->inherited_intents_loaded() || node.unusable[machine_index] ||
             node.releases >= limits_.releases) {
             return false;
         }
