--- a/src/duty/actions.h
+++ b/src/duty/actions.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// What a holder of machine duties wants done outside the process. Each action is under way until
-/// its result is handed in to the holder.
+/// Actions that a MachineDutyHolder asks its driver to carry out: reads and writes of the state
+/// service and requests to the cloud. An action is in flight until its result is passed to the
+/// holder.
 
 #include <cstdint>
 #include <string>
@@ -15,50 +16,50 @@
 
 /// Read the record of a duty.
 struct ReadDuty {
-    Duty duty;  ///< whose record
+    Duty duty;  ///< duty whose record is read
 };
 
-/// Read a page of the intents that earlier holders left.
+/// Read one page of the intents that earlier holders left.
 struct ReadIntents {
-    std::string since;  ///< the last key of the page before; empty: the first page
+    std::string since;  ///< last key of the previous page; empty: read the first page
 };
 
-/// Read one intent back, as the result of a write to it is unknown.
+/// Read one intent back because it is not known whether a write to it was executed.
 struct ReadIntent {
-    std::uint32_t slot;  ///< its number
+    std::uint32_t slot;  ///< slot of the intent
 };
 
 /// Write the record of a duty.
 struct WriteDuty {
-    Duty duty;          ///< whose record
-    FencedWrite write;  ///< the transaction
+    Duty duty;          ///< duty whose record is written
+    FencedWrite write;  ///< transaction to execute
 };
 
 /// Write one intent.
 struct WriteIntent {
-    std::uint32_t slot;  ///< its number
-    FencedWrite write;   ///< the transaction
+    std::uint32_t slot;  ///< slot of the intent
+    FencedWrite write;   ///< transaction to execute
 };
 
-/// Remove settled intents.
+/// Remove the records of settled intents.
 struct RemoveIntents {
-    std::vector<std::uint32_t> slots;  ///< their numbers
-    FencedWrite write;                 ///< the transaction
+    std::vector<std::uint32_t> slots;  ///< slots of the intents
+    FencedWrite write;                 ///< transaction to execute
 };
 
-/// Release machines at the cloud.
+/// Send the cloud a request to release machines.
 struct RequestRelease {
-    std::uint32_t slot;     ///< the intent behind the request
-    FencedRelease request;  ///< the request
+    std::uint32_t slot;     ///< slot of the intent that covers the request
+    FencedRelease request;  ///< machines and epoch to send
 };
 
-/// Provision machines at the cloud.
+/// Send the cloud a request to provision machines.
 struct RequestProvision {
-    std::uint32_t slot;       ///< the intent behind the request
-    FencedProvision request;  ///< the request
+    std::uint32_t slot;       ///< slot of the intent that covers the request
+    FencedProvision request;  ///< provisioning request and epoch to send
 };
 
-/// Any of them.
+/// Any action of a MachineDutyHolder.
 using Action = std::variant<ReadDuty, ReadIntents, ReadIntent, WriteDuty, WriteIntent,
                             RemoveIntents, RequestRelease, RequestProvision>;
 
