--- a/src/duty/claim.cpp
+++ b/src/duty/claim.cpp
@@ -1,4 +1,4 @@
-// The states of a claim to a duty.
+// State transitions of a claim to a duty.
 #include "duty/claim.h"
 
 namespace lichendrift::duty {
@@ -31,7 +31,7 @@
     }
     record_ = result.record;
     revision_ = result.revision;
-    // A write of this claim that had no answer was executed.
+    // The record already names this claim if an unanswered write of it was executed.
     const bool own = record_.holder == setup_.holder && record_.nonce == setup_.nonce;
     state_ = own ? State::Held : State::WriteDue;
 }
@@ -59,8 +59,8 @@
         case WriteOutcome::Unavailable:
         case WriteOutcome::Rejected:
         case WriteOutcome::Unknown:
-            // It may still be executed. The same write again fails then, and the read that follows
-            // finds this claim's nonce.
+            // The write may still be executed. If it is, writing the record again fails with a
+            // conflict, and the next read finds this claim's nonce in the record.
             state_ = State::ReadDue;
             return;
     }
--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How one controller comes to hold one duty.
+/// State machine by which one controller acquires one duty.
 
 #include <optional>
 
@@ -10,69 +10,73 @@
 
 namespace lichendrift::duty {
 
-/// How one controller comes to hold one duty, and how it learns that it lost it. Pure: results go
-/// in, reads and writes to do come out.
+/// State machine by which one controller acquires one duty and learns that it has lost it. It does
+/// no I/O: it returns the reads and writes that are due and is given their results.
 ///
-/// The record is written under the revision of the lease key, so that a controller whose lease has
-/// passed to another never becomes the holder, however late its write arrives.
+/// The write of the duty's record is conditional on the revision of the lease key. A controller
+/// whose lease has passed to another one therefore never becomes the holder, however late its write
+/// arrives.
 class Claim {
   public:
-    /// Where the claim stands.
+    /// State of the claim.
     enum class State : std::uint8_t {
-        Unfenced,  ///< fencing has not begun: the lease alone gives the right to act
+        Unfenced,  ///< fencing has not begun: the lease alone permits actions
         ReadDue,
         Reading,
         WriteDue,
         Writing,
         Held,
-        Damaged,  ///< the record cannot be parsed: nothing is done for this duty
-        Lost,     ///< the lease has passed to another controller; final
+        Damaged,  ///< the record cannot be parsed: no permits, so this duty is not performed
+        Lost,     ///< the lease has passed to another controller; final state
     };
-    /// What a claim is made for.
+    /// Configuration of a claim.
     struct Setup {
-        Duty duty = Duty::Provisioning;  ///< the duty
+        Duty duty = Duty::Provisioning;  ///< duty to acquire
         std::string holder;              ///< member name of this controller
-        std::uint64_t nonce = 0;         ///< never used by any claim of this duty before
-        RecordVersion lease;             ///< the key that shows the lease
-        bool fencing = false;            ///< off: the claim stays unfenced
-        bool conditions = true;  ///< off only in tests of this guard: permits without conditions
+        std::uint64_t nonce = 0;         ///< unique among all claims to this duty
+        RecordVersion lease;             ///< key that exists while the lease is held
+        bool fencing = false;            ///< false: the claim stays unfenced
+        bool conditions = true;  ///< false only in tests of this guard: permits have no conditions
     };
 
-    /// Begins with a read, or unfenced for good.
+    /// Starts by reading the record; without fencing it stays unfenced.
     explicit Claim(Setup setup);
 
-    /// Whether the record has to be read now. If so, on_read() has to follow.
+    /// Whether the record has to be read now. If so, the caller must report the result to
+    /// on_read().
     [[nodiscard]] bool begin_read();
-    /// The write that is due now, if any. on_written() has to follow. `may_create`: a duty without
-    /// a record begins to be fenced only with this; once it has a record, it is fenced for good.
+    /// The write that is due now, if any. The caller must report its result to on_written().
+    /// `may_create`: whether a missing record may be created, which begins fencing of the duty;
+    /// once the record exists, the duty stays fenced.
     [[nodiscard]] std::optional<FencedWrite> begin_write(bool may_create);
-    /// The record was read.
+    /// Processes the result of reading the record.
     void on_read(const DutyReadResult& result);
-    /// The record was written.
+    /// Processes the result of writing the record.
     void on_written(const WriteResult& result);
-    /// A write under a permit of this claim failed on the duty's record.
+    /// Call when a write under a permit of this claim failed because the duty's record has changed.
     void on_record_changed();
-    /// The lease has passed to another controller.
+    /// Call when the lease has passed to another controller.
     void on_lease_lost();
-    /// Reads a damaged record again: an operator may have repaired it.
+    /// Has a damaged record read again, as an operator may have repaired it.
     void retry_damaged_record() {
         if (state_ == State::Damaged) state_ = State::ReadDue;
     }
 
-    /// The right to act until a steady time; nothing if the duty is not held.
+    /// A permit for actions up to the steady time `not_after`; nothing unless the claim is held or
+    /// unfenced.
     [[nodiscard]] std::optional<Permit> permit(Millis not_after) const;
-    /// Where the claim stands.
+    /// Current state of the claim.
     [[nodiscard]] State state() const { return state_; }
-    /// Whether the record names this claim.
+    /// Whether the duty's record names this claim as its holder.
     [[nodiscard]] bool held() const { return state_ == State::Held; }
-    /// The epoch while the duty is held; 0: it is not.
+    /// Epoch of this holder; 0 while the duty is not held.
     [[nodiscard]] Epoch epoch() const { return held() ? record_.epoch : 0; }
     /// Key of the duty's record.
     [[nodiscard]] std::string key() const { return record_key(setup_.duty); }
-    /// The duty that is claimed.
+    /// Duty that this claim is for.
     [[nodiscard]] Duty duty() const { return setup_.duty; }
 
-    /// Compares what changes; claims of one setup are meant.
+    /// Compares the mutable state only: both claims must have the same setup.
     friend bool operator==(const Claim& left, const Claim& right) {
         return left.state_ == right.state_ && left.record_ == right.record_ &&
                left.revision_ == right.revision_;
@@ -83,7 +87,7 @@
 
     Setup setup_;
     State state_ = State::Unfenced;
-    DutyRecord record_;  // this claim's own once it is held, or else as read
+    DutyRecord record_;  // the record of this claim while it is held, otherwise as last read
     std::uint64_t revision_ = 0;
 };
 
