--- a/src/duty/cleanup.cpp
+++ b/src/duty/cleanup.cpp
@@ -1,4 +1,4 @@
-// Decisions of the cleanup duty.
+// Decides which stored records the cleanup duty removes.
 #include "duty/cleanup.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
         case KnownJobState::TerminalNothingPlaced:
             return CleanupDecision::Remove;
         case KnownJobState::TerminalMaybePlaced:
-            // Only the leader learns that a task is off its machine.
+            // Its tasks may still run: only the leader learns when a task has left its machine.
             return entry.content == PlacementContent::NoAllocations ? CleanupDecision::Remove
                                                                     : CleanupDecision::Keep;
         case KnownJobState::Unknown:
@@ -23,13 +23,14 @@
 
 CleanupDecision cleanup_decision(const HintEntry& entry, const std::set<std::string>& listed) {
     if (!entry.readable) return CleanupDecision::Suspicious;
-    // The list lags: a machine newer than all that it shows may be missing from it.
+    // The cloud's list lags behind: a machine whose name sorts after all listed names may exist
+    // already. It counts as existing.
     if (listed.empty()) return CleanupDecision::Keep;
     const auto& newest = *listed.rbegin();
-    const bool of_use = std::any_of(
+    const bool still_needed = std::any_of(
         entry.machines.begin(), entry.machines.end(),
         [&](const std::string& machine) { return machine >= newest || listed.contains(machine); });
-    return of_use ? CleanupDecision::Keep : CleanupDecision::Remove;
+    return still_needed ? CleanupDecision::Keep : CleanupDecision::Remove;
 }
 
 FencedWrite removal_write(const Permit& permit, const RemovalPlan& plan) {
