--- a/src/duty/duty.h
+++ b/src/duty/duty.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// Duties: work that one controller at a time may do for all. Each has a durable record with its
-/// holder and an epoch that only rises; see docs/duties.md.
+/// Duties: kinds of work that only one controller at a time may do on behalf of all controllers.
+/// The record of a duty in the state service names its holder and an epoch, a fencing token that
+/// increases with each holder; see docs/duties.md.
 
 #include <compare>
 #include <cstdint>
@@ -12,17 +13,17 @@
 
 namespace lichendrift::duty {
 
-/// Work that one controller at a time may do.
+/// Kinds of work that only one controller at a time may do.
 enum class Duty : std::uint8_t {
-    Provisioning,  ///< requests to the cloud: machines are provisioned and released
-    Reclaiming,    ///< deciding that a machine gets no more work and is released
-    Cleanup,       ///< removing stored records of no use
+    Provisioning,  ///< sending the cloud requests to provision and release machines
+    Reclaiming,    ///< deciding that a machine gets no more work and is to be released
+    Cleanup,       ///< removing obsolete records from the state service
 };
 
-/// Numbers the holders of a duty. 0: no epoch, the duty is not fenced.
+/// Fencing token of a duty; each holder has a higher one than the holder before. 0: not fenced.
 using Epoch = std::uint64_t;
 
-/// A key of the state service together with the revision that it has to have.
+/// A condition of a transaction: a key of the state service and the revision it must have.
 struct RecordVersion {
     std::string key;             ///< key in the state service
     std::uint64_t revision = 0;  ///< 0: the key must not exist
@@ -30,31 +31,32 @@
     auto operator<=>(const RecordVersion&) const = default;
 };
 
-/// The durable record of a duty. It stays when its holder goes, so that the epoch never goes back.
+/// The durable record of a duty. It is kept when its holder ends, so that the epoch never
+/// decreases.
 struct DutyRecord {
-    std::string holder;       ///< member name of the controller
-    Epoch epoch = 0;          ///< of this holder
-    std::uint64_t nonce = 0;  ///< distinguishes an applied write from a lost one
+    std::string holder;       ///< member name of the controller that holds the duty
+    Epoch epoch = 0;          ///< epoch of this holder
+    std::uint64_t nonce = 0;  ///< tells the holder whether an unanswered write was applied
     /// Compares all fields.
     auto operator<=>(const DutyRecord&) const = default;
 };
 
-/// A request to provision machines. Its name makes it idempotent: the cloud executes it once,
-/// however often it is sent.
+/// A request to provision machines. Its id makes it idempotent: the cloud executes it once, however
+/// often it is sent.
 struct ProvisionRequest {
-    std::string id;           ///< name of the request
+    std::string id;           ///< name of the request, never used twice
     std::string type;         ///< machine type
-    std::string zone;         ///< where the machines are to be
+    std::string zone;         ///< zone to provision them in
     bool spot = false;        ///< preemptible instances
-    std::uint32_t count = 0;  ///< how many machines
+    std::uint32_t count = 0;  ///< number of machines
     /// Compares all fields.
     auto operator<=>(const ProvisionRequest&) const = default;
 };
 
-/// What a holder is about to request from the cloud, durable before the request. Either list may
-/// be empty.
+/// The requests that a holder is about to send to the cloud. It is stored before they are sent, so
+/// that the next holder can finish them. Either list may be empty.
 struct Intent {
-    Epoch epoch = 0;                           ///< of the holder that wrote it
+    Epoch epoch = 0;                           ///< epoch of the holder that wrote it
     std::uint64_t nonce = 0;                   ///< distinguishes the writes of one holder
     std::vector<std::string> releases;         ///< names of machines to release
     std::vector<ProvisionRequest> provisions;  ///< machines to provision
@@ -62,19 +64,19 @@
     auto operator<=>(const Intent&) const = default;
 };
 
-/// A stored intent as it was read. A damaged one still names machines, if any can be made out.
+/// An intent as read from the state service. A damaged one holds the entries that could be parsed.
 struct StoredIntent {
     std::string key;             ///< key in the state service
-    std::uint64_t revision = 0;  ///< of the record
-    bool damaged = false;        ///< the value is not what a holder writes
-    Intent intent;               ///< the content, as far as it is readable
+    std::uint64_t revision = 0;  ///< revision of the record
+    bool damaged = false;        ///< the value could not be parsed completely
+    Intent intent;               ///< the content, as far as it could be parsed
 };
 
-/// Prefix of the records of duties.
+/// Key prefix of the records of duties.
 inline constexpr std::string_view kDutyPrefix = "duty/";
-/// Prefix of intents.
+/// Key prefix of the records of intents.
 inline constexpr std::string_view kIntentPrefix = "intent/";
-/// Exists under the lease of the controller that cleans up.
+/// Key that exists while a controller holds the lease for the cleanup duty.
 inline constexpr std::string_view kCleanupLeaseKey = "lease/cleanup";
 
 /// The name of a duty in keys and in the log.
@@ -95,7 +97,7 @@
     return std::string(kDutyPrefix) + std::string(name_of(duty));
 }
 
-/// Key of the intent in a slot.
+/// Key of the record of the intent in a slot.
 [[nodiscard]] inline std::string intent_key(std::uint32_t slot) {
     return std::string(kIntentPrefix) + std::to_string(slot);
 }
