--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Acts that reach outside the process. None of these types can be made without a Permit, and only
-/// a Claim gives permits: a way round the fence does not compile.
+/// Fenced writes and cloud requests. None of these types can be constructed without a Permit, and
+/// only a Claim issues permits, so code that bypasses the fence does not compile.
 
 #include <utility>
 #include <variant>
@@ -14,19 +14,20 @@
 
 using core::Millis;
 
-/// The right to act for a duty, as far as the holder knows. Whether the act takes effect is decided
-/// elsewhere: by the conditions of a write, by the durable intent behind a request.
+/// Permission to act for a duty, to the holder's knowledge. The holder may have been replaced
+/// already, so a permit alone does not make an action safe: a write depends on the conditions of
+/// its transaction, a cloud request on an intent that was stored before.
 class Permit {
   public:
-    /// The duty that it is for.
+    /// Duty that the permit is for.
     [[nodiscard]] Duty duty() const { return duty_; }
-    /// Epoch of the holder; 0: not fenced.
+    /// Epoch of the holder; 0: the duty is not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
-    /// False before fencing begins: the act then rests on the leader lease alone.
+    /// False before fencing begins: only the leader lease then protects the action.
     [[nodiscard]] bool fenced() const { return epoch_ != 0; }
-    /// Nothing leaves the process after this steady time.
+    /// Steady time after which nothing may be sent under this permit.
     [[nodiscard]] Millis not_after() const { return not_after_; }
-    /// What a write of the holder has to be conditional on.
+    /// Conditions of every write of the holder: revisions of the lease key and the duty's record.
     [[nodiscard]] const std::vector<RecordVersion>& conditions() const { return conditions_; }
 
   private:
@@ -40,10 +41,10 @@
     std::vector<RecordVersion> conditions_;
 };
 
-/// What a fenced write stores under a key. Without a value the key is removed.
+/// Value that a fenced write stores under a key; std::monostate removes the key.
 using StoredValue = std::variant<std::monostate, DutyRecord, Intent>;
 
-/// One key of a fenced write.
+/// Change of one key in a fenced write.
 struct FencedChange {
     std::string key;    ///< key in the state service
     StoredValue value;  ///< its new value
@@ -64,13 +65,13 @@
     }
     /// Adds a key to remove.
     void remove(std::string key) { changes_.push_back({std::move(key), {}}); }
-    /// All must hold for the write to be executed.
+    /// The write is executed only if all conditions hold.
     [[nodiscard]] const std::vector<RecordVersion>& conditions() const { return conditions_; }
-    /// Executed together or not at all.
+    /// Changes that are applied atomically.
     [[nodiscard]] const std::vector<FencedChange>& changes() const { return changes_; }
 
   private:
-    friend class Claim;  // writes the record that makes it the holder
+    friend class Claim;  // its write of the duty's record needs no permit: it acquires the duty
     explicit FencedWrite(std::vector<RecordVersion> conditions)
         : conditions_(std::move(conditions)) {}
 
@@ -78,15 +79,15 @@
     std::vector<FencedChange> changes_;
 };
 
-/// A request to provision machines. Only IntentLedger makes one, with a fenced permit from a
-/// durable intent.
+/// A request to provision machines. Only IntentLedger creates one; under a fenced permit, from an
+/// intent that is durable.
 class FencedProvision {
   public:
-    /// What is requested.
+    /// The machines to provision.
     [[nodiscard]] const ProvisionRequest& request() const { return request_; }
-    /// Epoch of the holder; 0: not fenced.
+    /// Epoch of the holder; 0: the duty is not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
-    /// Not sent after this steady time.
+    /// Steady time after which the request must not be sent.
     [[nodiscard]] Millis not_after() const { return not_after_; }
 
   private:
@@ -99,14 +100,14 @@
     Millis not_after_;
 };
 
-/// A request to release machines, made like a FencedProvision.
+/// A request to release machines, created in the same way as a FencedProvision.
 class FencedRelease {
   public:
-    /// Names of the machines.
+    /// Names of the machines to release.
     [[nodiscard]] const std::vector<std::string>& machines() const { return machines_; }
-    /// Epoch of the holder; 0: not fenced.
+    /// Epoch of the holder; 0: the duty is not fenced.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
-    /// Not sent after this steady time.
+    /// Steady time after which the request must not be sent.
     [[nodiscard]] Millis not_after() const { return not_after_; }
 
   private:
