--- a/src/duty/results.h
+++ b/src/duty/results.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// Results of reads, writes and cloud requests, as the classes of this folder need them. The driver
-/// (control/machine_duties.h, control/cleanup_tenure.h) makes them from the clients' results.
+/// Results of reads, writes and cloud requests, as the classes of this directory need them. The
+/// driver (control/machine_duties.h, control/cleanup_tenure.h) converts the results of the state
+/// service and cloud clients to them.
 
 #include <algorithm>
 #include <cstdint>
@@ -13,20 +14,20 @@
 
 namespace lichendrift::duty {
 
-/// What came of reading a record.
+/// Outcome of reading a record.
 enum class ReadOutcome : std::uint8_t {
     Found,
     Missing,
-    Damaged,  ///< it exists, and its value cannot be parsed
-    Failed,   ///< nothing is known
+    Damaged,  ///< the record exists, but its value cannot be parsed
+    Failed,   ///< the read failed: nothing is known about the record
 };
 
 /// A record as it was read.
 template <typename Record>
 struct ReadResult {
-    ReadOutcome outcome = ReadOutcome::Failed;  ///< whether the other fields mean anything
-    Record record;                              ///< the value, if it was found
-    std::uint64_t revision = 0;                 ///< of the record, if it was found
+    ReadOutcome outcome = ReadOutcome::Failed;  ///< whether the other fields are set
+    Record record;                              ///< value of the record, if found
+    std::uint64_t revision = 0;                 ///< revision of the record, if found
 };
 
 /// The record of a duty as it was read.
@@ -34,39 +35,39 @@
 /// An intent as it was read.
 using IntentReadResult = ReadResult<Intent>;
 
-/// Stored intents, one page of the list.
+/// One page of the list of stored intents.
 struct IntentPage {
-    std::vector<StoredIntent> intents;  ///< in the order of their keys
+    std::vector<StoredIntent> intents;  ///< ordered by key
     bool more = false;                  ///< further pages follow
 };
 
-/// What came of a transaction.
+/// Outcome of a transaction.
 enum class WriteOutcome : std::uint8_t {
     Written,
-    Conflict,     ///< certainly not executed: a condition failed
-    Unavailable,  ///< certainly not executed
-    Rejected,     ///< certainly not executed, and never will be: too large
-    Unknown,      ///< may have been executed, or may still be
+    Conflict,     ///< not executed: a condition failed
+    Unavailable,  ///< not executed; may be retried
+    Rejected,     ///< not executed: too large, so a retry would fail as well
+    Unknown,      ///< no answer: may have been executed, or may be executed later
 };
 
 /// Result of a transaction.
 struct WriteResult {
-    WriteOutcome outcome = WriteOutcome::Unknown;  ///< whether it was executed
-    std::uint64_t revision = 0;                    ///< of the written records
-    std::vector<std::string> failed;               ///< keys whose condition failed
+    WriteOutcome outcome = WriteOutcome::Unknown;  ///< whether the transaction was executed
+    std::uint64_t revision = 0;                    ///< revision of the written records
+    std::vector<std::string> failed;               ///< keys whose conditions failed
 
-    /// Whether the condition on this key failed.
+    /// Whether a condition on this key failed.
     [[nodiscard]] bool failed_on(const std::string& key) const {
         return std::find(failed.begin(), failed.end(), key) != failed.end();
     }
 };
 
-/// What came of a request to the cloud.
+/// Outcome of a request to the cloud.
 enum class CloudOutcome : std::uint8_t {
     Done,
-    NoCapacity,   ///< certainly not executed: there are no such machines
-    Unavailable,  ///< certainly not executed
-    NoAnswer,     ///< may have been executed, or may still be
+    NoCapacity,   ///< not executed: the cloud has no such machines left
+    Unavailable,  ///< not executed: the cloud refused the request or could not be reached
+    NoAnswer,     ///< may have been executed, or may be executed later
 };
 
 }  // namespace lichendrift::duty
