--- a/src/duty/results.h
+++ b/src/duty/results.h
@@ -66,7 +66,7 @@
 enum class CloudOutcome : std::uint8_t {
     Done,
     NoCapacity,   ///< not executed: the cloud has no such machines left
-    Unavailable,  ///< not executed: the cloud refused the request or could not be reached
+    Unavailable,  ///< not executed: the cloud refused the request, or it was not sent
     NoAnswer,     ///< may have been executed, or may be executed later
 };
 
