--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -1,4 +1,4 @@
-// The order of what a holder of the machine duties does.
+// Order of the actions of a holder of the machine duties.
 #include "duty/machine_duty_holder.h"
 
 namespace lichendrift::duty {
@@ -19,7 +19,7 @@
       provisioning_(claim_setup(setup, Duty::Provisioning)),
       reclaiming_(claim_setup(setup, Duty::Reclaiming)),
       ledger_(setup.guards),
-      intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Known) {}
+      intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
 
 std::vector<Action> MachineDutyHolder::due_actions(const Inputs& inputs) {
     std::vector<Action> out;
@@ -34,7 +34,7 @@
         return out;
     const auto provisioning = provisioning_.permit(inputs.not_after);
     const auto reclaiming = reclaiming_.permit(inputs.not_after);
-    // While fencing begins, one duty is fenced and the other is not yet.
+    // While fencing begins, one duty may already be fenced and the other not: wait for both.
     if (!provisioning || !reclaiming || provisioning->fenced() != reclaiming->fenced()) return out;
     if (provisioning->fenced()) {
         ledger_.requeue_unfenced();
@@ -83,13 +83,13 @@
 }
 
 void MachineDutyHolder::on_duty_read(Duty duty, const DutyReadResult& result, Millis now) {
-    claim_to(duty).on_read(result);
+    mutable_claim(duty).on_read(result);
     if (result.outcome == ReadOutcome::Failed) retry_at_ = now + kRetryMs;
     if (result.outcome == ReadOutcome::Damaged) retry_at_ = now + kDamagedRetryMs;
 }
 
 void MachineDutyHolder::on_duty_written(Duty duty, const WriteResult& result, Millis now) {
-    claim_to(duty).on_written(result);
+    mutable_claim(duty).on_written(result);
     if (result.outcome != WriteOutcome::Written) retry_at_ = now + kRetryMs;
 }
 
@@ -104,7 +104,7 @@
         machines.insert(machines.end(), named.begin(), named.end());
     }
     const bool more = page.more && !page.intents.empty();
-    intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Known;
+    intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
     return machines;
 }
 
@@ -124,8 +124,8 @@
     on_fence_checked(ledger_.on_removed(slots, result, now), result);
 }
 
-// Which condition failed shows whether the lease has passed to another controller, or only a
-// duty's record was changed.
+// The failed condition shows whether the lease has passed to another controller or only the record
+// of a duty has changed.
 void MachineDutyHolder::on_fence_checked(IntentLedger::FenceCheck check,
                                          const WriteResult& result) {
     if (check == IntentLedger::FenceCheck::Intact) return;
--- a/src/duty/machine_duty_holder.h
+++ b/src/duty/machine_duty_holder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What a leader does for the duties of provisioning and reclaiming.
+/// How a leader performs the duties of provisioning and reclaiming.
 
 #include "duty/actions.h"
 #include "duty/claim.h"
@@ -9,82 +9,85 @@
 
 namespace lichendrift::duty {
 
-/// What a leader does for the duties of provisioning and reclaiming, in its order: intents of
-/// earlier holders are read and the duties are claimed under the leader's lease before anything is
-/// requested from the cloud. Pure: due_actions() gives the actions, each is under way until its
-/// result is handed in. The daemon carries them out (control/machine_duties.h); the exploration
-/// in the tests drives the same class through all interleavings.
+/// Performs the duties of provisioning and reclaiming for a leader, in a fixed order: it reads the
+/// intents of earlier holders and claims the duties under the leader's lease before it sends
+/// requests to the cloud. The class does no I/O: due_actions() returns actions, and each is in
+/// flight until its result is reported. The daemon carries the actions out
+/// (control/machine_duties.h); the exploration in the tests drives the same class through all
+/// interleavings.
 class MachineDutyHolder {
   public:
-    /// What a holder is made for.
+    /// Configuration of a holder.
     struct Setup {
-        std::string member;      ///< name of this controller
-        std::uint64_t term = 0;  ///< fencing token of the leader: never used twice
-        RecordVersion lease;     ///< the leader's key
-        bool fencing = false;    ///< off: nothing is stored, as before there were duties
+        std::string member;      ///< member name of this controller
+        std::uint64_t term = 0;  ///< fencing token of the leader, unique to its term
+        RecordVersion lease;     ///< leader key, which exists while the leader lease is held
+        bool fencing = false;    ///< false: no duty records or intents are stored
         bool conditions = true;  ///< see Claim::Setup
         IntentGuards guards;     ///< see IntentGuards
     };
-    /// What the next actions depend on, as of now.
+    /// Current time and the state outside the holder that the next actions depend on.
     struct Inputs {
         Millis now = 0;            ///< steady time
-        bool lease_valid = false;  ///< surely the leader by its own clock
+        bool lease_valid = false;  ///< the leader lease is valid by the local clock
         Millis not_after = 0;      ///< steady time after which the lease may have expired
-        /// All placement records are read: a release that was confirmed before would leave the
-        /// tasks that they name on a machine that is known to be gone.
+        /// All placement records have been read. Cloud requests wait for this: if a release were
+        /// confirmed before, the tasks in records that are read later would stay on a machine that
+        /// is known to be gone.
         bool placement_records_loaded = false;
-        bool may_begin_fencing = false;  ///< every controller is known to understand intents
-        bool background_writes_allowed = false;  ///< there is room for writes that nobody waits for
-        IntentLedger::Limits limits;             ///< of the state service
+        bool may_begin_fencing = false;          ///< every controller is known to support intents
+        bool background_writes_allowed = false;  ///< the write rate limit has room for removals
+        IntentLedger::Limits limits;             ///< limits of the state service
     };
 
-    /// A holder that has neither read nor claimed anything yet.
+    /// Creates a holder that has not read or claimed anything yet.
     explicit MachineDutyHolder(const Setup& setup);
 
-    /// The actions that are due now.
+    /// The actions that are due now. The caller carries them out and reports their results.
     [[nodiscard]] std::vector<Action> due_actions(const Inputs& inputs);
 
-    /// Result of ReadDuty.
+    /// Reports the result of ReadDuty.
     void on_duty_read(Duty duty, const DutyReadResult& result, Millis now);
-    /// Result of WriteDuty.
+    /// Reports the result of WriteDuty.
     void on_duty_written(Duty duty, const WriteResult& result, Millis now);
-    /// Result of ReadIntents. Returns the machines that the intents name: they get no work.
+    /// Reports the result of ReadIntents. Returns the machines that the intents release, which must
+    /// get no more work.
     [[nodiscard]] std::vector<std::string> on_intents_read(const IntentPage& page, Millis now);
-    /// ReadIntents failed.
+    /// Reports that ReadIntents failed; it is retried after a delay.
     void on_intents_read_failed(Millis now);
-    /// Result of ReadIntent.
+    /// Reports the result of ReadIntent.
     void on_intent_read(std::uint32_t slot, const IntentReadResult& result, Millis now) {
         ledger_.on_read(slot, result, now);
     }
-    /// Result of WriteIntent.
+    /// Reports the result of WriteIntent.
     void on_intent_written(std::uint32_t slot, const WriteResult& result, Millis now);
-    /// Result of RemoveIntents.
+    /// Reports the result of RemoveIntents.
     void on_intents_removed(const std::vector<std::uint32_t>& slots, const WriteResult& result,
                             Millis now);
-    /// Result of RequestRelease, for that many machines.
+    /// Reports the outcome of RequestRelease. `machines`: number of machines in the request.
     void on_released(std::uint32_t slot, std::size_t machines, CloudOutcome outcome, Millis now) {
         ledger_.on_released(slot, machines, outcome, now);
     }
-    /// Result of RequestProvision.
+    /// Reports the outcome of RequestProvision. `request`: id of the provisioning request.
     void on_provisioned(std::uint32_t slot, const std::string& request, CloudOutcome outcome,
                         Millis now) {
         ledger_.on_provisioned(slot, request, outcome, now);
     }
 
-    /// Wants a machine released; see IntentLedger.
+    /// Queues the release of a machine; see IntentLedger::queue_release().
     void queue_release(const std::string& machine, bool urgent, Millis now) {
         ledger_.queue_release(machine, urgent, now);
     }
-    /// Wants machines provisioned.
+    /// Queues a provisioning request.
     void queue_provision(ProvisionRequest request, Millis now) {
         ledger_.queue_provision(std::move(request), now);
     }
 
-    /// Whether all intents of earlier holders are known. Nothing is placed before.
+    /// Whether all intents of earlier holders have been read. No work is placed before.
     [[nodiscard]] bool inherited_intents_loaded() const {
-        return intents_ == InheritedIntents::Known;
+        return intents_ == InheritedIntents::Loaded;
     }
-    /// Whether both duties are held with an epoch.
+    /// Whether both duties are held under an epoch.
     [[nodiscard]] bool fenced() const { return provisioning_.held() && reclaiming_.held(); }
     /// Whether the lease has passed to another controller.
     [[nodiscard]] bool lost() const;
@@ -92,19 +95,19 @@
     [[nodiscard]] const Claim& claim(Duty duty) const {
         return duty == Duty::Provisioning ? provisioning_ : reclaiming_;
     }
-    /// Its intents.
+    /// The intents of this holder.
     [[nodiscard]] const IntentLedger& ledger() const { return ledger_; }
 
-    /// Compares what decides about the next actions.
+    /// Compares the state that determines the next actions.
     friend bool operator==(const MachineDutyHolder& left, const MachineDutyHolder& right) {
         return left.provisioning_ == right.provisioning_ && left.reclaiming_ == right.reclaiming_ &&
                left.ledger_ == right.ledger_ && left.intents_ == right.intents_;
     }
 
   private:
-    enum class InheritedIntents : std::uint8_t { ReadDue, Reading, Known };
+    enum class InheritedIntents : std::uint8_t { ReadDue, Reading, Loaded };
 
-    [[nodiscard]] Claim& claim_to(Duty duty) {
+    [[nodiscard]] Claim& mutable_claim(Duty duty) {
         return duty == Duty::Provisioning ? provisioning_ : reclaiming_;
     }
     void add_claim_actions(Claim& claim, const Inputs& inputs, std::vector<Action>& out);
