--- a/src/duty/intent_ledger.cpp
+++ b/src/duty/intent_ledger.cpp
@@ -1,4 +1,4 @@
-// Which intent is written, read, removed and requested next.
+// Selects the next intents to write, read back, remove and send to the cloud.
 #include "duty/intent_ledger.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxWritesInFlight = 2;
 
-// The slot of an intent's key; nothing if the key is not one that a holder writes.
+// The slot number in the key of an intent; nothing if the key is not one that a holder writes.
 std::optional<std::uint32_t> slot_number(const std::string& key) {
     std::uint32_t number = 0;
     const char* from = key.data() + std::min(kIntentPrefix.size(), key.size());
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// ---- what earlier holders left ----
+// ---- intents of earlier holders ----
 
 void IntentLedger::inherit(const StoredIntent& stored, Millis now) {
     const auto number = slot_number(stored.key);
@@ -42,7 +42,7 @@
     settle_if_complete(slot);
 }
 
-// ---- what is wanted ----
+// ---- queued work ----
 
 void IntentLedger::queue_release(const std::string& machine, bool urgent, Millis now) {
     if (releasing_.insert(machine).second) queue_.add_release(machine, urgent, now);
@@ -54,12 +54,12 @@
 
 void IntentLedger::open_unfenced(Millis now) {
     withdraw_outdated(now);
-    constexpr auto kNoRecord = std::string::npos;  // no limit to its size
+    constexpr auto kNoSizeLimit = std::string::npos;  // no record is written
     if (queue_.has_releases()) {
-        slots_[free_slot(false)].open_unfenced(queue_.take_releases(kNoRecord), now);
+        slots_[free_slot(false)].open_unfenced(queue_.take_releases(kNoSizeLimit), now);
     }
     if (queue_.has_provisions()) {
-        slots_[free_slot(false)].open_unfenced(queue_.take_provisions(kNoRecord), now);
+        slots_[free_slot(false)].open_unfenced(queue_.take_provisions(kNoSizeLimit), now);
     }
 }
 
@@ -72,7 +72,8 @@
     }
 }
 
-// What its holder has not requested yet it may withdraw, as nobody else can have requested it.
+// A holder may withdraw a request that it has queued and not sent: no other controller can have
+// sent it.
 void IntentLedger::withdraw_outdated(Millis now) {
     counters_.withdrawn += queue_.withdraw_outdated(now);
     for (auto& [number, slot] : slots_) {
@@ -95,9 +96,9 @@
     return number;
 }
 
-std::optional<std::uint32_t> IntentLedger::slot_due_in(State state, Millis now) const {
+std::optional<std::uint32_t> IntentLedger::first_due_slot(State state, Millis now) const {
     for (const auto& [number, slot] : slots_) {
-        if (slot.due_in(state, now)) return number;
+        if (slot.due_in_state(state, now)) return number;
     }
     return std::nullopt;
 }
@@ -112,10 +113,10 @@
                                                     Millis now) {
     withdraw_outdated(now);
     if (writes_in_flight() >= kMaxWritesInFlight) return std::nullopt;
-    if (const auto number = slot_due_in(State::Unconfirmed, now)) {
+    if (const auto number = first_due_slot(State::Unconfirmed, now)) {
         auto& slot = slots_.at(*number);
         slot.begin_rewrite();
-        return write_of(*number, slot.batch().provisions.empty() ? reclaiming : provisioning);
+        return make_write(*number, slot.batch().provisions.empty() ? reclaiming : provisioning);
     }
     if (queue_.has_provisions()) {
         return write_batch(queue_.take_provisions(limits.value_bytes), provisioning, now);
@@ -130,12 +131,12 @@
     const auto number = free_slot(true);
     auto& slot = slots_[number];
     slot.begin_intent(permit.epoch(), ++last_nonce_, std::move(batch), now);
-    auto write = write_of(number, permit);
+    auto write = make_write(number, permit);
     if (!guards_.durable_first) slot.open_before_written();
     return write;
 }
 
-WriteIntent IntentLedger::write_of(std::uint32_t number, const Permit& permit) const {
+WriteIntent IntentLedger::make_write(std::uint32_t number, const Permit& permit) const {
     const auto& slot = slots_.at(number);
     FencedWrite write(permit);
     write.require({intent_key(number), slot.revision()});
@@ -151,9 +152,9 @@
             ++counters_.written;
             return FenceCheck::Intact;
         case IntentSlot::WriteEffect::TooLarge: {
-            // Smaller limits came into force.
-            const auto wanted_at = slot.opened_at();
-            queue_.divide(slot.give_up(now), wanted_at);
+            // The limits of the state service have been lowered.
+            const auto queued_at = slot.opened_at();
+            queue_.requeue_rejected(slot.take_back_batch(now), queued_at);
             return FenceCheck::Intact;
         }
         case IntentSlot::WriteEffect::FenceFailed:
@@ -167,7 +168,7 @@
 // ---- reading back ----
 
 std::optional<ReadIntent> IntentLedger::next_read(Millis now) {
-    const auto number = slot_due_in(State::ReadDue, now);
+    const auto number = first_due_slot(State::ReadDue, now);
     if (!number) return std::nullopt;
     slots_.at(*number).begin_read();
     return ReadIntent{*number};
@@ -180,10 +181,12 @@
             ++counters_.written;
             return;
         case IntentSlot::ReadEffect::Damaged: {
-            // Not a holder's doing. What the record was to hold is written elsewhere.
+            // No holder writes such a value. The slot keeps the damaged record, and a batch that
+            // was being written goes into another slot.
             ++counters_.damaged;
-            const auto wanted_at = slot.opened_at();
-            if (!slot.reads_after_removal()) queue_.divide(slot.give_up(now), wanted_at);
+            const auto queued_at = slot.opened_at();
+            if (!slot.reads_after_removal())
+                queue_.requeue_rejected(slot.take_back_batch(now), queued_at);
             slot = IntentSlot::damaged();
             return;
         }
@@ -199,7 +202,8 @@
     RemoveIntents removal{{}, FencedWrite(provisioning)};
     for (const auto& [number, slot] : slots_) {
         if (slot.state() == State::Removing) return std::nullopt;
-        if (!slot.due_in(State::Settled, now) || removal.slots.size() >= max_operations) continue;
+        if (!slot.due_in_state(State::Settled, now) || removal.slots.size() >= max_operations)
+            continue;
         removal.slots.push_back(number);
         removal.write.require({intent_key(number), slot.revision()});
         removal.write.remove(intent_key(number));
@@ -228,7 +232,7 @@
 }
 
 std::optional<RequestRelease> IntentLedger::next_release(const Permit& provisioning, Millis now) {
-    // One at a time: the cloud's rate limit is low.
+    // Only one is in flight at a time because the cloud's rate limit is low.
     const bool in_flight = std::any_of(slots_.begin(), slots_.end(), [](const auto& entry) {
         return entry.second.release_in_flight();
     });
@@ -273,14 +277,14 @@
     if (slot.settle_if_complete()) ++counters_.settled;
 }
 
-// ---- what is open ----
+// ---- open intents ----
 
 bool IntentLedger::provisioning_in_flight() const {
     if (queue_.has_provisions()) return true;
     return std::any_of(slots_.begin(), slots_.end(), [](const auto& entry) {
         const auto& provisions = entry.second.batch().provisions;
         return std::any_of(provisions.begin(), provisions.end(),
-                           [](const auto& provision) { return provision.awaited(); });
+                           [](const auto& provision) { return provision.result_expected_soon(); });
     });
 }
 
@@ -289,13 +293,13 @@
     return static_cast<std::size_t>(std::count_if(slots_.begin(), slots_.end(), open));
 }
 
-std::optional<IntentLedger::Oldest> IntentLedger::oldest_open() const {
-    std::optional<Oldest> oldest;
+std::optional<IntentLedger::OldestIntent> IntentLedger::oldest_open() const {
+    std::optional<OldestIntent> oldest;
     for (const auto& [number, slot] : slots_) {
         if (!slot.durably_open()) continue;
         if (oldest && oldest->since <= slot.opened_at()) continue;
         const auto& batch = slot.batch();
-        oldest = Oldest{number, slot.opened_at(), batch.releases.size(), {}, {}};
+        oldest = OldestIntent{number, slot.opened_at(), batch.releases.size(), {}, {}};
         if (!batch.releases.empty()) {
             oldest->first_machine = batch.releases.front();
         } else if (!batch.provisions.empty()) {
--- a/src/duty/intent_ledger.h
+++ b/src/duty/intent_ledger.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The machines that a holder provisions and releases.
+/// Write-ahead ledger of a holder's requests to the cloud.
 
 #include <map>
 #include <optional>
@@ -12,110 +12,116 @@
 
 namespace lichendrift::duty {
 
-/// Switches of the ledger's guards. All are on; tests switch one off to prove that its loss is
-/// seen.
+/// Switches for the ledger's safety guards. All are on in production; tests switch one off to show
+/// that they detect its absence.
 struct IntentGuards {
-    bool durable_first = true;  ///< no request before its intent is durable
-    bool inherit = true;        ///< intents of earlier holders are read and finished
+    bool durable_first = true;  ///< no cloud request before its intent is durable
+    bool inherit = true;        ///< intents of earlier holders are finished
     /// Compares both switches.
     friend bool operator==(const IntentGuards&, const IntentGuards&) = default;
 };
 
-/// Limits of the state service in its default settings.
+/// Default limit of the state service on the size of a value, in bytes.
 inline constexpr std::size_t kDefaultValueBytes = 8192;
-/// See kDefaultValueBytes.
+/// Default limit of the state service on the operations of one transaction.
 inline constexpr std::size_t kDefaultOperations = 8;
 
-/// The machines that a holder provisions and releases. Before anything is requested from the cloud
-/// its intent is durable; the next holder of the duty finds it, finishes it, and places no work on
-/// its machines. So a request of a replaced holder, however late it takes effect, names only
-/// machines that nobody uses, or repeats a provisioning request that was made already. Pure: what
-/// is wanted and results go in, writes and requests to do come out.
+/// Write-ahead ledger of the machines that a holder provisions and releases. An intent is stored
+/// before its requests are sent to the cloud. The next holder of the duty reads the intent,
+/// finishes it and places no work on the machines that it releases. A request of a replaced holder,
+/// however late it takes effect, therefore releases only machines that nobody uses, or repeats an
+/// idempotent provisioning request. The ledger does no I/O: it is given queued work and results,
+/// and returns the writes and requests that are due.
 class IntentLedger {
   public:
-    /// A ledger without intents.
+    /// Creates a ledger without intents.
     explicit IntentLedger(IntentGuards guards = {}) : guards_(guards) {}
 
-    /// Limits of the state service.
+    /// Limits of the state service for new records and transactions.
     struct Limits {
-        std::size_t value_bytes = kDefaultValueBytes;  ///< of one intent
-        std::size_t operations = kDefaultOperations;   ///< of one transaction
+        std::size_t value_bytes = kDefaultValueBytes;  ///< size of one intent's value
+        std::size_t operations = kDefaultOperations;   ///< operations of one transaction
     };
-    /// Counts since this holder began.
+    /// Counts since this holder was created.
     struct Counters {
         std::uint64_t written = 0;    ///< intents that became durable
-        std::uint64_t settled = 0;    ///< intents with nothing more to do
-        std::uint64_t inherited = 0;  ///< intents of earlier holders
+        std::uint64_t settled = 0;    ///< intents with no requests left
+        std::uint64_t inherited = 0;  ///< intents taken over from earlier holders
         std::uint64_t damaged = 0;    ///< intents that cannot be parsed
-        std::uint64_t withdrawn = 0;  ///< provisioning requests given up before they were sent
+        std::uint64_t withdrawn = 0;  ///< provisioning requests dropped before they were sent
     };
 
     /// Takes over an intent that an earlier holder left.
     void inherit(const StoredIntent& stored, Millis now);
 
-    /// Wants a machine released. Once, however often it is called. `urgent`: without waiting for
-    /// further machines.
+    /// Queues the release of a machine unless it is queued or in an intent already. `urgent`: the
+    /// release does not wait for others to share its intent.
     void queue_release(const std::string& machine, bool urgent, Millis now);
-    /// Wants machines provisioned.
+    /// Queues a provisioning request.
     void queue_provision(ProvisionRequest request, Millis now);
 
-    /// Without a fence: what is queued may be requested at once, nothing is stored.
+    /// Before fencing begins: allows the requests for everything that is queued, without storing
+    /// intents.
     void open_unfenced(Millis now);
-    /// Fencing has begun: what was opened without it and is not under way is queued again.
+    /// Once fencing has begun: queues the content of intents without a record again, unless one of
+    /// their requests is in flight.
     void requeue_unfenced();
 
-    /// The next write that is due.
+    /// The next write of an intent that is due. The caller must report its result to on_written().
     [[nodiscard]] std::optional<WriteIntent> next_write(const Permit& provisioning,
                                                         const Permit& reclaiming,
                                                         const Limits& limits, Millis now);
     /// Whether a failed write shows that the lease or a duty has passed to another controller.
     enum class FenceCheck : std::uint8_t { Intact, Failed };
-    /// An intent was written.
+    /// Processes the result of writing the intent in a slot.
     [[nodiscard]] FenceCheck on_written(std::uint32_t number, const WriteResult& result,
                                         Millis now);
 
-    /// The next record to read back, as it is not known whether a write to it was executed.
+    /// The next record to read back because it is not known whether a write to it was executed. The
+    /// caller must report its result to on_read().
     [[nodiscard]] std::optional<ReadIntent> next_read(Millis now);
-    /// An intent was read back.
+    /// Processes the result of reading back the intent in a slot.
     void on_read(std::uint32_t number, const IntentReadResult& result, Millis now);
 
-    /// The next removal of settled records, of at most `max_operations`.
+    /// The next removal of settled records, at most `max_operations` of them. The caller must
+    /// report its result to on_removed().
     [[nodiscard]] std::optional<RemoveIntents> next_removal(const Permit& provisioning,
                                                             std::size_t max_operations, Millis now);
-    /// Settled records were removed.
+    /// Processes the result of removing the records of these slots.
     [[nodiscard]] FenceCheck on_removed(const std::vector<std::uint32_t>& numbers,
                                         const WriteResult& result, Millis now);
 
-    /// The next request to release machines that is due. One at a time is under way.
+    /// The next request to release machines that is due. At most one is in flight at a time.
     [[nodiscard]] std::optional<RequestRelease> next_release(const Permit& provisioning,
                                                              Millis now);
-    /// The cloud responded to a request for that many machines.
+    /// Processes the outcome of a request to release the first `machines` machines of a slot.
     void on_released(std::uint32_t number, std::size_t machines, CloudOutcome outcome, Millis now);
     /// The next provisioning request that is due.
     [[nodiscard]] std::optional<RequestProvision> next_provision(const Permit& provisioning,
                                                                  Millis now);
-    /// The cloud responded to a provisioning request.
+    /// Processes the outcome of a provisioning request, given by its slot and id.
     void on_provisioned(std::uint32_t number, const std::string& request, CloudOutcome outcome,
                         Millis now);
 
-    /// Whether the result of a provisioning request can be expected soon: better plan with it.
+    /// Whether the result of a provisioning request can be expected soon. Planning further machines
+    /// waits for it.
     [[nodiscard]] bool provisioning_in_flight() const;
-    /// Durable intents that are not settled.
+    /// Number of stored intents that are not settled.
     [[nodiscard]] std::size_t open_count() const;
-    /// What the oldest open intent is about.
-    struct Oldest {
-        std::uint32_t slot = 0;         ///< its number
-        Millis since = 0;               ///< steady time
+    /// Summary of an open intent for the log.
+    struct OldestIntent {
+        std::uint32_t slot = 0;         ///< slot of the intent
+        Millis since = 0;               ///< steady time at which it was put into the slot
         std::size_t releases = 0;       ///< machines that are still to be released
-        std::string first_machine;      ///< the first of them; empty: none
-        std::string provision_request;  ///< name of its first one, if there is nothing to release
+        std::string first_machine;      ///< first machine to be released; empty: none
+        std::string provision_request;  ///< id of the first provisioning request, if no releases
     };
-    /// The oldest open intent.
-    [[nodiscard]] std::optional<Oldest> oldest_open() const;
-    /// Counts since this holder began.
+    /// The oldest stored intent that is not settled; nothing if there is none.
+    [[nodiscard]] std::optional<OldestIntent> oldest_open() const;
+    /// Counts since this holder was created.
     [[nodiscard]] const Counters& counters() const { return counters_; }
 
-    /// Compares what decides about the next actions.
+    /// Compares the state that determines the next actions.
     friend bool operator==(const IntentLedger& left, const IntentLedger& right) {
         return left.slots_ == right.slots_ && left.queue_ == right.queue_;
     }
@@ -124,18 +130,18 @@
     using State = IntentSlot::State;
 
     [[nodiscard]] std::uint32_t free_slot(bool may_overwrite) const;
-    [[nodiscard]] std::optional<std::uint32_t> slot_due_in(State state, Millis now) const;
+    [[nodiscard]] std::optional<std::uint32_t> first_due_slot(State state, Millis now) const;
     [[nodiscard]] std::size_t writes_in_flight() const;
     [[nodiscard]] bool may_request(const IntentSlot& slot, const Permit& permit) const;
     [[nodiscard]] WriteIntent write_batch(IntentBatch batch, const Permit& permit, Millis now);
-    [[nodiscard]] WriteIntent write_of(std::uint32_t number, const Permit& permit) const;
+    [[nodiscard]] WriteIntent make_write(std::uint32_t number, const Permit& permit) const;
     void settle_if_complete(IntentSlot& slot);
     void withdraw_outdated(Millis now);
 
     IntentGuards guards_;
     std::map<std::uint32_t, IntentSlot> slots_;
     IntentQueue queue_;
-    std::set<std::string> releasing_;  // queued, or named by an intent that is not settled
+    std::set<std::string> releasing_;  // machines queued for release or in an unsettled intent
     std::uint64_t last_nonce_ = 0;
     Counters counters_;
 };
--- a/src/duty/intent_queue.h
+++ b/src/duty/intent_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What a holder wants to request from the cloud and has not put into an intent yet.
+/// Releases and provisioning requests of a holder that are not part of an intent yet.
 
 #include <cstddef>
 #include <deque>
@@ -12,60 +12,63 @@
 
 namespace lichendrift::duty {
 
-/// What one request to the cloud may release, by the protocol.
+/// Maximum number of machines in one release request, by the cloud's protocol.
 inline constexpr std::size_t kMaxReleasesPerRequest = 100;
 
-/// The content of one intent: releases or provisioning requests.
+/// Content of one intent: either releases or provisioning requests.
 struct IntentBatch {
-    std::vector<std::string> releases;         ///< machines to release
-    std::vector<PendingProvision> provisions;  ///< requests to make
+    std::vector<std::string> releases;         ///< names of machines to release
+    std::vector<PendingProvision> provisions;  ///< provisioning requests to send
     /// Compares both lists.
     friend bool operator==(const IntentBatch&, const IntentBatch&) = default;
 };
 
-/// Waiting releases and provisioning requests, taken out in batches of the size of a record.
+/// Queue of releases and provisioning requests, taken out in batches that fit into one record.
 class IntentQueue {
   public:
-    /// Adds a machine to release. `urgent`: its batch does not wait for further machines.
+    /// Queues the release of a machine. `urgent`: it is due at once, without waiting for others.
     void add_release(std::string machine, bool urgent, Millis now);
-    /// Adds a provisioning request.
+    /// Queues a provisioning request.
     void add_provision(PendingProvision provision);
-    /// Adds again what stood in an intent that was never durable.
-    void requeue(IntentBatch batch, Millis wanted_at);
-    /// Takes back a batch that was too large for a record. From now on batches have half its size.
-    void divide(IntentBatch batch, Millis wanted_at);
+    /// Queues the content of an intent again that was never stored, except settled requests.
+    void requeue(IntentBatch batch, Millis queued_at);
+    /// Queues a batch again, at the front, that was too large for a record. From now on batches
+    /// have at most half as many entries.
+    void requeue_rejected(IntentBatch batch, Millis queued_at);
 
-    /// Whether provisioning requests wait.
+    /// Whether provisioning requests are queued.
     [[nodiscard]] bool has_provisions() const { return !provisions_.empty(); }
-    /// Whether releases wait.
+    /// Whether releases are queued.
     [[nodiscard]] bool has_releases() const { return !releases_.empty(); }
-    /// Whether releases wait that are urgent, many, or have waited for further ones long enough.
+    /// Whether a batch of releases is due: one is urgent or has waited long enough for others, or
+    /// there are enough of them for a full request.
     [[nodiscard]] bool releases_due(Millis now) const;
 
-    /// Takes out releases for one record of at most `value_bytes`, but always one.
+    /// Takes out releases for one record of at most `value_bytes`; at least one in any case.
     [[nodiscard]] IntentBatch take_releases(std::size_t value_bytes);
-    /// Takes out provisioning requests for one record of at most `value_bytes`, but always one.
+    /// Takes out provisioning requests for one record of at most `value_bytes`; at least one in any
+    /// case.
     [[nodiscard]] IntentBatch take_provisions(std::size_t value_bytes);
-    /// Drops provisioning requests that waited for too long; returns how many.
+    /// Drops provisioning requests that have waited too long; returns how many.
     std::size_t withdraw_outdated(Millis now);
 
-    /// Compares what waits.
+    /// Compares the queued entries.
     friend bool operator==(const IntentQueue& left, const IntentQueue& right) {
         return left.releases_ == right.releases_ && left.provisions_ == right.provisions_;
     }
 
   private:
-    struct WaitingRelease {
+    struct QueuedRelease {
         std::string machine;
         bool urgent = false;
-        Millis wanted_at = 0;
-        friend bool operator==(const WaitingRelease&, const WaitingRelease&) = default;
+        Millis queued_at = 0;
+        friend bool operator==(const QueuedRelease&, const QueuedRelease&) = default;
     };
     [[nodiscard]] std::size_t max_entries(std::size_t max_by_kind) const;
 
-    std::deque<WaitingRelease> releases_;
+    std::deque<QueuedRelease> releases_;
     std::deque<PendingProvision> provisions_;
-    std::size_t max_entries_ = 0;  // 0: not reduced yet; see divide()
+    std::size_t max_entries_ = 0;  // 0: not reduced; see requeue_rejected()
 };
 
 }  // namespace lichendrift::duty
--- a/src/duty/intent_slot.cpp
+++ b/src/duty/intent_slot.cpp
@@ -1,4 +1,4 @@
-// Transitions of an intent's life cycle; the table stands in intent_slot.h.
+// State transitions of an intent slot; see the table in intent_slot.h.
 #include "duty/intent_slot.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 constexpr Millis kWriteRetryMs = 300;
 constexpr Millis kReadRetryMs = 300;
 constexpr Millis kReleaseRetryMs = 3000;
-constexpr Millis kRemovalDelayMs = 2000;  // the next intent may overwrite the record
+constexpr Millis kRemovalDelayMs = 2000;  // time for the next intent to overwrite the record
 
 }  // namespace
 
@@ -74,7 +74,8 @@
             due_at_ = now;
             read_after_removal_ = false;
             if (result.failed_on(key)) {
-                // An earlier write of this holder was executed, this one's or one before it.
+                // An earlier write of this holder with an unknown result was executed: one of this
+                // intent or one before it.
                 state_ = State::ReadDue;
                 return WriteEffect::None;
             }
@@ -91,7 +92,7 @@
     return WriteEffect::None;
 }
 
-IntentBatch IntentSlot::give_up(Millis now) {
+IntentBatch IntentSlot::take_back_batch(Millis now) {
     auto batch = std::move(batch_);
     const auto kept = revision_;
     *this = {};
@@ -134,7 +135,7 @@
         return RemovalEffect::None;
     }
     const bool changed = result.failed_on(key);
-    // Without an answer the record may be gone; the next write to it finds out.
+    // Without an answer the record may have been removed; the next write to it shows whether.
     state_ = changed ? State::ReadDue : State::Settled;
     read_after_removal_ = true;
     due_at_ = changed ? now : now + kRemovalDelayMs;
@@ -154,7 +155,8 @@
 std::vector<std::string> IntentSlot::on_released(std::size_t machines, CloudOutcome outcome,
                                                  Millis now) {
     release_in_flight_ = false;
-    // Without the cloud's response the machines may still exist, and the request be under way.
+    // Without the cloud's response, the machines may still exist and the request may be executed
+    // later.
     if (outcome != CloudOutcome::Done) return {};
     const auto count = std::min(machines, batch_.releases.size());
     const auto end = batch_.releases.begin() + static_cast<std::ptrdiff_t>(count);
@@ -202,7 +204,7 @@
     if (state_ == State::Settled) due_at_ = now + kRemovalDelayMs;
 }
 
-// ---- what it holds ----
+// ---- content ----
 
 bool IntentSlot::request_in_flight() const {
     return release_in_flight_ ||
--- a/src/duty/intent_slot.h
+++ b/src/duty/intent_slot.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The life cycle of one intent and of its record.
+/// Life cycle of one intent and its record in the state service.
 
 #include <string>
 #include <vector>
@@ -11,98 +11,103 @@
 
 namespace lichendrift::duty {
 
-/// One numbered place for an intent: its content, the state of its record `intent/N` and of the
-/// requests behind it. All transitions:
+/// A numbered slot for one intent: the content of the intent, the state of its record `intent/N`
+/// and the state of its requests to the cloud. All transitions:
 ///
 /// | state         | event                                      | next                            |
 /// | ------------- | ------------------------------------------ | ------------------------------- |
-/// | Free, Settled | begin_intent(): a batch is to be written   | Writing                         |
-/// | Free          | open_unfenced(): a batch without a fence   | Open                            |
+/// | Free, Settled | begin_intent(): write a new batch          | Writing                         |
+/// | Free          | open_unfenced(): a batch without a record  | Open                            |
 /// | Writing       | on_written(): written                      | Open                            |
 /// | Writing       | on_written(): the record was changed       | ReadDue                         |
-/// | Writing       | on_written(): another condition, no answer | Unconfirmed                     |
-/// | Writing       | on_written(): too large; give_up()         | Settled, or Free without record |
+/// | Writing       | on_written(): another condition failed     | Unconfirmed                     |
+/// | Writing       | on_written(): unavailable or no answer     | Unconfirmed                     |
+/// | Writing       | on_written(): too large; take_back_batch() | Settled, or Free without record |
 /// | Unconfirmed   | begin_rewrite()                            | Writing                         |
 /// | ReadDue       | begin_read()                               | Reading                         |
 /// | Reading       | on_read(): failed                          | ReadDue                         |
-/// | Reading       | on_read(): damaged                         | Damaged, by the ledger          |
-/// | Reading       | on_read(): as written                      | Open                            |
+/// | Reading       | on_read(): damaged                         | Damaged, set by IntentLedger    |
+/// | Reading       | on_read(): epoch and nonce as written      | Open                            |
 /// | Reading       | on_read(): anything else, after a write    | Unconfirmed                     |
 /// | Reading       | on_read(): after a removal                 | Settled, or Free without record |
-/// | Open          | settle_if_complete(): all is answered      | Settled, or Free without record |
+/// | Open          | settle_if_complete(): no requests are left | Settled, or Free without record |
 /// | Settled       | begin_removal()                            | Removing                        |
-/// | Removing      | on_removed(): written                      | Free                            |
+/// | Removing      | on_removed(): removed                      | Free                            |
 /// | Removing      | on_removed(): the record was changed       | ReadDue                         |
 /// | Removing      | on_removed(): anything else                | Settled                         |
 ///
-/// inherited(), settled() and damaged() make slots from stored records.
+/// inherited(), settled() and damaged() create slots for records that were found in the state
+/// service.
 class IntentSlot {
   public:
-    /// Where the intent and its record stand.
+    /// State of the intent and its record.
     enum class State : std::uint8_t {
         Free,
         Writing,
-        Unconfirmed,  ///< the write is to be sent again: it may have been executed
-        ReadDue,      ///< another revision than expected: the record tells whose write it was
+        Unconfirmed,  ///< the write has to be sent again; the last one may have been executed
+        ReadDue,      ///< the revision was not as expected: read which write changed the record
         Reading,
-        Open,      ///< durable, or without a fence: requests may be made
-        Settled,   ///< all is answered; the record may be overwritten or removed
-        Removing,  ///< the removal is under way
-        Damaged,   ///< the record cannot be parsed: left in place, the number is not used again
+        Open,      ///< stored, or needs no record: requests may be sent
+        Settled,   ///< no requests are left; the record may be overwritten or removed
+        Removing,  ///< the removal is in flight
+        Damaged,   ///< the record cannot be parsed: it is kept, and the slot is not reused
     };
-    /// What the result of a write means for the ledger.
+    /// What IntentLedger has to do after a write.
     enum class WriteEffect : std::uint8_t {
         None,
         Durable,      ///< the intent is stored
-        TooLarge,     ///< the batch has to be divided
+        TooLarge,     ///< the batch has to be split
         FenceFailed,  ///< the lease or the duty has passed to another controller
     };
-    /// What the result of a read means for the ledger.
+    /// What IntentLedger has to do after a read.
     enum class ReadEffect : std::uint8_t {
         None,
         Durable,  ///< the intent is stored
-        Damaged,  ///< the record was overwritten with something else
+        Damaged,  ///< the record was overwritten with a value that cannot be parsed
     };
-    /// What the result of a removal means for the ledger.
+    /// What IntentLedger has to do after a removal.
     enum class RemovalEffect : std::uint8_t {
         None,
-        RecordChanged,  ///< the record was not the one that was to be removed
+        RecordChanged,  ///< not removed: the record's revision was not as expected
     };
 
-    /// A free slot.
+    /// Creates a free slot.
     IntentSlot() = default;
-    /// An intent of an earlier holder, to be finished.
+    /// An open slot for an intent of an earlier holder, which this holder has to finish.
     [[nodiscard]] static IntentSlot inherited(const StoredIntent& stored, Millis now);
-    /// A record that nothing is to be done for.
+    /// A settled slot for a record whose intent needs no requests.
     [[nodiscard]] static IntentSlot settled(std::uint64_t revision);
-    /// A record that cannot be parsed.
+    /// A damaged slot for a record that cannot be parsed.
     [[nodiscard]] static IntentSlot damaged();
 
-    /// Puts a batch into a slot that is free or settled. A settled record is overwritten, which
-    /// saves its removal. on_written() has to follow.
+    /// Puts a batch into a slot that is free or settled and starts the write of its record. The
+    /// record of a settled slot is overwritten, which saves its removal. The caller must report the
+    /// result to on_written().
     void begin_intent(Epoch epoch, std::uint64_t nonce, IntentBatch batch, Millis now);
-    /// Puts a batch into a free slot whose requests need no record.
+    /// Puts a batch into a free slot without a record, before fencing begins.
     void open_unfenced(IntentBatch batch, Millis now);
-    /// Only in tests of the guard "durable first": requests are made before the record is written.
+    /// Permits requests before the record is written. Only for tests of the guard
+    /// IntentGuards::durable_first.
     void open_before_written() { state_ = State::Open; }
-    /// Sends the write of an unconfirmed slot again. on_written() has to follow.
+    /// Starts another write of an unconfirmed slot. The caller must report the result to
+    /// on_written().
     void begin_rewrite() { state_ = State::Writing; }
-    /// The record was written. `key`: the slot's own.
+    /// Processes the result of a write. `key`: key of the slot's record.
     [[nodiscard]] WriteEffect on_written(const WriteResult& result, const std::string& key,
                                          Millis now);
-    /// Frees a slot without a durable intent and returns its content.
-    [[nodiscard]] IntentBatch give_up(Millis now);
+    /// Empties a slot whose intent is not stored and returns the batch.
+    [[nodiscard]] IntentBatch take_back_batch(Millis now);
 
-    /// Reads the record back. on_read() has to follow.
+    /// Starts reading the record back. The caller must report the result to on_read().
     void begin_read() { state_ = State::Reading; }
-    /// The record was read.
+    /// Processes the result of reading the record back.
     [[nodiscard]] ReadEffect on_read(const IntentReadResult& result, Millis now);
-    /// Whether the record is read back after a removal, not after a write.
+    /// Whether the record is read back after a removal rather than after a write.
     [[nodiscard]] bool reads_after_removal() const { return read_after_removal_; }
 
-    /// Removes the record. on_removed() has to follow.
+    /// Starts the removal of the record. The caller must report the result to on_removed().
     void begin_removal() { state_ = State::Removing; }
-    /// The record was removed. `key`: the slot's own.
+    /// Processes the result of a removal. `key`: key of the slot's record.
     [[nodiscard]] RemovalEffect on_removed(const WriteResult& result, const std::string& key,
                                            Millis now);
 
@@ -110,43 +115,46 @@
     [[nodiscard]] bool release_due(Millis now) const {
         return !batch_.releases.empty() && due_at_ <= now;
     }
-    /// Takes up the next request; returns its machines. on_released() has to follow.
+    /// Starts the next release request and returns the machines for it. The caller must report the
+    /// outcome to on_released().
     [[nodiscard]] std::vector<std::string> begin_release(Millis now);
-    /// The cloud responded to the request for that many machines; returns those that are released.
+    /// Processes the outcome of a release request for the first `machines` machines of the batch;
+    /// returns the names of those that were released.
     std::vector<std::string> on_released(std::size_t machines, CloudOutcome outcome, Millis now);
-    /// The next provisioning request that is due; null: none.
+    /// The next provisioning request that is due, owned by the slot; null: none.
     [[nodiscard]] PendingProvision* due_provision(Millis now);
-    /// The cloud responded to a provisioning request.
+    /// Processes the outcome of a provisioning request, given by its id.
     void on_provisioned(const std::string& request, CloudOutcome outcome, Millis now);
-    /// Gives up provisioning requests that waited for too long; returns how many.
+    /// Withdraws provisioning requests that have waited too long; returns how many.
     [[nodiscard]] std::size_t withdraw_outdated(Millis now);
 
-    /// Settles an open slot for which nothing more is to be requested; returns whether it did.
+    /// Settles an open slot that has no requests left; returns whether it did.
     [[nodiscard]] bool settle_if_complete();
-    /// Keeps a settled record for a moment: the next intent may overwrite it.
+    /// Postpones the removal of a settled record, so that the next intent can overwrite it instead.
     void delay_removal(Millis now);
 
-    /// Where it stands.
+    /// Current state of the slot.
     [[nodiscard]] State state() const { return state_; }
-    /// Whether the next step in this state is due: writing again, reading, removing.
-    [[nodiscard]] bool due_in(State state, Millis now) const {
+    /// Whether the slot is in this state and its next step is due: another write, a read or a
+    /// removal.
+    [[nodiscard]] bool due_in_state(State state, Millis now) const {
         return state_ == state && due_at_ <= now;
     }
-    /// Whether a record exists, as far as is known.
+    /// Whether the slot has a record, as far as known.
     [[nodiscard]] bool has_record() const { return revision_ != 0; }
-    /// Whether the intent is durable and not settled.
+    /// Whether the slot holds a stored intent that is not settled.
     [[nodiscard]] bool durably_open() const { return state_ == State::Open && has_record(); }
-    /// Whether any request of the slot is under way.
+    /// Whether any cloud request of the slot is in flight.
     [[nodiscard]] bool request_in_flight() const;
-    /// Whether a request to release machines is under way.
+    /// Whether a request to release machines is in flight.
     [[nodiscard]] bool release_in_flight() const { return release_in_flight_; }
-    /// Revision of the record; 0: there is none.
+    /// Last known revision of the record; 0: there is no record.
     [[nodiscard]] std::uint64_t revision() const { return revision_; }
-    /// When the batch was put here.
+    /// Steady time at which the batch was put into the slot.
     [[nodiscard]] Millis opened_at() const { return opened_at_; }
-    /// What is still to be requested.
+    /// Releases and provisioning requests that are not finished.
     [[nodiscard]] const IntentBatch& batch() const { return batch_; }
-    /// The record's value.
+    /// Value of the record.
     [[nodiscard]] Intent content() const;
 
     /// Compares all fields.
--- a/src/duty/pending_provision.cpp
+++ b/src/duty/pending_provision.cpp
@@ -8,21 +8,23 @@
 constexpr Millis kRetryMs = 1000;
 constexpr Millis kSlowRetryMs = 5000;
 constexpr Millis kOutdatedAfterMs = 8000;
-constexpr int kMaxQuickAttempts = 6;  // kRetryMs apart
+constexpr int kMaxQuickAttempts = 6;  // further attempts are kSlowRetryMs apart
 constexpr int kMaxInheritedAttempts = 30;
 
 }  // namespace
 
 PendingProvision PendingProvision::inherited(ProvisionRequest request, Millis now) {
     PendingProvision provision(std::move(request), now);
-    provision.unanswered_ = true;
+    provision.maybe_executed_ = true;
     return provision;
 }
 
-bool PendingProvision::awaited() const { return !settled_ && attempts_ <= kMaxQuickAttempts; }
+bool PendingProvision::result_expected_soon() const {
+    return !settled_ && attempts_ <= kMaxQuickAttempts;
+}
 
 bool PendingProvision::outdated(Millis now) const {
-    return !in_flight_ && !unanswered_ && !settled_ && now - wanted_at_ > kOutdatedAfterMs;
+    return !in_flight_ && !maybe_executed_ && !settled_ && now - queued_at_ > kOutdatedAfterMs;
 }
 
 void PendingProvision::begin_attempt() {
@@ -32,10 +34,10 @@
 
 void PendingProvision::on_outcome(CloudOutcome outcome, bool inherited, Millis now) {
     in_flight_ = false;
-    unanswered_ |= outcome == CloudOutcome::NoAnswer;
+    maybe_executed_ |= outcome == CloudOutcome::NoAnswer;
     const bool responded = outcome == CloudOutcome::Done || outcome == CloudOutcome::NoCapacity;
     const auto max_attempts = inherited ? kMaxInheritedAttempts : kMaxQuickAttempts;
-    settled_ = responded || !unanswered_ || attempts_ > max_attempts;
+    settled_ = responded || !maybe_executed_ || attempts_ > max_attempts;
     retry_at_ = now + (attempts_ > kMaxQuickAttempts ? kSlowRetryMs : kRetryMs);
 }
 
--- a/src/duty/pending_provision.h
+++ b/src/duty/pending_provision.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One provisioning request from the time it is wanted until nothing more is to be done for it.
+/// One provisioning request, from when it is queued until no further attempt is to be made.
 
 #include "core/types.h"
 #include "duty/results.h"
@@ -10,36 +10,39 @@
 
 using core::Millis;
 
-/// One provisioning request with its attempts. It is settled once the cloud has responded, or once
-/// it is given up: machines that were provisioned without a response show in the cloud's list.
+/// One provisioning request and its attempts. It is settled once the cloud has responded or the
+/// holder has stopped retrying it. Machines that were provisioned without a response are found in
+/// the cloud's list of machines.
 class PendingProvision {
   public:
-    /// A request of this holder.
+    /// A request of this holder, queued at the steady time `now`.
     PendingProvision(ProvisionRequest request, Millis now)
-        : request_(std::move(request)), wanted_at_(now) {}
-    /// A request that an earlier holder left: it may have been executed.
+        : request_(std::move(request)), queued_at_(now) {}
+    /// A request from an intent of an earlier holder, which may have been executed already.
     [[nodiscard]] static PendingProvision inherited(ProvisionRequest request, Millis now);
 
-    /// What is requested.
+    /// The machines to provision.
     [[nodiscard]] const ProvisionRequest& request() const { return request_; }
-    /// Whether the cloud has not responded to an attempt yet.
+    /// Whether an attempt is in flight.
     [[nodiscard]] bool in_flight() const { return in_flight_; }
-    /// Whether nothing more is to be done.
+    /// Whether no further attempt is to be made.
     [[nodiscard]] bool settled() const { return settled_; }
-    /// Whether its result can be expected soon.
-    [[nodiscard]] bool awaited() const;
-    /// Whether an attempt is due.
+    /// Whether it is still retried at short intervals, so that its result can be expected soon.
+    [[nodiscard]] bool result_expected_soon() const;
+    /// Whether the next attempt is due.
     [[nodiscard]] bool due(Millis now) const {
         return !in_flight_ && !settled_ && retry_at_ <= now;
     }
-    /// Whether it waited for too long and certainly was never sent. Only its holder can know that.
+    /// Whether it has waited too long and certainly was never executed. Never true for an inherited
+    /// request, as only the holder that queued it knows whether it was sent.
     [[nodiscard]] bool outdated(Millis now) const;
 
-    /// An attempt is made. on_outcome() has to follow.
+    /// Starts an attempt. The caller must report its outcome to on_outcome().
     void begin_attempt();
-    /// The cloud's response to the attempt. `inherited`: the intent is of an earlier holder.
+    /// Processes the outcome of the attempt. `inherited`: the intent is one of an earlier holder,
+    /// which allows more attempts.
     void on_outcome(CloudOutcome outcome, bool inherited, Millis now);
-    /// Gives it up.
+    /// Settles the request without another attempt.
     void withdraw() { settled_ = true; }
 
     /// Compares all fields.
@@ -49,9 +52,9 @@
     ProvisionRequest request_;
     bool in_flight_ = false;
     bool settled_ = false;
-    bool unanswered_ = false;  // an earlier attempt may have been executed, or may still be
+    bool maybe_executed_ = false;  // an attempt without an answer may be executed, now or later
     int attempts_ = 0;
-    Millis wanted_at_ = 0;
+    Millis queued_at_ = 0;
     Millis retry_at_ = 0;
 };
 
--- a/tests/duties_intents_test.cpp
+++ b/tests/duties_intents_test.cpp
@@ -1,4 +1,4 @@
-// The life cycle of an intent and the batches of the queue, without a simulation.
+// Unit tests of the life cycle of an intent and of the batches of the queue.
 #include <gtest/gtest.h>
 
 #include "duty/intent_queue.h"
@@ -52,16 +52,16 @@
     auto slot = writing_slot();
     const auto content = slot.content();
     EXPECT_EQ(slot.on_written(kUnanswered, kKey, 0), IntentSlot::WriteEffect::None);
-    EXPECT_FALSE(slot.due_in(IntentSlot::State::Unconfirmed, 0));
-    EXPECT_TRUE(slot.due_in(IntentSlot::State::Unconfirmed, kMuchLater));
+    EXPECT_FALSE(slot.due_in_state(IntentSlot::State::Unconfirmed, 0));
+    EXPECT_TRUE(slot.due_in_state(IntentSlot::State::Unconfirmed, kMuchLater));
     slot.begin_rewrite();
     EXPECT_EQ(slot.content(), content);
 }
 
-TEST(IntentSlot, ChangedRecordIsReadBackAndRecognisedByItsNonce) {
+TEST(IntentSlot, ChangedRecordIsReadBackAndIdentifiedByItsNonce) {
     auto slot = writing_slot();
     EXPECT_EQ(slot.on_written(kRecordChanged, kKey, 0), IntentSlot::WriteEffect::None);
-    EXPECT_TRUE(slot.due_in(IntentSlot::State::ReadDue, 0));
+    EXPECT_TRUE(slot.due_in_state(IntentSlot::State::ReadDue, 0));
     slot.begin_read();
     auto other = slot;
     EXPECT_EQ(slot.on_read(read_back(kNonce), 0), IntentSlot::ReadEffect::Durable);
@@ -71,29 +71,29 @@
     EXPECT_EQ(other.revision(), kRevision);
 }
 
-TEST(IntentSlot, FailedReadIsRepeated) {
+TEST(IntentSlot, FailedReadIsRetried) {
     auto slot = writing_slot();
     EXPECT_EQ(slot.on_written(kRecordChanged, kKey, 0), IntentSlot::WriteEffect::None);
     slot.begin_read();
     EXPECT_EQ(slot.on_read({}, 0), IntentSlot::ReadEffect::None);
-    EXPECT_TRUE(slot.due_in(IntentSlot::State::ReadDue, kMuchLater));
+    EXPECT_TRUE(slot.due_in_state(IntentSlot::State::ReadDue, kMuchLater));
 }
 
-TEST(IntentSlot, AnotherFailedConditionShowsThatTheFenceFailed) {
+TEST(IntentSlot, ConflictOnAnotherKeyReportsThatTheFenceFailed) {
     auto slot = writing_slot();
     EXPECT_EQ(slot.on_written(kLeaseLost, kKey, 0), IntentSlot::WriteEffect::FenceFailed);
     EXPECT_EQ(slot.state(), IntentSlot::State::Unconfirmed);
 }
 
-TEST(IntentSlot, TooLargeBatchIsGivenUpAndTheSlotIsFree) {
+TEST(IntentSlot, TooLargeBatchIsTakenBackAndTheSlotIsFree) {
     auto slot = writing_slot();
     EXPECT_EQ(slot.on_written({WriteOutcome::Rejected, 0, {}}, kKey, 0),
               IntentSlot::WriteEffect::TooLarge);
-    EXPECT_EQ(slot.give_up(0).releases.size(), 2U);
+    EXPECT_EQ(slot.take_back_batch(0).releases.size(), 2U);
     EXPECT_EQ(slot.state(), IntentSlot::State::Free);
 }
 
-TEST(IntentSlot, ReleaseWithoutAnAnswerStaysOpenAndIsRepeated) {
+TEST(IntentSlot, UnansweredReleaseStaysOpenAndIsRetried) {
     auto slot = open_slot();
     const auto machines = slot.begin_release(0);
     EXPECT_EQ(machines.size(), 2U);
@@ -111,7 +111,7 @@
     EXPECT_EQ(slot.revision(), kRevision);
 }
 
-TEST(IntentSlot, RemovalEndsFreeOrReadsTheRecordBack) {
+TEST(IntentSlot, RemovalFreesTheSlotOrReadsTheRecordBack) {
     auto removed = settled_slot();
     removed.begin_removal();
     auto changed = removed;
@@ -127,7 +127,7 @@
     EXPECT_EQ(changed.state(), IntentSlot::State::Free);
 }
 
-TEST(IntentSlot, InheritedProvisioningRequestIsRepeatedAndNotWithdrawn) {
+TEST(IntentSlot, InheritedProvisioningRequestIsRetriedAndNotWithdrawn) {
     const ProvisionRequest request{"r-1", "box", "a", false, 2};
     auto slot = IntentSlot::inherited({kKey, kRevision, false, {kEpoch, kNonce, {}, {request}}}, 0);
     EXPECT_TRUE(slot.durably_open());
@@ -142,7 +142,7 @@
     EXPECT_EQ(slot.state(), IntentSlot::State::Settled);
 }
 
-TEST(IntentQueue, CollectsReleasesThatAreNotUrgentForASecond) {
+TEST(IntentQueue, CollectsNonUrgentReleasesForOneSecond) {
     IntentQueue queue;
     queue.add_release("host-1", false, 0);
     EXPECT_FALSE(queue.releases_due(999));
@@ -151,21 +151,22 @@
     EXPECT_TRUE(queue.releases_due(0));
 }
 
-TEST(IntentQueue, BatchesKeepToTheLimitsOfRequestAndRecord) {
+TEST(IntentQueue, BatchesRespectTheLimitsOfRequestAndRecord) {
     IntentQueue queue;
     for (std::size_t i = 0; i < kMaxReleasesPerRequest + 1; ++i) queue.add_release("host", true, 0);
     EXPECT_EQ(queue.take_releases(100'000).releases.size(), kMaxReleasesPerRequest);
     queue.add_release("host", true, 0);
-    EXPECT_EQ(queue.take_releases(1).releases.size(), 1U) << "a record takes one in any case";
+    EXPECT_EQ(queue.take_releases(1).releases.size(), 1U)
+        << "a batch must hold one release even if it exceeds the limit";
     EXPECT_TRUE(queue.has_releases());
 }
 
-TEST(IntentQueue, RejectedBatchesComeBackInHalves) {
+TEST(IntentQueue, RejectedBatchIsRequeuedInHalves) {
     IntentQueue queue;
     for (const auto* machine : {"host-1", "host-2", "host-3", "host-4"}) {
         queue.add_release(machine, false, 0);
     }
-    queue.divide(queue.take_releases(100'000), 0);
+    queue.requeue_rejected(queue.take_releases(100'000), 0);
     EXPECT_EQ(queue.take_releases(100'000).releases,
               (std::vector<std::string>{"host-1", "host-2"}));
     EXPECT_EQ(queue.take_releases(100'000).releases,
