--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -1,5 +1,6 @@
-// Fenced duties in virtual time: controllers freeze, resume, end and are replaced in the middle of
-// provisioning, releases and cleaning up. No act of a replaced holder may affect a machine in use.
+// Fenced duties in virtual time: controllers freeze, resume, crash and are replaced while they
+// provision machines, release machines and clean up. No action of a replaced holder
+// may affect a machine in use.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,7 +12,7 @@
 namespace lichendrift::simulation {
 namespace {
 
-Options fenced_day(std::uint64_t seed) {
+Options random_fenced_options(std::uint64_t seed) {
     Options options;
     options.seed = seed;
     options.nodes = seed % 3 == 0 ? 5 : 3;
@@ -26,10 +27,10 @@
     return options;
 }
 
-// Mostly the leader, or any controller, freezes for less or more than its lease; at times its
-// requests to the cloud are delayed as well, as if they were in the kernel or on their way.
-void freeze_again_and_again(Simulation& simulation, std::mt19937_64& rng, Millis from,
-                            Millis until) {
+// Freezes the leader, in one of four cases any controller, for less or more than its lease. In one
+// of three cases its requests to the cloud are delayed too, as if they were held in the kernel or
+// in the network.
+void schedule_freezes(Simulation& simulation, std::mt19937_64& rng, Millis from, Millis until) {
     for (Millis t = from; t < until; t += 1000 + static_cast<Millis>(rng() % 2000)) {
         const auto draw = rng();
         simulation.at(t, [&simulation, draw] {
@@ -42,8 +43,9 @@
     }
 }
 
-// Machines fall silent, so that they are released, while their work goes on elsewhere.
-void hang_machines(Simulation& simulation, std::mt19937_64& rng, Millis from, Millis until) {
+// Hangs machines: they stop sending heartbeats and are released while their tasks go on elsewhere.
+void schedule_machine_hangs(Simulation& simulation, std::mt19937_64& rng, Millis from,
+                            Millis until) {
     for (Millis t = from; t < until; t += 4000 + static_cast<Millis>(rng() % 4000)) {
         const auto draw = rng();
         simulation.at(t, [&simulation, draw] {
@@ -56,9 +58,9 @@
     }
 }
 
-// At times the leader freezes for longer than its lease just as a request leaves, and the network
-// delays that request for up to a minute, or an intent is on its way to the state service.
-void freeze_in_mid_act(Simulation& simulation, std::mt19937_64& rng, Millis until) {
+// On some requests to the cloud and on some transactions with intents, freezes the sender for
+// longer than its lease. A request to the cloud is delayed by the network as well, for up to 45 s.
+void freeze_during_requests(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     simulation.observe(
         [&simulation, &rng, until](std::size_t node, const net::HttpRequest& request) {
             const bool to_cloud = is_release(request) || is_provision(request);
@@ -74,30 +76,30 @@
         });
 }
 
-std::uint64_t days_wanted() {
+std::uint64_t runs_per_shard() {
     // NOLINTNEXTLINE(concurrency-mt-unsafe): no other thread runs yet.
-    const char* wanted = std::getenv("DUTY_DAYS");
-    return wanted == nullptr ? 12 : std::strtoull(wanted, nullptr, 10);
+    const char* count = std::getenv("DUTY_DAYS");
+    return count == nullptr ? 12 : std::strtoull(count, nullptr, 10);
 }
 
 class FencedDay : public ::testing::TestWithParam<int> {};
 
-// Some thousands of times in all a controller freezes and resumes.
-TEST_P(FencedDay, NoActOfAReplacedHolderTouchesAMachineInUse) {
+// In all runs together, controllers freeze and resume some thousands of times.
+TEST_P(FencedDay, ReplacedHolderReleasesNoMachineInUse) {
     std::size_t freezes = 0;
     std::size_t by_replaced = 0;
     std::size_t late = 0;
     std::size_t released = 0;
-    for (std::uint64_t i = 0; i < days_wanted(); ++i) {
+    for (std::uint64_t i = 0; i < runs_per_shard(); ++i) {
         const auto seed = 40'000 + static_cast<std::uint64_t>(GetParam()) * 1000 + i;
-        auto options = fenced_day(seed);
+        auto options = random_fenced_options(seed);
         options.lossy_messages = i % 2 == 1;
         options.cloud_checks_epochs = i % 4 == 3;
         Simulation simulation(options);
         std::mt19937_64 rng(seed);
-        freeze_again_and_again(simulation, rng, 6000, options.busy_ms);
-        freeze_in_mid_act(simulation, rng, options.busy_ms);
-        hang_machines(simulation, rng, 8000, options.busy_ms);
+        schedule_freezes(simulation, rng, 6000, options.busy_ms);
+        freeze_during_requests(simulation, rng, options.busy_ms);
+        schedule_machine_hangs(simulation, rng, 8000, options.busy_ms);
         EXPECT_EQ(simulation.run(), "") << "seed " << seed;
         freezes += simulation.freezes();
         by_replaced += simulation.releases().by_replaced;
@@ -108,20 +110,20 @@
     RecordProperty("released", static_cast<int>(released));
     RecordProperty("by_replaced", static_cast<int>(by_replaced));
     RecordProperty("late", static_cast<int>(late));
-    EXPECT_GT(freezes, days_wanted() * 20);
-    EXPECT_GT(released, days_wanted());
+    EXPECT_GT(freezes, runs_per_shard() * 20);
+    EXPECT_GT(released, runs_per_shard());
 }
 INSTANTIATE_TEST_SUITE_P(Days, FencedDay, ::testing::Range(0, 8));
 
-// Each guard is needed: without it some day breaks the rule that it protects.
-struct BrokenFence {
+// Shows that each guard is needed: without it, some run breaks the rule that it protects.
+struct DisabledGuard {
     const char* name;
     bool core::SafetyGuards::*guard;
 };
 
-// Machines are idle between waves of jobs and are released; just then the leader freezes, its
-// request is delayed, and the next wave finds another leader.
-void idle_between_waves(Simulation& simulation, std::mt19937_64& rng, Millis until) {
+// Machines are idle between waves of jobs and are released. At a release request, the leader
+// freezes and the request is delayed, so that the next wave is placed by another leader.
+void schedule_job_waves(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
         for (std::size_t n = 0; n < 8; ++n) {
@@ -139,80 +141,81 @@
     });
 }
 
-Options idle_day(std::uint64_t seed) {
-    auto options = fenced_day(seed);
+Options idle_between_waves_options(std::uint64_t seed) {
+    auto options = random_fenced_options(seed);
     options.jobs = 0;
     options.busy_ms = 120'000;
     options.policy = "idle_keep = 2s\nspare_machines = 0\n";
     return options;
 }
 
-class BrokenFenceDay : public ::testing::TestWithParam<BrokenFence> {};
+class BrokenFenceDay : public ::testing::TestWithParam<DisabledGuard> {};
 
-TEST_P(BrokenFenceDay, IsCaught) {
-    std::size_t clean = 0;
+TEST_P(BrokenFenceDay, RuleViolationIsDetected) {
+    std::size_t releases_by_replaced = 0;
     for (std::uint64_t seed = 50'000; seed < 50'200; ++seed) {
-        for (const bool whole : {true, false}) {
-            if (whole && seed >= 50'020) continue;
-            auto options = idle_day(seed);
-            if (!whole) options.guards.*GetParam().guard = false;
+        for (const bool guarded : {true, false}) {
+            if (guarded && seed >= 50'020) continue;
+            auto options = idle_between_waves_options(seed);
+            if (!guarded) options.guards.*GetParam().guard = false;
             Simulation simulation(options);
             std::mt19937_64 rng(seed);
-            idle_between_waves(simulation, rng, options.busy_ms);
+            schedule_job_waves(simulation, rng, options.busy_ms);
             const auto broken = simulation.run();
-            if (whole) {
+            if (guarded) {
                 EXPECT_EQ(broken, "");
-                clean += simulation.releases().by_replaced;
+                releases_by_replaced += simulation.releases().by_replaced;
             }
-            if (whole || !broken.starts_with("stale_release")) continue;
-            EXPECT_GT(clean, 0U) << "no request of a replaced holder took effect with the guard";
+            if (guarded || !broken.starts_with("stale_release")) continue;
+            EXPECT_GT(releases_by_replaced, 0U)
+                << "no release request of a replaced holder took effect with the guard on";
             return;
         }
     }
-    FAIL() << "no day shows that " << GetParam().name << " is off";
+    FAIL() << "no run breaks a rule without the guard " << GetParam().name;
 }
 INSTANTIATE_TEST_SUITE_P(
     Guards, BrokenFenceDay,
-    ::testing::Values(BrokenFence{"intent_first", &core::SafetyGuards::intent_first},
-                      BrokenFence{"intents_inherited", &core::SafetyGuards::intents_inherited}),
+    ::testing::Values(DisabledGuard{"intent_first", &core::SafetyGuards::intent_first},
+                      DisabledGuard{"intents_inherited", &core::SafetyGuards::intents_inherited}),
     [](const auto& param) { return std::string(param.param.name); });
 
-// ---- hard cases ----
+// ---- scripted fault scenarios ----
 
-// A fleet that is idle until its leader releases machines. At that moment a script injects a fault,
-// and soon after a burst of jobs needs every machine that there is.
-struct HardCase {
+// An idle fleet, or an empty one for provisioning. A script injects a fault when the leader sends
+// the request given by `when`, and a burst of jobs then needs every machine.
+struct FaultScenario {
     const char* name;
-    // `act`: the request that the leader is sending, to the cloud or, for an intent, to the state
-    // service.
+    // The request of the leader that triggers the fault: to the cloud, or to the state service for
+    // an intent.
     enum class When : std::uint8_t { ReleaseRequested, IntentWritten, ProvisionRequested } when;
     void (*inject)(Simulation& simulation, std::size_t leader);
-    Millis burst_after = 5000;
-    bool core::SafetyGuards::*guard = nullptr;  // without it the case breaks a rule
+    Millis burst_after = 5000;                  // from the fault to the burst of jobs
+    bool core::SafetyGuards::*guard = nullptr;  // without this guard the scenario breaks a rule
 };
 
 constexpr Millis kIdleFrom = 14'000;
 constexpr std::size_t kFleet = 6;
 constexpr std::size_t kBurst = 14;
 
-Options idle_fleet(const HardCase& hard, std::uint64_t seed) {
+Options scenario_options(const FaultScenario& scenario, std::uint64_t seed) {
     auto options = calm(seed);
     options.nodes = seed % 2 == 0 ? 3 : 5;
     options.features.fenced_duties = true;
-    options.machines = hard.when == HardCase::When::ProvisionRequested ? 0 : kFleet;
+    options.machines = scenario.when == FaultScenario::When::ProvisionRequested ? 0 : kFleet;
     options.busy_ms = 90'000;
     options.settle_ms = 200'000;
     options.policy = "idle_keep = 8s\nspare_machines = 0\n";
     return options;
 }
 
-bool matches(HardCase::When when, const net::HttpRequest& request) {
+bool matches(FaultScenario::When when, const net::HttpRequest& request) {
     switch (when) {
-        case HardCase::When::ReleaseRequested:
+        case FaultScenario::When::ReleaseRequested:
             return is_release(request);
-        case HardCase::When::IntentWritten:
+        case FaultScenario::When::IntentWritten:
             return writes_intent(request);
-        case HardCase::When::ProvisionRequested:
+        case FaultScenario::When::ProvisionRequested:
             return is_provision(request);
     }
     return false;
@@ -226,24 +229,26 @@
     }
 }
 
-// Which rule the day breaks; `after` inspects the simulation at its end.
-std::string play(const HardCase& hard, const Options& options,
-                 const std::function<void(Simulation&)>& after = nullptr) {
+// Runs a scenario and returns the first broken rule, or an empty text. `after` inspects the
+// simulation at its end.
+std::string run_scenario(const FaultScenario& scenario, const Options& options,
+                         const std::function<void(Simulation&)>& after = nullptr) {
     Simulation simulation(options);
     simulation.set_capacity(static_cast<int>(kFleet));
     if (options.machines > 0) simulation.jobs().push_back(plain(numbered(1), 1, 2, 1000));
     bool injected = false;
     simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
-        if (injected || simulation.now() < kIdleFrom || !matches(hard.when, request)) return;
+        if (injected || simulation.now() < kIdleFrom || !matches(scenario.when, request)) return;
         injected = true;
-        hard.inject(simulation, node);
-        if (hard.when != HardCase::When::ProvisionRequested) {
-            submit_burst(simulation, simulation.now() + hard.burst_after);
+        scenario.inject(simulation, node);
+        if (scenario.when != FaultScenario::When::ProvisionRequested) {
+            submit_burst(simulation, simulation.now() + scenario.burst_after);
         }
     });
-    if (hard.when == HardCase::When::ProvisionRequested) submit_burst(simulation, kIdleFrom + 1000);
+    if (scenario.when == FaultScenario::When::ProvisionRequested)
+        submit_burst(simulation, kIdleFrom + 1000);
     auto broken = simulation.run();
-    EXPECT_TRUE(injected) << hard.name << ", seed " << options.seed;
+    EXPECT_TRUE(injected) << scenario.name << ", seed " << options.seed;
     if (after) after(simulation);
     return broken;
 }
@@ -253,25 +258,25 @@
     simulation.freeze(leader, 9000);
 }
 
-const HardCase kHardCases[] = {
-    {"FrozenWithTheRequestOnItsWay", HardCase::When::ReleaseRequested, delay_and_freeze, 4500,
-     &core::SafetyGuards::intent_first},
-    {"FrozenWhileTheIntentIsWritten", HardCase::When::IntentWritten,
+const FaultScenario kFaultScenarios[] = {
+    {"LeaderFreezesWithReleaseRequestInFlight", FaultScenario::When::ReleaseRequested,
+     delay_and_freeze, 4500, &core::SafetyGuards::intent_first},
+    {"LeaderFreezesWhileIntentIsWritten", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
-    {"EndsAfterItHasWaitedInVain", HardCase::When::ReleaseRequested,
+    {"LeaderCrashesAfterReleaseRequestTimedOut", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cut(node_name(leader), "cloud", 20'000, true);
          simulation.at(simulation.now() + 8000,
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
      9000, &core::SafetyGuards::intent_kept},
-    {"DelayedByTheNetworkForMinutes", HardCase::When::ReleaseRequested,
+    {"ReleaseRequestDelayedForMoreThanAMinute", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cut(node_name(leader), "cloud", 75'000, true);
          simulation.freeze(leader, 9000);
      },
      68'000},
-    {"TwoHoldersReplacedOneAfterTheOther", HardCase::When::ReleaseRequested,
+    {"TwoHoldersReplacedInSuccession", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          delay_and_freeze(simulation, leader);
          simulation.at(simulation.now() + 5500, [&simulation] {
@@ -279,7 +284,7 @@
          });
      },
      9500},
-    {"SuccessorEndsBeforeItHasFinished", HardCase::When::ReleaseRequested,
+    {"SuccessorCrashesWhileReadingIntents", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          delay_and_freeze(simulation, leader);
          const auto ended = std::make_shared<bool>(false);
@@ -292,7 +297,7 @@
              });
      },
      9000},
-    {"AllEndWithIntentsOpen", HardCase::When::IntentWritten,
+    {"AllControllersCrashWithOpenIntents", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t) {
          simulation.cloud_outage(2500);
          simulation.at(simulation.now() + 60, [&simulation] {
@@ -300,33 +305,34 @@
          });
      },
      6000},
-    {"IntentOnItsWayForSeconds", HardCase::When::IntentWritten,
+    {"IntentWriteDelayedForSeconds", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t) { simulation.late_writes(1.0, 800); }},
-    {"StateServiceSlow", HardCase::When::IntentWritten,
+    {"StateServiceSlow", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t) { simulation.slow_state(900, 9000); }},
-    {"StateServiceRefusesTheLeader", HardCase::When::IntentWritten,
+    {"StateServiceRefusesLeader", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) { simulation.refuse_node(leader, 9000); }},
-    {"CloudOut", HardCase::When::ReleaseRequested,
+    {"CloudOutageAndLeaderCrash", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cloud_outage(9000);
          simulation.at(simulation.now() + 2000,
                        [&simulation, leader] { simulation.crash(leader, 4000); });
      }},
-    {"CloudAnswersLost", HardCase::When::ReleaseRequested,
+    {"CloudResponsesLostAndLeaderFreezes", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.lose_cloud_answers(1.0, 9000);
          simulation.at(simulation.now() + 5000,
                        [&simulation, leader] { simulation.freeze(leader, 6000); });
      }},
-    {"ProvisionUnanswered", HardCase::When::ProvisionRequested, delay_and_freeze},
-    {"ProvisionedInPartAndUnanswered", HardCase::When::ProvisionRequested,
+    {"LeaderFreezesWithProvisionRequestInFlight", FaultScenario::When::ProvisionRequested,
+     delay_and_freeze},
+    {"PartialProvisionWithLostResponse", FaultScenario::When::ProvisionRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.set_capacity(static_cast<int>(kFleet) - 3);
          simulation.lose_cloud_answers(1.0, 6000);
          simulation.at(simulation.now() + 300,
                        [&simulation, leader] { simulation.freeze(leader, 6000); });
      }},
-    {"ProvisionIntentOnItsWay", HardCase::When::IntentWritten,
+    {"LeaderCrashesWithIntentWriteInFlight", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t leader) {
          simulation.late_writes(1.0, 800);
          simulation.at(simulation.now() + 400,
@@ -334,27 +340,27 @@
      }},
 };
 
-class FencedHardCase : public ::testing::TestWithParam<HardCase> {};
+class FencedHardCase : public ::testing::TestWithParam<FaultScenario> {};
 
 TEST_P(FencedHardCase, BreaksNoRule) {
     for (std::uint64_t seed = 60'000; seed < 60'010; ++seed) {
-        auto options = idle_fleet(GetParam(), seed);
-        EXPECT_EQ(play(GetParam(), options), "");
+        auto options = scenario_options(GetParam(), seed);
+        EXPECT_EQ(run_scenario(GetParam(), options), "");
         options.cloud_checks_epochs = true;
-        EXPECT_EQ(play(GetParam(), options), "") << "with a cloud that checks epochs";
+        EXPECT_EQ(run_scenario(GetParam(), options), "") << "with a cloud that checks epochs";
     }
 }
 
-TEST_P(FencedHardCase, IsSeenWithoutItsGuard) {
+TEST_P(FencedHardCase, BreaksARuleWithoutItsGuard) {
     if (GetParam().guard == nullptr) return;
     for (std::uint64_t seed = 60'000; seed < 60'040; ++seed) {
-        auto options = idle_fleet(GetParam(), seed);
+        auto options = scenario_options(GetParam(), seed);
         options.guards.*GetParam().guard = false;
-        if (!play(GetParam(), options).empty()) return;
+        if (!run_scenario(GetParam(), options).empty()) return;
     }
-    FAIL() << "no day shows that the guard is off";
+    FAIL() << "no run breaks a rule without the guard";
 }
-INSTANTIATE_TEST_SUITE_P(Cases, FencedHardCase, ::testing::ValuesIn(kHardCases),
+INSTANTIATE_TEST_SUITE_P(Cases, FencedHardCase, ::testing::ValuesIn(kFaultScenarios),
                          [](const auto& param) { return std::string(param.param.name); });
 
 }  // namespace
