--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -1,5 +1,5 @@
-// Fenced duties under special conditions: a leader of an older version in between, limits that
-// fall, large fleets, damaged records; and what fencing costs.
+// Fenced duties under special conditions: upgrades and downgrades, lowered limits of the state
+// service, large fleets and damaged records. Also measures the cost of fencing.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace lichendrift::simulation {
 namespace {
 
-Options fenced(std::uint64_t seed, std::size_t machines) {
+Options fenced_options(std::uint64_t seed, std::size_t machines) {
     auto options = calm(seed);
     options.features.fenced_duties = true;
     options.machines = machines;
@@ -38,12 +38,12 @@
 
 class FencedRollout : public ::testing::TestWithParam<int> {};
 
-// Leaders are of the version in production before, between and after; nothing that either version
-// leaves may harm the other. Leaders freeze again and again in the middle of what they do.
-TEST_P(FencedRollout, KeepsTheRulesThereAndBack) {
+// Every controller is upgraded, downgraded and upgraded again, while leaders freeze repeatedly. No
+// state that one version leaves behind may harm the other.
+TEST_P(FencedRollout, KeepsTheRulesThroughUpgradeAndDowngrade) {
     for (std::uint64_t i = 0; i < 8; ++i) {
         const auto seed = 70'000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
-        auto options = fenced(seed, 5);
+        auto options = fenced_options(seed, 5);
         options.nodes = seed % 2 == 0 ? 3 : 5;
         options.old_version = true;
         options.jobs = 16;
@@ -70,9 +70,9 @@
 }
 INSTANTIATE_TEST_SUITE_P(Days, FencedRollout, ::testing::Range(0, 4));
 
-// While one controller has not switched the feature on, nothing is stored for it.
-TEST(Fencing, BeginsOnceEveryControllerTakesPart) {
-    auto options = fenced(72'000, 4);
+// No duty records or intents are stored while one controller has not enabled the feature.
+TEST(Fencing, BeginsOnceEveryControllerSupportsIt) {
+    auto options = fenced_options(72'000, 4);
     options.old_version = true;
     Simulation simulation(options);
     simulation.at(5000, [&] { simulation.upgrade(0, 500); });
@@ -83,7 +83,7 @@
     simulation.upgrade(2, 500);
     simulation.advance(90'000);
     EXPECT_TRUE(simulation.store().contains("duty/provisioning"));
-    // From then on it holds, also while a controller is away.
+    // Fencing then stays on, even while a controller is down.
     simulation.crash(*simulation.leader(), 60'000);
     simulation.advance(100'000);
     EXPECT_EQ(parsed(simulation.store()["duty/provisioning"].first)["e"].GetUint64(), 2U);
@@ -91,7 +91,7 @@
 }
 
 TEST(Fencing, WritesNothingWithoutTheFeature) {
-    auto options = fenced(72'100, 4);
+    auto options = fenced_options(72'100, 4);
     options.features = {};
     options.jobs = 8;
     Simulation simulation(options);
@@ -103,11 +103,12 @@
     }
 }
 
-// A successor finished an inherited release before it had read the placement records: their tasks
-// then stayed on a machine known to be gone, and their jobs waited for ever.
+// Guards against a fault: a successor finished an inherited release before it had read the
+// placement records. The tasks in these records then stayed on a machine known to be gone, and
+// their jobs waited forever.
 TEST(Fencing, InheritedReleasesWaitForThePlacementRecords) {
     for (std::uint64_t seed = 78'000; seed < 78'030; ++seed) {
-        auto options = fenced(seed, 4);
+        auto options = fenced_options(seed, 4);
         options.policy = "silent_patience = 2s\n";
         Simulation simulation(options);
         for (std::size_t n = 0; n < 4; ++n) {
@@ -115,27 +116,27 @@
             job.cpus = 8;
             simulation.jobs().push_back(job);
         }
-        bool ended = false;
+        bool injected = false;
         simulation.at(9000, [&] {
             for (auto& [name, worker] : simulation.workers()) {
                 if (name == "host-000001") worker.hung_until = simulation.now() + 60'000;
             }
         });
         simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
-            if (ended || !writes_intent(request) || simulation.now() < 9000) return;
-            ended = true;
+            if (injected || !writes_intent(request) || simulation.now() < 9000) return;
+            injected = true;
             simulation.slow_state(700, 12'000);
             simulation.cut(node_name(node), "cloud", 3000, false);
             simulation.at(simulation.now() + 900,
                           [&simulation, node] { simulation.crash(node, 20'000); });
         });
         EXPECT_EQ(simulation.run(), "") << "seed " << seed;
-        EXPECT_TRUE(ended);
+        EXPECT_TRUE(injected);
     }
 }
 
-// What was wanted before the leader lost its lease for a while is not provisioned after it: the
-// next plan knows better.
+// Machines that were requested before the leader's lease was invalid for a while are not
+// provisioned when it is valid again: the next plan decides with current data.
 TEST(Fencing, ProvisionsNotSentInTimeAreWithdrawn) {
     for (const bool fence : {true, false}) {
         duty::MachineDutyHolder holder({"n0", 1, {"leader", 1}, fence, true, {}});
@@ -170,25 +171,25 @@
     }
 }
 
-// Smaller limits come into force in the middle of hundreds of releases.
-TEST(Fencing, LimitsFallWithHundredsOfIntentsOpen) {
+// The limits of the state service are lowered while hundreds of machines are being released.
+TEST(Fencing, ReleasesFinishAfterLimitsAreLowered) {
     for (const Millis after : {0, 400, 1500, 4000}) {
-        auto options = fenced(73'000 + static_cast<std::uint64_t>(after), 400);
+        auto options = fenced_options(73'000 + static_cast<std::uint64_t>(after), 400);
         options.report_s = 4;
         options.lease_s = 16;
         options.next = {std::nullopt, 8.0, 1.0, 2};
         Simulation simulation(options);
-        bool fell = false;
+        bool lowered = false;
         simulation.observe([&](std::size_t, const net::HttpRequest& request) {
-            if (fell || !is_release(request)) return;
-            fell = true;
+            if (lowered || !is_release(request)) return;
+            lowered = true;
             simulation.cloud_outage(3000);
             simulation.at(simulation.now() + after, [&] { simulation.limit_state(); });
             simulation.at(simulation.now() + 6000,
                           [&] { simulation.crash(*simulation.leader(), 1500); });
         });
         simulation.advance(200'000);
-        EXPECT_TRUE(fell);
+        EXPECT_TRUE(lowered);
         EXPECT_EQ(simulation.broken(), "");
         EXPECT_LE(machines_left(simulation), 1U);
         EXPECT_LE(intents_stored(simulation), 1U);
@@ -196,9 +197,9 @@
     }
 }
 
-// A whole fleet is released within a minute, with a change of leader in the middle.
+// A fleet of 4000 machines is released within a minute, although the leader changes meanwhile.
 TEST(Fencing, FourThousandMachinesAreReleasedWithinAMinute) {
-    auto options = fenced(74'000, 4000);
+    auto options = fenced_options(74'000, 4000);
     options.report_s = 15;
     options.lease_s = 60;
     options.cancel_s = 90;
@@ -225,9 +226,9 @@
     EXPECT_LE(intents, 70U);
 }
 
-// Neither acted on nor removed; the machine that a damaged intent names gets no work from anybody.
-TEST(Fencing, DamagedRecordsAreLeftInPlaceAndCounted) {
-    Simulation simulation(fenced(75'000, 4));
+// Damaged intents are neither acted on nor removed, and their machines get no work.
+TEST(Fencing, DamagedIntentsAreKeptAndTheirMachinesGetNoWork) {
+    Simulation simulation(fenced_options(75'000, 4));
     simulation.advance(5000);
     simulation.store()["intent/7"] = {R"({"e":"x","n":1,"b":["host-000001",4]})", 1};
     simulation.store()["intent/x"] = {R"({"e":1,"n":1,"b":["host-000002"]})", 1};
@@ -242,9 +243,10 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// Without its epoch a duty is not done; jobs go on on the machines that are there.
-TEST(Fencing, NothingIsProvisionedUnderADamagedDutyRecordUntilItIsRepaired) {
-    Simulation simulation(fenced(75'100, 2));
+// A duty is not performed without an epoch, so no machine is provisioned or released. Jobs continue
+// on the machines that exist.
+TEST(Fencing, NoCloudRequestsUnderADamagedDutyRecordUntilItIsRepaired) {
+    Simulation simulation(fenced_options(75'100, 2));
     simulation.advance(5000);
     const auto good = simulation.store()["duty/provisioning"].first;
     simulation.store()["duty/provisioning"].first = R"({"m":"n0","e":"seven"})";
@@ -260,16 +262,16 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// ---- what it costs ----
+// ---- cost of fencing ----
 
 struct Cost {
     double writes = 0;
     double requests = 0;
-    std::size_t machines = 0;  // provisioned and released
+    std::size_t machines = 0;  // number of machines provisioned and released
 };
 
 Cost cost_of(bool with_fence, std::uint64_t seed) {
-    auto options = fenced(seed, 0);
+    auto options = fenced_options(seed, 0);
     options.features.fenced_duties = with_fence;
     Simulation simulation(options);
     simulation.set_capacity(100);
@@ -286,8 +288,8 @@
             static_cast<double>(simulation.state_requests()), simulation.workers().size()};
 }
 
-// The rate limit on writes of the state service is the tightest one.
-TEST(Fencing, CostsFewChangesForAMachine) {
+// Writes are measured because the state service's limit on the write rate is the tightest one.
+TEST(Fencing, CostsFewWritesPerMachine) {
     double more_writes = 0;
     double more_requests = 0;
     double machines = 0;
@@ -303,18 +305,19 @@
     EXPECT_LT(more_writes / machines, 2.5);
 }
 
-// From the end of a holder to the first request of its successor, in leader leases of 3 s.
-TEST(Fencing, SuccessorActsWithinAFewLeases) {
+// Measures the time from the crash of a holder to the first request of its successor, in leader
+// leases of 3 s.
+TEST(Fencing, SuccessorActsWithinThreeLeases) {
     std::vector<Millis> took;
     for (std::uint64_t seed = 77'000; seed < 77'040; ++seed) {
-        Simulation simulation(fenced(seed, 6));
-        Millis ended = -1;
+        Simulation simulation(fenced_options(seed, 6));
+        Millis crashed = -1;
         Millis acted = -1;
         std::size_t holder = 0;
         simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
             if (!is_release(request)) return;
-            if (ended < 0) {
-                ended = simulation.now();
+            if (crashed < 0) {
+                crashed = simulation.now();
                 holder = node;
                 simulation.cut(node_name(node), "cloud", 30'000, true);
                 simulation.at(simulation.now() + 1,
@@ -325,7 +328,7 @@
         });
         simulation.advance(120'000);
         ASSERT_GE(acted, 0) << "seed " << seed;
-        took.push_back(acted - ended);
+        took.push_back(acted - crashed);
     }
     std::sort(took.begin(), took.end());
     RecordProperty("median_ms", static_cast<int>(took[took.size() / 2]));
