--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -1,7 +1,8 @@
-// All interleavings, up to a depth, of controllers that become leader one after the other, with
-// requests that are lost, late or time out at any point. The controllers run the daemon's own
-// duty::MachineDutyHolder. Their clocks are not trusted at all: one that was replaced goes on
-// acting until a condition fails, as if it had been stopped after every reading of the clock.
+// Model checking of the machine duties: explores all interleavings, up to a depth, of controllers
+// that become leader one after the other, with requests that are lost, late or time out at any
+// point. The controllers run the daemon's own duty::MachineDutyHolder. The model does not rely on
+// their clocks: a replaced leader goes on acting until a condition fails, as if it were paused
+// after every reading of the clock.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -14,19 +15,19 @@
 namespace lichendrift::duty {
 namespace {
 
-constexpr Millis kActsAt = 6000;      // later than any pause that begins at 0
-constexpr std::size_t kMachines = 1;  // machines do not act on each other here
+constexpr Millis kNow = 6000;         // later than the end of any delay that starts at 0
+constexpr std::size_t kMachines = 1;  // one is enough: machines do not affect each other here
 
 struct Limits {
     std::size_t controllers = 2;
     std::uint64_t terms = 2;
-    std::size_t releases = 1;  // that each leader decides on
+    std::size_t releases = 1;  // maximum number of releases that each leader decides on
     int depth = 13;
-    bool begun = true;  // from where the first leader holds both duties
+    bool duties_held = true;  // start in the state where the first leader holds both duties
 };
 
-// Guards that are switched off, one at a time.
-struct Broken {
+// Guards to switch off; the tests switch off one at a time.
+struct DisabledGuards {
     bool conditions = false;
     bool durable_first = false;
     bool inherit = false;
@@ -40,10 +41,10 @@
 };
 
 struct Node {
-    std::shared_ptr<const MachineDutyHolder> holder;  // copied on change
+    std::shared_ptr<const MachineDutyHolder> holder;  // shared between states, copied on change
     std::uint64_t term = 0;
     std::uint64_t lease_revision = 0;
-    std::array<bool, kMachines> unusable{};  // to be released here, or named by an inherited intent
+    std::array<bool, kMachines> unusable{};  // to be released by this node or an inherited intent
     std::size_t releases = 0;
     bool operator==(const Node& other) const {
         return term == other.term && unusable == other.unusable && releases == other.releases &&
@@ -52,20 +53,20 @@
     }
 };
 
-// A request under way.
+// A request in flight.
 struct Message {
     std::size_t node = 0;
     std::uint64_t term = 0;
-    bool awaited = true;  // its sender still waits for the answer
+    bool awaited = true;  // whether the sender still waits for the answer
     std::shared_ptr<const Action> action;
 };
 
 struct State {
     std::uint64_t revision = 0;
-    std::uint64_t leader = 0;  // revision of the leader key; 0: there is none
+    std::uint64_t leader = 0;  // revision of the leader key; 0: no leader
     std::uint64_t terms = 0;
     std::map<std::string, Record> records;
-    std::array<std::uint64_t, kMachines> used_by{};  // the term that placed work there last
+    std::array<std::uint64_t, kMachines> used_by{};  // last term that placed work on the machine
     std::array<bool, kMachines> gone{};
     std::vector<Node> nodes;
     std::vector<Message> messages;
@@ -107,17 +108,17 @@
 
 class Explorer {
   public:
-    Explorer(Limits limits, Broken broken) : limits_(limits), broken_(broken) {}
+    Explorer(Limits limits, DisabledGuards disabled) : limits_(limits), disabled_(disabled) {}
 
-    // The first broken rule, or nothing after all states up to the depth.
+    // Explores all states up to the depth; returns the first broken rule, or an empty text.
     std::string run() {
         State first;
         first.nodes.resize(limits_.controllers);
-        // Fencing has been switched on before.
+        // Fencing began before the start: both duties have a record.
         first.revision = 2;
         first.records["duty/provisioning"] = {DutyRecord{"n", 1, 1}, 1};
         first.records["duty/reclaiming"] = {DutyRecord{"n", 1, 1}, 2};
-        if (limits_.begun) begin(first);
+        if (limits_.duties_held) acquire_duties(first);
         std::vector<State> frontier{first};
         for (int depth = 0; depth < limits_.depth && !frontier.empty(); ++depth) {
             std::vector<State> next;
@@ -134,7 +135,7 @@
     [[nodiscard]] std::size_t states() const { return seen_.size(); }
 
   private:
-    void begin(State& state) const {
+    void acquire_duties(State& state) const {
         elect(state, 0);
         while (!state.nodes[0].holder->fenced()) {
             step(state, 0);
@@ -144,7 +145,7 @@
 
     std::vector<State> successors(const State& state) {
         std::vector<State> out;
-        // The lease ends: its holder does not learn of it.
+        // The leader lease expires, and its holder does not notice.
         if (state.leader != 0) out.emplace_back(state).leader = 0;
         for (std::size_t n = 0; n < state.nodes.size(); ++n) {
             if (!state.nodes[n].holder) {
@@ -176,8 +177,8 @@
         setup.term = 100 + node.term;
         setup.lease = {"leader", state.leader};
         setup.fencing = true;
-        setup.conditions = !broken_.conditions;
-        setup.guards = {!broken_.durable_first, !broken_.inherit};
+        setup.conditions = !disabled_.conditions;
+        setup.guards = {!disabled_.durable_first, !disabled_.inherit};
         node.holder = std::make_shared<MachineDutyHolder>(setup);
         state.nodes[node_index] = node;
     }
@@ -190,11 +191,11 @@
         return holder;
     }
 
-    // Carries out what is due. Reads are answered at once: what they find may be old by the time at
-    // which it is acted on, as other events come in between.
+    // Carries out the actions that are due. Reads are answered at once. Their results can still be
+    // outdated when the holder acts on them, as other events may come in between.
     bool step(State& state, std::size_t node_index) const {
         MachineDutyHolder::Inputs inputs;
-        inputs.now = kActsAt;
+        inputs.now = kNow;
         inputs.lease_valid = true;
         inputs.placement_records_loaded = true;
         inputs.may_begin_fencing = true;
@@ -214,8 +215,8 @@
                std::holds_alternative<ReadIntent>(action);
     }
 
-    // Placement is a write under the leader's condition, and only on machines that are not to be
-    // released.
+    // Places work on a machine. Placement is a write that is conditional on the leader key, and
+    // uses only machines that are not to be released.
     static bool place(State& state, std::size_t node_index, std::size_t machine_index) {
         const auto& node = state.nodes[node_index];
         const bool may = node.holder->inherited_intents_loaded() &&
@@ -237,12 +238,12 @@
         return true;
     }
 
-    [[nodiscard]] bool listens(const State& state, const Message& message) const {
+    [[nodiscard]] bool awaits_answer(const State& state, const Message& message) const {
         return message.awaited && state.nodes[message.node].holder &&
                state.nodes[message.node].term == message.term;
     }
 
-    // It takes effect now, however long ago it was sent.
+    // Executes a request now, however long ago it was sent.
     void deliver(State& state, std::size_t index) const {
         const auto message = state.messages[index];
         state.messages.erase(state.messages.begin() + static_cast<std::ptrdiff_t>(index));
@@ -250,10 +251,10 @@
                    *message.action);
     }
 
-    // Its sender gives up, and the request stays under way.
+    // The sender stops waiting, while the request stays in flight and may still be executed.
     bool time_out(State& state, std::size_t index) const {
         const auto message = state.messages[index];
-        if (!listens(state, message)) return false;
+        if (!awaits_answer(state, message)) return false;
         state.messages[index].awaited = false;
         const auto holder = changed(state, message.node);
         const auto& action = *message.action;
@@ -265,10 +266,10 @@
         } else if (const auto* removal = std::get_if<RemoveIntents>(&action)) {
             holder->on_intents_removed(removal->slots, unknown, 0);
         } else if (const auto* release = std::get_if<RequestRelease>(&action)) {
-            const auto outcome = broken_.kept ? CloudOutcome::Done : CloudOutcome::NoAnswer;
+            const auto outcome = disabled_.kept ? CloudOutcome::Done : CloudOutcome::NoAnswer;
             holder->on_released(release->slot, release->request.machines().size(), outcome, 0);
         } else {
-            return false;  // a read that is lost changes nothing
+            return false;  // losing a read or a provisioning request changes nothing in this model
         }
         return true;
     }
@@ -300,29 +301,29 @@
 
     void execute(State& state, const Message& from, const WriteDuty& action) const {
         const auto result = apply(state, action.write);
-        if (listens(state, from))
+        if (awaits_answer(state, from))
             changed(state, from.node)->on_duty_written(action.duty, result, 0);
     }
     void execute(State& state, const Message& from, const WriteIntent& action) const {
         const auto result = apply(state, action.write);
-        if (listens(state, from))
+        if (awaits_answer(state, from))
             changed(state, from.node)->on_intent_written(action.slot, result, 0);
     }
     void execute(State& state, const Message& from, const RemoveIntents& action) const {
         const auto result = apply(state, action.write);
-        if (listens(state, from))
+        if (awaits_answer(state, from))
             changed(state, from.node)->on_intents_removed(action.slots, result, 0);
     }
     void execute(State& state, const Message& from, const ReadDuty& action) const {
         const auto& record = state.records.at(record_key(action.duty));
-        if (!listens(state, from)) return;
+        if (!awaits_answer(state, from)) return;
         changed(state, from.node)
             ->on_duty_read(
                 action.duty,
                 {ReadOutcome::Found, std::get<DutyRecord>(record.value), record.revision}, 0);
     }
     void execute(State& state, const Message& from, const ReadIntent& action) const {
-        if (!listens(state, from)) return;
+        if (!awaits_answer(state, from)) return;
         const auto it = state.records.find(intent_key(action.slot));
         IntentReadResult result{ReadOutcome::Missing, {}, 0};
         if (it != state.records.end()) {
@@ -331,7 +332,7 @@
         changed(state, from.node)->on_intent_read(action.slot, result, 0);
     }
     void execute(State& state, const Message& from, const ReadIntents& /*all*/) const {
-        if (!listens(state, from)) return;
+        if (!awaits_answer(state, from)) return;
         IntentPage page;
         for (const auto& [key, record] : state.records) {
             if (!key.starts_with(kIntentPrefix)) continue;
@@ -352,18 +353,18 @@
             }
             state.gone[m] = true;
         }
-        if (!listens(state, from)) return;
+        if (!awaits_answer(state, from)) return;
         changed(state, from.node)
             ->on_released(action.slot, action.request.machines().size(), CloudOutcome::Done, 0);
     }
     void execute(State&, const Message&, const RequestProvision&) const {}
 
     Limits limits_;
-    Broken broken_;
+    DisabledGuards disabled_;
     std::unordered_set<State, Hash> seen_;
 };
 
-// From the first election on: who comes to hold the duties.
+// Starts before the first election, to cover elections and the claims to the duties.
 TEST(DutyExploration, ElectionsAndClaims) {
     Explorer explorer({3, 3, 1, 12, false}, {});
     EXPECT_EQ(explorer.run(), "");
@@ -378,26 +379,27 @@
     RecordProperty("states", static_cast<int>(explorer.states()));
 }
 
-TEST(DutyExploration, ThreeControllersTwoOfThemReplaced) {
+TEST(DutyExploration, TwoOfThreeControllersAreReplaced) {
     Explorer explorer({3, 3, 1, 12}, {});
     EXPECT_EQ(explorer.run(), "");
     EXPECT_GT(explorer.states(), 10'000U);
     RecordProperty("states", static_cast<int>(explorer.states()));
 }
 
-// The exploration sees the loss of each guard.
+// Without any one of the guards, the exploration finds a broken rule.
 TEST(DutyExploration, EachGuardIsNeeded) {
     const std::string released = "a replaced holder releases a machine in use";
-    const std::vector<std::pair<Broken, std::string>> cases{
+    const std::vector<std::pair<DisabledGuards, std::string>> cases{
         {{true, false, false, false}, released},
         {{false, true, false, false}, released},
         {{false, false, true, false}, released},
         {{false, false, false, true}, released},
     };
-    for (const auto& [broken, expected] : cases) {
-        Explorer explorer({2, 2, 1, 14}, broken);
-        EXPECT_EQ(explorer.run(), expected) << "off: " << broken.conditions << broken.durable_first
-                                            << broken.inherit << broken.kept;
+    for (const auto& [disabled, expected] : cases) {
+        Explorer explorer({2, 2, 1, 14}, disabled);
+        EXPECT_EQ(explorer.run(), expected)
+            << "guards switched off (conditions, durable_first, inherit, kept): "
+            << disabled.conditions << disabled.durable_first << disabled.inherit << disabled.kept;
     }
 }
 
