--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -42,8 +42,8 @@
     /// Starts by reading the record; without fencing it stays unfenced.
     explicit Claim(Setup setup);
 
-    /// Whether the record has to be read now. If so, the caller must report the result to
-    /// on_read().
+    /// Starts a read of the record if one is due; returns whether it is. The caller must then read
+    /// the record and report the result to on_read().
     [[nodiscard]] bool begin_read();
     /// The write that is due now, if any. The caller must report its result to on_written().
     /// `may_create`: whether a missing record may be created, which begins fencing of the duty;
--- a/src/duty/intent_ledger.h
+++ b/src/duty/intent_ledger.h
@@ -16,7 +16,7 @@
 /// that they detect its absence.
 struct IntentGuards {
     bool durable_first = true;  ///< no cloud request before its intent is durable
-    bool inherit = true;        ///< intents of earlier holders are finished
+    bool inherit = true;        ///< intents of earlier holders are taken over and finished
     /// Compares both switches.
     friend bool operator==(const IntentGuards&, const IntentGuards&) = default;
 };
@@ -108,7 +108,7 @@
     [[nodiscard]] bool provisioning_in_flight() const;
     /// Number of stored intents that are not settled.
     [[nodiscard]] std::size_t open_count() const;
-    /// Summary of an open intent for the log.
+    /// Summary of the oldest open intent, for the log.
     struct OldestIntent {
         std::uint32_t slot = 0;         ///< slot of the intent
         Millis since = 0;               ///< steady time at which it was put into the slot
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -31,7 +31,7 @@
     bool conditions = false;
     bool durable_first = false;
     bool inherit = false;
-    bool kept = false;
+    bool keep_unconfirmed = false;  // a release intent stays until the cloud confirms the release
 };
 
 struct Record {
@@ -266,7 +266,8 @@
         } else if (const auto* removal = std::get_if<RemoveIntents>(&action)) {
             holder->on_intents_removed(removal->slots, unknown, 0);
         } else if (const auto* release = std::get_if<RequestRelease>(&action)) {
-            const auto outcome = disabled_.kept ? CloudOutcome::Done : CloudOutcome::NoAnswer;
+            const auto outcome =
+                disabled_.keep_unconfirmed ? CloudOutcome::Done : CloudOutcome::NoAnswer;
             holder->on_released(release->slot, release->request.machines().size(), outcome, 0);
         } else {
             return false;  // losing a read or a provisioning request changes nothing in this model
@@ -398,8 +399,9 @@
     for (const auto& [disabled, expected] : cases) {
         Explorer explorer({2, 2, 1, 14}, disabled);
         EXPECT_EQ(explorer.run(), expected)
-            << "guards switched off (conditions, durable_first, inherit, kept): "
-            << disabled.conditions << disabled.durable_first << disabled.inherit << disabled.kept;
+            << "guards switched off (conditions, durable_first, inherit, keep_unconfirmed): "
+            << disabled.conditions << disabled.durable_first << disabled.inherit
+            << disabled.keep_unconfirmed;
     }
 }
 
