--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -70,7 +70,9 @@
         return has_leader_lease() && cancellations_.may_start_tasks();
     }
     bool may_renew_leases() override { return cancellations_.may_renew_leases(); }
-    [[nodiscard]] bool peers_are_current() const override { return capabilities_.all_current(); }
+    [[nodiscard]] bool peers_run_current_version() const override {
+        return capabilities_.all_current();
+    }
     [[nodiscard]] bool peers_fence_duties() const override {
         return capabilities_.all_fence_duties();
     }
--- a/src/control/leader_host.h
+++ b/src/control/leader_host.h
@@ -32,7 +32,7 @@
     virtual bool may_renew_leases() = 0;
 
     /// Whether every controller is known to be of this version or a later one.
-    [[nodiscard]] virtual bool peers_are_current() const = 0;
+    [[nodiscard]] virtual bool peers_run_current_version() const = 0;
 
     /// Whether every controller is known to have fenced duties switched on.
     [[nodiscard]] virtual bool peers_fence_duties() const = 0;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -37,7 +37,7 @@
 core::Cluster::RecordLimits RecordWriter::record_limits() const {
     const auto& store = term_.store;
     const bool may_refine = term_.settings.guards.current_version &&
-                            (term_.host.peers_are_current() || store.limits_lowered());
+                            (term_.host.peers_run_current_version() || store.limits_lowered());
     return {store.max_transaction_operations(), kMaxTransactionBytes,
             may_refine ? store.max_value_bytes_from_now_on() : store.max_value_bytes(), may_refine,
             placement_writes_in_flight_ >= kMaxPlacementWrites};
