--- a/src/control/command_dispatcher.cpp
+++ b/src/control/command_dispatcher.cpp
@@ -1,4 +1,4 @@
-// Commands that the leader sends directly to workers.
+// Sends the leader's commands directly to workers.
 #include "control/command_dispatcher.h"
 
 #include <optional>
@@ -18,8 +18,8 @@
 
 DirectResult direct_result(const net::HttpReply& reply) {
     if (reply.status == status::kOk) return DirectResult::Executed;
-    const bool never_left = reply.status == 0 && !reply.sent;
-    if (reply.status == status::kConflict || reply.status == status::kBadRequest || never_left) {
+    const bool not_sent = reply.status == 0 && !reply.sent;
+    if (reply.status == status::kConflict || reply.status == status::kBadRequest || not_sent) {
         return DirectResult::NotExecuted;
     }
     return DirectResult::NoAnswer;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-void CommandDispatcher::raise_tokens() {
+void CommandDispatcher::request_reports() {
     if (calls_in_flight_ >= kMaxCallsInFlight) return;
     const auto now = term_.runtime.now();
     const auto limit = kMaxCallsInFlight - calls_in_flight_;
@@ -53,7 +53,8 @@
     auto commands = term_.cluster->with_lock(
         [&](core::Cluster& cluster) { return cluster.direct_commands(machine, may_start, now); });
     if (commands.endpoint.empty()) return;
-    // A machine without a report yet is in its first session, or says otherwise in its answer.
+    // A machine that has not reported yet is assumed to be in its first session. If it is not, its
+    // answer says so.
     if (commands.session == 0) commands.session = 1;
     ++calls_in_flight_;
     term_.runtime.call(
@@ -72,7 +73,7 @@
     if (reply.status == status::kOk || reply.status == status::kConflict) {
         report = wire::parse_report(reply.body);
     }
-    if (reply.status == status::kOk && !report) malformed_.note(now);
+    if (reply.status == status::kOk && !report) malformed_answers_.note(now);
     if (report && report->machine != commands.machine) report.reset();
     core::ReportOutcome outcome;
     term_.cluster->with_lock([&](core::Cluster& cluster) {
@@ -83,10 +84,10 @@
         return term_.host.step_down(events::StepDownReason::HigherTokenAtWorker);
     }
     if (outcome.changed) on_cluster_changed_();
-    // The bound on calls in flight was reached: others may be waiting for this one to end.
+    // Until this call ended, the bound on calls in flight held back other calls.
     if (calls_in_flight_ + 1 == kMaxCallsInFlight) {
         dispatch();
-        raise_tokens();
+        request_reports();
     }
 }
 
--- a/src/control/fleet_sync.cpp
+++ b/src/control/fleet_sync.cpp
@@ -1,4 +1,4 @@
-// The leader and the cloud: machine types, the list of machines, provision requests and releases.
+// Reads machine types and machines from the cloud; queues provisioning requests and releases.
 #include "control/fleet_sync.h"
 
 #include <algorithm>
@@ -7,22 +7,23 @@
 
 namespace {
 
-constexpr Millis kTypesIntervalMs = 20'000;
-constexpr Millis kUnknownTypesIntervalMs = 1000;  // as long as the types are not known
+constexpr Millis kTypesRefreshIntervalMs = 20'000;
+constexpr Millis kTypesRetryIntervalMs = 1000;  // while the types are not known
 constexpr Millis kMinListIntervalMs = 3000;
 constexpr double kMsPerSecond = 1000;
-constexpr Millis kMaxListWaitMs = 6000;  // of the first provision request for the first list
+// Provisioning waits at most this long for the first list of machines.
+constexpr Millis kMaxFirstListWaitMs = 6000;
 constexpr Millis kProvisionIntervalMs = 700;
 constexpr Millis kUnavailablePauseMs = 1500;
-constexpr std::uint32_t kMaxProvisionCount = 50;  // the protocol's limit for one request
-constexpr std::size_t kMaxReleases = 500;         // looked at in one go
+constexpr std::uint32_t kMaxProvisionCount = 50;  // the cloud API's limit for one request
+constexpr std::size_t kMaxReleasesPerCall = 500;  // in one call of release_machines()
 
 }  // namespace
 
-FleetSync::FleetSync(Term& term, cloud::CloudClient& cloud, Events events)
+FleetSync::FleetSync(Term& term, cloud::CloudClient& cloud, Callbacks callbacks)
     : term_(term),
       cloud_(cloud),
-      events_(std::move(events)),
+      callbacks_(std::move(callbacks)),
       duties_(std::make_shared<MachineDuties>(
           MachineDuties::Services{term.runtime, term.settings, term.store, cloud, term.host,
                                   static_cast<MachineDutiesListener&>(*this)},
@@ -33,23 +34,23 @@
         term_.cluster->with_lock([&](core::Cluster& cluster) { cluster.set_types(known_types); });
         types_known_ = true;
     }
-    duties_->pump();
+    duties_->run_due_actions();
 }
 
 void FleetSync::on_failover_complete() {
-    duties_->records_known();
+    duties_->on_placement_records_read();
     failover_complete_at_ = term_.runtime.now();
 }
 
 bool FleetSync::inherited_releases_known() {
     if (duties_->inherited_known()) return true;
-    duties_->pump();
+    duties_->run_due_actions();
     return false;
 }
 
-void FleetSync::poll_due() {
+void FleetSync::poll_if_due() {
     const auto now = term_.runtime.now();
-    const auto types_interval = types_known_ ? kTypesIntervalMs : kUnknownTypesIntervalMs;
+    const auto types_interval = types_known_ ? kTypesRefreshIntervalMs : kTypesRetryIntervalMs;
     if (now - types_requested_at_ > types_interval) read_types();
     const auto list_lag_ms = static_cast<Millis>(term_.settings.cloud_list_lag_s * kMsPerSecond);
     if (now - list_requested_at_ > std::max(kMinListIntervalMs, list_lag_ms)) read_machine_list();
@@ -92,12 +93,12 @@
         cluster.on_list(machines, now);
         if (complete) cluster.on_list_complete(names, now);
     });
-    if (complete && !listed_) {
-        // Plans made before know neither these machines nor which zone is cut off.
-        fleet_known_at_ = now;
-        listed_ = true;
+    if (complete && !complete_list_read_) {
+        // Plans from earlier snapshots know neither these machines nor the unreachable zones.
+        min_snapshot_at_ = now;
+        complete_list_read_ = true;
     }
-    events_.on_machines_listed();
+    callbacks_.on_machines_listed();
 }
 
 void FleetSync::release_machines() {
@@ -108,26 +109,30 @@
     const auto now = term_.runtime.now();
     const auto releases = term_.cluster->with_lock([&](core::Cluster& cluster) {
         std::vector<Release> due;
-        for (auto& machine : cluster.next_releases(kMaxReleases, now)) {
+        for (auto& machine : cluster.next_releases(kMaxReleasesPerCall, now)) {
             const bool has_tasks = cluster.has_tasks(machine);
             due.push_back({std::move(machine), has_tasks});
         }
         return due;
     });
-    // The tasks of a machine wait for its release; one without tasks only costs money.
+    // Releases of machines with tasks are urgent: the tasks are placed elsewhere only after the
+    // release is confirmed. A machine without tasks only costs money until then.
     for (const auto& release : releases) duties_->queue_release(release.machine, release.has_tasks);
-    duties_->pump();
+    duties_->run_due_actions();
 }
 
 void FleetSync::provision(const std::vector<core::Provision>& provisions, Millis snapshot_at) {
     const auto now = term_.runtime.now();
-    // Before the first list most machines are not known yet, and provisioning would double them.
-    if (!listed_ && now - failover_complete_at_ < kMaxListWaitMs) return;
+    // Before the first list most existing machines are unknown, and provisioning would duplicate
+    // them.
+    if (!complete_list_read_ && now - failover_complete_at_ < kMaxFirstListWaitMs) return;
     if (provisions.empty() || duties_->provisioning_in_flight()) return;
-    // Demand comes in bits; a request for every plan would use up the cloud's rate limit.
+    // Demand arrives in small amounts. A request for every plan would use up the cloud's rate
+    // limit.
     if (now < no_provision_before_) return;
-    // A plan made before the last result does not know the machines that came with it.
-    if (snapshot_at < fleet_known_at_) return;
+    // A plan from a snapshot older than the last provisioning result does not know the machines
+    // that were provisioned.
+    if (snapshot_at < min_snapshot_at_) return;
     no_provision_before_ = now + kProvisionIntervalMs;
     for (auto remaining : provisions) {
         while (remaining.count > kMaxProvisionCount) {
@@ -138,11 +143,11 @@
         }
         request_provision(remaining);
     }
-    duties_->pump();
+    duties_->run_due_actions();
 }
 
 void FleetSync::request_provision(const core::Provision& provision) {
-    // Token and counter: no request name is ever used twice, by any controller.
+    // The name is made of the fencing token and a counter, so no controller ever reuses it.
     duty::ProvisionRequest request;
     request.request =
         "r-" + std::to_string(term_.token) + "-" + std::to_string(++provision_requests_);
@@ -167,16 +172,16 @@
     term_.cluster->with_lock(
         [&](core::Cluster& cluster) { cluster.on_released(machines, true, now); });
     term_.host.log(events::MachinesReleased{machines.size(), machines.front()});
-    events_.on_cluster_changed();
+    callbacks_.on_cluster_changed();
 }
 
 void FleetSync::on_provisioned(const duty::ProvisionRequest& request,
                                const std::vector<std::string>& machines, bool refused,
                                cloud::Result result) {
     const auto now = term_.runtime.now();
-    // Without a response it is sent again; the next plan waits for the result.
+    // A request without a response is sent again. Until its result is known, no plan provisions.
     if (result == cloud::Result::NoResponse && duties_->provisioning_in_flight()) return;
-    fleet_known_at_ = now;
+    min_snapshot_at_ = now;
     if (result == cloud::Result::Unavailable) no_provision_before_ = now + kUnavailablePauseMs;
     if (result == cloud::Result::Ok) {
         term_.cluster->with_lock([&](core::Cluster& cluster) {
@@ -191,7 +196,7 @@
     }
     term_.host.log(events::ProvisionCompleted{request.request, machines.size(),
                                               result == cloud::Result::NoCapacity});
-    events_.on_provision_completed();
+    callbacks_.on_provision_completed();
 }
 
 void FleetSync::on_lease_lost() {
--- a/src/control/fleet_sync.h
+++ b/src/control/fleet_sync.h
@@ -12,52 +12,55 @@
 
 namespace lichendrift::control {
 
-/// Keeps the cluster's machines and those of the cloud in step: reads machine types and the list of
-/// machines, and hands provision requests and releases to the machine duties.
+/// Reconciles the machines in the cluster state with those of the cloud: reads the machine types
+/// and the list of machines, and passes provisioning requests and releases on to MachineDuties.
 class FleetSync : private MachineDutiesListener {
   public:
-    /// What the leader does about changes.
-    struct Events {
-        std::function<void()> on_cluster_changed;      ///< machines were released
-        std::function<void()> on_machines_listed;      ///< a list, complete or not, was read
-        std::function<void()> on_provision_completed;  ///< a provision request has its result
+    /// Notifications to the leader.
+    struct Callbacks {
+        std::function<void()> on_cluster_changed;  ///< machines were released
+        std::function<void()> on_machines_listed;  ///< reading the list has ended, in full or not
+        std::function<void()> on_provision_completed;  ///< a provisioning request has its result
     };
 
-    /// `term` and `cloud` outlive it.
-    FleetSync(Term& term, cloud::CloudClient& cloud, Events events);
+    /// `term` and `cloud` must outlive this object.
+    FleetSync(Term& term, cloud::CloudClient& cloud, Callbacks callbacks);
     ~FleetSync() override { stop(); }
     FleetSync(const FleetSync&) = delete;
     FleetSync& operator=(const FleetSync&) = delete;
 
-    /// Begins the term. `known_types`: the machine types that the controller knows already, may be
+    /// Begins the term. `known_types`: the machine types that the controller knows already; may be
     /// empty.
     void start(const std::vector<core::MachineType>& known_types);
 
-    /// Ends the term.
+    /// Ends the term: results of requests still in flight are ignored.
     void stop() { duties_->stop(); }
 
-    /// The placement records of earlier terms are in the cluster: from now on the cloud is asked.
+    /// Called when the placement records of earlier terms are loaded into the cluster state. From
+    /// then on the cloud gets requests.
     void on_failover_complete();
 
-    /// Whether the releases that earlier leaders intended are known: their machines must not get
-    /// work, so nothing is placed before. While they are not, the duties are carried on.
+    /// Whether the releases that earlier leaders intended are known. Nothing is placed before that,
+    /// because the machines to be released must not get tasks. While they are unknown, each call
+    /// makes MachineDuties take the next step towards reading them.
     [[nodiscard]] bool inherited_releases_known();
 
-    /// Whether the machine types are known; plans need them.
+    /// Whether the machine types are known. The planner needs them.
     [[nodiscard]] bool types_known() const { return types_known_; }
 
-    /// Reads the machine types and the list of machines if they are due.
-    void poll_due();
+    /// Reads the machine types and the list of machines, each if its interval has passed.
+    void poll_if_due();
 
-    /// Requests the releases that the cluster wants.
+    /// Queues the releases that are due in the cluster state, and requests them.
     void release_machines();
 
-    /// Requests what a plan asks for, unless it is too early to know that it is still needed.
-    /// `snapshot_at`: when the plan's snapshot was taken.
+    /// Requests the machines that a plan asks for. Drops the request if the plan's snapshot, taken
+    /// at `snapshot_at`, may miss machines that already exist, or if the last request was too
+    /// recent.
     void provision(const std::vector<core::Provision>& provisions, Millis snapshot_at);
 
   private:
-    static constexpr Millis kLongAgo = -100'000;  // before any time of the runtime's clock
+    static constexpr Millis kLongAgo = -100'000;  // earlier than any time of the runtime's clock
 
     void read_types();
     void on_types(cloud::Result result, const std::vector<core::MachineType>& types);
@@ -75,17 +78,17 @@
 
     Term& term_;
     cloud::CloudClient& cloud_;
-    Events events_;
+    Callbacks callbacks_;
     std::shared_ptr<MachineDuties> duties_;
     bool types_known_ = false;
     bool reading_types_ = false;
     Millis types_requested_at_ = kLongAgo;
-    bool listed_ = false;  // completely, at least once
+    bool complete_list_read_ = false;  // at least once in this term
     bool reading_list_ = false;
     Millis list_requested_at_ = kLongAgo;
     Millis failover_complete_at_ = 0;
     Millis no_provision_before_ = 0;
-    Millis fleet_known_at_ = kLongAgo;  // the last provision's result, or the first complete list
+    Millis min_snapshot_at_ = kLongAgo;  // plans from older snapshots must not provision
     std::uint64_t provision_requests_ = 0;
 };
 
--- a/src/control/job_count_publisher.h
+++ b/src/control/job_count_publisher.h
@@ -4,20 +4,21 @@
 
 namespace lichendrift::control {
 
-/// Gives the controller the counts of done and running tasks to announce to its peers, which show
-/// them to users.
+/// Publishes the counts of done and running tasks of each job. The controller announces them to its
+/// peers, so that every controller can show them to users.
 class JobCountPublisher {
   public:
-    /// `term` outlives the publisher.
+    /// `term` must outlive the publisher.
     explicit JobCountPublisher(Term& term) : term_(term) {}
 
-    /// Publishes what changed if the last time is long enough ago; all counts once in a while.
-    void publish_due();
+    /// Publishes the counts that have changed if the interval has passed since the last time; every
+    /// so often it publishes all counts instead.
+    void publish_if_due();
 
   private:
     Term& term_;
     Millis published_at_ = 0;
-    int publications_ = 0;
+    int publication_count_ = 0;
 };
 
 }  // namespace lichendrift::control
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -1,4 +1,4 @@
-// One term of leadership: joins its parts and answers heartbeats.
+// One term of leadership: connects its parts and answers heartbeats.
 #include "control/leader.h"
 
 #include "control/cluster_settings.h"
@@ -23,12 +23,12 @@
             std::make_shared<LockedCluster>(cluster_settings(dependencies.settings, token),
                                             dependencies.settings.zones)},
       job_watcher_(dependencies.job_watcher),
-      failover_(term_, job_watcher_, {[this] { follow_jobs(); }, [this] { on_state_read(); }}),
+      failover_(term_, job_watcher_, {[this] { watch_jobs(); }, [this] { on_state_read(); }}),
       records_(term_, job_watcher_, [this] { dispatch_commands(); }),
       image_hints_(term_),
       dispatcher_(term_, [this] { on_cluster_changed(); }),
       fleet_(term_, dependencies.cloud,
-             {[this] { on_cluster_changed(); }, [this] { dispatcher_.raise_tokens(); },
+             {[this] { on_cluster_changed(); }, [this] { dispatcher_.request_reports(); },
               [this] { request_plan(); }}),
       plans_(term_, dependencies.planner, [this](const core::Plan& plan) { on_plan_ready(plan); }),
       job_counts_(term_) {}
@@ -49,13 +49,13 @@
         [&](core::Cluster& cluster) { return cluster.has_machine(name); });
 }
 
-void Leader::follow_jobs() {
+void Leader::watch_jobs() {
     job_watcher_.start_watching(
         {term_.callbacks.bind([this](const core::JobText& job, std::uint64_t revision) {
              on_job_opened(job, revision);
          }),
          term_.callbacks.bind([this](const std::string& job_id, TerminalState state) {
-             on_job_over(job_id, state);
+             on_job_ended(job_id, state);
          })});
 }
 
@@ -68,7 +68,7 @@
     on_cluster_changed();
 }
 
-void Leader::on_job_over(const std::string& job_id, TerminalState state) {
+void Leader::on_job_ended(const std::string& job_id, TerminalState state) {
     const auto now = term_.runtime.now();
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         cluster.job_over(job_id, state == TerminalState::Aborted, now);
@@ -91,19 +91,19 @@
 }
 
 void Leader::tick() {
-    fleet_.poll_due();
-    on_time_passed();
+    fleet_.poll_if_due();
+    tick_cluster();
     if (plans_.overdue()) request_plan();
-    job_counts_.publish_due();
+    job_counts_.publish_if_due();
     image_hints_.write_due();
     write_records();
     fleet_.release_machines();
     dispatch_commands();
-    dispatcher_.raise_tokens();
+    dispatcher_.request_reports();
     term_.runtime.after(kTickMs, term_.callbacks.bind([this] { tick(); }));
 }
 
-void Leader::on_time_passed() {
+void Leader::tick_cluster() {
     const auto now = term_.runtime.now();
     const bool has_lease = term_.host.has_leader_lease();
     const auto events = term_.cluster->with_lock(
@@ -154,14 +154,16 @@
     }
     if (!ready_) return heartbeat_before_ready(report);
     const auto now = term_.runtime.now();
-    // While cancellations may be unknown here, worker leases run out: the work may be cancelled.
+    // While this controller may have missed cancellations it renews no worker's lease, so that
+    // cancelled tasks end when the lease expires.
     const bool may_renew = term_.host.may_renew_leases();
     const bool may_start = term_.host.may_start_tasks();
     core::ReportOutcome outcome;
     wire::HeartbeatAnswer answer{term_.token, {}};
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         outcome = cluster.on_report(report, true, now);
-        // A late copy gets no commands: nobody waits for its answer.
+        // A delayed or duplicate heartbeat gets no commands: its worker no longer waits for the
+        // answer.
         if (may_renew && outcome.fresh && !cluster.calling(report.machine)) {
             answer.commands =
                 cluster.heartbeat_commands(report.machine, report.seq, may_start, now);
@@ -173,9 +175,10 @@
     return answer;
 }
 
-// During failover nothing may be concluded from a report; the answer only raises the token. But if
-// the state service fails now, failover lasts, and renewed leases would keep cancelled work alive:
-// tasks of jobs that are known to be over are halted by name.
+// During failover the report is not applied, because the placement records are not read yet; the
+// answer renews the worker's lease and raises its token. If the state service is down, failover can
+// take long, and renewed leases would keep cancelled tasks running. So the answer also halts the
+// tasks of jobs that are known to have ended.
 tl::expected<wire::HeartbeatAnswer, HeartbeatRefusal> Leader::heartbeat_before_ready(
     const core::Report& report) const {
     if (!term_.host.may_renew_leases()) {
@@ -186,8 +189,8 @@
     for (const auto& task : report.tasks) {
         if (task.phase == core::TaskPhase::Exited) continue;
         if (job_watcher_.find_open(task.job) != nullptr) continue;
-        // Once the open jobs are read, every job that an earlier leader started is either among
-        // them or over.
+        // Once the open jobs are read, a job that an earlier leader started and that is not among
+        // them has ended. Before that, an uncached terminal state leaves it undecided.
         if (!failover_.open_jobs_read() && !job_watcher_.terminal_state(task.job)) {
             return tl::unexpected(HeartbeatRefusal::TerminalStatesUnknown);
         }
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -16,59 +16,62 @@
 
 namespace lichendrift::control {
 
-/// What a leader uses. All of it belongs to the controller and outlives the leader.
+/// Services that a leader uses. The controller owns them all, and all outlive the leader.
 struct LeaderDependencies {
-    net::Runtime& runtime;      ///< time, timers and requests
-    PlanExecutor& planner;      ///< makes plans
-    const Settings& settings;   ///< the platform's settings
-    store::StoreClient& store;  ///< the state service
-    cloud::CloudClient& cloud;  ///< the cloud
+    net::Runtime& runtime;      ///< clock, timers and outgoing requests
+    PlanExecutor& planner;      ///< runs the planner
+    const Settings& settings;   ///< from the settings file
+    store::StoreClient& store;  ///< client of the state service
+    cloud::CloudClient& cloud;  ///< client of the cloud's API
     JobWatcher& job_watcher;    ///< this controller's copy of the open jobs
     LeaderHost& host;           ///< the controller
 };
 
-/// Why a heartbeat gets no commands. The worker's lease is not renewed then.
+/// Why a heartbeat is refused. A refusal carries no commands and does not renew the worker's lease.
 enum class HeartbeatRefusal : std::uint8_t {
-    HigherTokenSeen,        ///< the worker has seen a later leader; this one has stepped down
-    RenewalsSuspended,      ///< cancellations may be unknown here, so no lease is renewed
-    TerminalStatesUnknown,  ///< failover is too early to say which of its tasks may go on
+    HigherTokenSeen,    ///< the worker has seen a later leader, so this one has stepped down
+    RenewalsSuspended,  ///< this controller may have missed cancellations, so it renews no lease
+    TerminalStatesUnknown,  ///< early in a failover: a task's job may be open or may have ended
 };
 
-/// One term of leadership. Made when the election is won and dropped when the term is over; joins
-/// the parts that read the state of earlier terms, write records, send commands, provision
-/// machines and plan. Used on the loop's thread only.
+/// One term of leadership: created when this controller wins the election, dropped when the term
+/// ends. Connects the parts that read the state of earlier terms, write records, send commands,
+/// provision machines and plan. Used on the event loop's thread only.
 class Leader {
   public:
-    /// `token`: the term's first fencing token. `leader_revision`: revision of the leader record.
+    /// `token`: the term's first fencing token. `leader_revision`: revision of the leader record
+    /// that began the term.
     Leader(const LeaderDependencies& dependencies, std::uint64_t token,
            std::uint64_t leader_revision);
 
-    /// Begins the term. `known_types`: the machine types that the controller knows already.
+    /// Begins the term. `known_types`: the machine types that the controller knows already; may be
+    /// empty.
     void start(const std::vector<core::MachineType>& known_types);
 
-    /// Ends the term: nothing is written or sent afterwards by what is still in flight. May be
-    /// called from inside a callback of the leader, which has to live on until that returns.
+    /// Ends the term: requests still in flight cause no further writes or requests. May be called
+    /// from inside a callback of the leader; the leader has to exist until that callback returns.
     void stop();
 
-    /// Takes a worker's report in and returns the answer to its heartbeat.
+    /// Applies a worker's report and returns the answer to its heartbeat.
     tl::expected<wire::HeartbeatAnswer, HeartbeatRefusal> on_heartbeat(const core::Report& report);
 
     /// The term's first fencing token.
     [[nodiscard]] std::uint64_t token() const { return term_.token; }
 
-    /// Whether the state of earlier terms is read, so that this leader acts.
+    /// Whether failover is complete: the state of earlier terms is read, and this leader plans and
+    /// sends commands.
     [[nodiscard]] bool ready() const { return ready_; }
 
     /// Whether the machine belongs to the cluster.
     [[nodiscard]] bool knows_machine(const std::string& name);
 
   private:
-    void follow_jobs();
+    void watch_jobs();
     void on_job_opened(const core::JobText& job, std::uint64_t revision);
-    void on_job_over(const std::string& job_id, TerminalState state);
+    void on_job_ended(const std::string& job_id, TerminalState state);
     void on_state_read();
     void tick();
-    void on_time_passed();
+    void tick_cluster();
     void on_cluster_changed();
     void on_plan_ready(const core::Plan& plan);
     void write_records();
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -1,4 +1,4 @@
-// Actions of the machine duties: requests to the state service and the cloud, and the log.
+// Executes the actions of the machine duties: requests to the state service and the cloud, logging.
 #include "control/machine_duties.h"
 
 #include "control/fenced_store.h"
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Millis kReportEveryMs = 60'000;
-constexpr Millis kOverdueAfterMs = 30'000;  // an open intent this old is logged
+constexpr Millis kReportIntervalMs = 60'000;
+constexpr Millis kOverdueAfterMs = 30'000;  // age from which an open intent is logged
 
 duty::CloudOutcome cloud_outcome(cloud::Result result) {
     switch (result) {
@@ -46,42 +46,42 @@
                              std::uint64_t leader_revision)
     : services_(services),
       holder_(holder_setup(services.settings, term, leader_revision)),
-      intents_kept_(services.settings.guards.intent_kept),
+      keep_unconfirmed_intents_(services.settings.guards.intent_kept),
       reported_at_(services.runtime.now()) {}
 
-duty::MachineDutyHolder::Moment MachineDuties::moment() {
+duty::MachineDutyHolder::Moment MachineDuties::holder_inputs() {
     auto& store = services_.store;
-    duty::MachineDutyHolder::Moment moment;
-    moment.now = services_.runtime.now();
-    moment.lease_valid = services_.host.has_leader_lease();
-    moment.records_known = records_known_;
-    moment.not_after = services_.host.leader_lease_valid_until();
-    moment.may_activate = services_.host.peers_fence_duties();
-    moment.room_for_writes = store.can_write_at_once(store.max_transaction_operations());
-    moment.limits = {store.max_value_bytes_from_now_on(), store.max_transaction_operations()};
-    return moment;
-}
-
-void MachineDuties::pump() {
+    duty::MachineDutyHolder::Moment inputs;
+    inputs.now = services_.runtime.now();
+    inputs.lease_valid = services_.host.has_leader_lease();
+    inputs.records_known = placement_records_read_;
+    inputs.not_after = services_.host.leader_lease_valid_until();
+    inputs.may_activate = services_.host.peers_fence_duties();
+    inputs.room_for_writes = store.can_write_at_once(store.max_transaction_operations());
+    inputs.limits = {store.max_value_bytes_from_now_on(), store.max_transaction_operations()};
+    return inputs;
+}
+
+void MachineDuties::run_due_actions() {
     if (stopped_) return;
-    if (pumping_) {
-        pump_again_ = true;
+    if (running_actions_) {
+        run_again_ = true;
         return;
     }
-    pumping_ = true;
+    running_actions_ = true;
     do {
-        pump_again_ = false;
-        for (const auto& action : holder_.due(moment())) {
-            std::visit([this](const auto& what) { carry_out(what); }, action);
+        run_again_ = false;
+        for (const auto& action : holder_.due(holder_inputs())) {
+            std::visit([this](const auto& due) { execute(due); }, action);
         }
-    } while (pump_again_ && !stopped_);
-    pumping_ = false;
+    } while (run_again_ && !stopped_);
+    running_actions_ = false;
     report();
 }
 
-void MachineDuties::pump_unless_lost() {
+void MachineDuties::run_due_actions_unless_lost() {
     if (holder_.lost()) return services_.listener.on_lease_lost();
-    pump();
+    run_due_actions();
 }
 
 void MachineDuties::queue_release(const std::string& machine, bool urgent) {
@@ -92,9 +92,9 @@
     holder_.queue_provision(std::move(request), services_.runtime.now());
 }
 
-// ---- the state service ----
+// ---- requests to the state service ----
 
-void MachineDuties::carry_out(const duty::ReadDuty& action) {
+void MachineDuties::execute(const duty::ReadDuty& action) {
     services_.store.get(store::RequestPriority::Leadership, duty::record_key(action.duty),
                         [self = shared_from_this(), duty = action.duty](store::Outcome outcome,
                                                                         const wire::Item& item) {
@@ -106,11 +106,12 @@
                             const bool held_before = self->holder_.claim(duty).held();
                             self->holder_.on_duty_read(duty, read, self->services_.runtime.now());
                             self->log_if_claim_changed(duty, held_before);
-                            if (read.outcome != duty::ReadOutcome::Failed) self->pump_unless_lost();
+                            if (read.outcome != duty::ReadOutcome::Failed)
+                                self->run_due_actions_unless_lost();
                         });
 }
 
-void MachineDuties::carry_out(const duty::ReadIntents& action) {
+void MachineDuties::execute(const duty::ReadIntents& action) {
     services_.store.list(
         store::RequestPriority::Leadership, std::string(duty::kIntentPrefix), action.since,
         [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& page) {
@@ -132,41 +133,41 @@
     }
     const auto machines = holder_.on_intents_read(intents, services_.runtime.now());
     if (!machines.empty()) services_.listener.on_releases_inherited(machines);
-    pump_unless_lost();
+    run_due_actions_unless_lost();
 }
 
-void MachineDuties::carry_out(const duty::ReadIntent& action) {
+void MachineDuties::execute(const duty::ReadIntent& action) {
     services_.store.get(store::RequestPriority::Submit, duty::intent_key(action.slot),
                         [self = shared_from_this(), slot = action.slot](store::Outcome outcome,
                                                                         const wire::Item& item) {
                             if (self->stopped_) return;
                             self->holder_.on_intent_read(slot, intent_read_result(outcome, item),
                                                          self->services_.runtime.now());
-                            self->pump_unless_lost();
+                            self->run_due_actions_unless_lost();
                         });
 }
 
-void MachineDuties::carry_out(const duty::WriteDuty& action) {
+void MachineDuties::execute(const duty::WriteDuty& action) {
     send_write(services_.store, store::RequestPriority::Leadership, action.write,
                [self = shared_from_this(), duty = action.duty](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    const bool held_before = self->holder_.claim(duty).held();
                    self->holder_.on_duty_written(duty, result, self->services_.runtime.now());
                    self->log_if_claim_changed(duty, held_before);
-                   self->pump_unless_lost();
+                   self->run_due_actions_unless_lost();
                });
 }
 
-void MachineDuties::carry_out(const duty::WriteIntent& action) {
+void MachineDuties::execute(const duty::WriteIntent& action) {
     send_write(services_.store, store::RequestPriority::Submit, action.write,
                [self = shared_from_this(), slot = action.slot](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    self->holder_.on_intent_written(slot, result, self->services_.runtime.now());
-                   self->pump_unless_lost();
+                   self->run_due_actions_unless_lost();
                });
 }
 
-void MachineDuties::carry_out(const duty::RemoveIntents& action) {
+void MachineDuties::execute(const duty::RemoveIntents& action) {
     send_write(services_.store, store::RequestPriority::Read, action.write,
                [self = shared_from_this(), slots = action.slots](const duty::WriteResult& result) {
                    if (self->stopped_) return;
@@ -175,25 +176,25 @@
                });
 }
 
-// ---- the cloud ----
+// ---- requests to the cloud ----
 
-void MachineDuties::carry_out(const duty::RequestRelease& action) {
+void MachineDuties::execute(const duty::RequestRelease& action) {
     services_.cloud.release(
         action.request, [self = shared_from_this(), slot = action.slot,
                          machines = action.request.machines()](cloud::Result result) {
             if (self->stopped_) return;
             const bool unconfirmed = result == cloud::Result::NoResponse;
-            if (unconfirmed && !self->intents_kept_) result = cloud::Result::Ok;
+            if (unconfirmed && !self->keep_unconfirmed_intents_) result = cloud::Result::Ok;
             if (result == cloud::Result::StaleEpoch) self->log_stale_epoch("release");
             self->holder_.on_released(slot, machines.size(), cloud_outcome(result),
                                       self->services_.runtime.now());
             if (result != cloud::Result::Ok) return;
             self->services_.listener.on_released(machines);
-            self->pump_unless_lost();
+            self->run_due_actions_unless_lost();
         });
 }
 
-void MachineDuties::carry_out(const duty::RequestProvision& action) {
+void MachineDuties::execute(const duty::RequestProvision& action) {
     services_.cloud.provision(
         action.request,
         [self = shared_from_this(), slot = action.slot, request = action.request.request()](
@@ -208,7 +209,7 @@
         });
 }
 
-// ---- the log ----
+// ---- logging ----
 
 void MachineDuties::log_if_claim_changed(duty::Duty duty, bool held_before) {
     const auto& claim = holder_.claim(duty);
@@ -222,7 +223,7 @@
 }
 
 void MachineDuties::log_stale_epoch(const std::string& request) {
-    ++refused_as_stale_;
+    ++stale_epoch_refusals_;
     services_.host.log(events::StaleEpochRefused{request});
 }
 
@@ -230,13 +231,13 @@
     if (!holder_.fenced()) return;
     log_overdue_intent();
     const auto now = services_.runtime.now();
-    if (now - reported_at_ < kReportEveryMs) return;
+    if (now - reported_at_ < kReportIntervalMs) return;
     reported_at_ = now;
     const auto& ledger = holder_.ledger();
     const auto& counters = ledger.counters();
     services_.host.log(events::IntentsReport{
         ledger.open_count(), counters.written, counters.settled, counters.inherited,
-        counters.withdrawn, counters.damaged, refused_as_stale_});
+        counters.withdrawn, counters.damaged, stale_epoch_refusals_});
 }
 
 void MachineDuties::log_overdue_intent() {
@@ -244,8 +245,8 @@
     if (!oldest) return;
     const auto now = services_.runtime.now();
     const auto open_ms = now - oldest->since;
-    if (open_ms <= kOverdueAfterMs || now - reported_overdue_at_ <= kOverdueAfterMs) return;
-    reported_overdue_at_ = now;
+    if (open_ms <= kOverdueAfterMs || now - overdue_reported_at_ <= kOverdueAfterMs) return;
+    overdue_reported_at_ = now;
     services_.host.log(events::IntentOverdue{duty::intent_key(oldest->slot), open_ms / 1000,
                                              oldest->releases, oldest->first_machine,
                                              oldest->provision_request});
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The driver of a leader's machine duties.
+/// Executes the actions of a leader's machine duties: provisioning and reclaiming.
 
 #include <memory>
 
@@ -14,16 +14,16 @@
 
 class LeaderHost;
 
-/// Gets the results of provisioning requests and releases.
+/// Receives the results of provisioning requests and releases.
 class MachineDutiesListener {
   public:
     virtual ~MachineDutiesListener() = default;
-    /// An earlier holder meant to release these machines: they get no work.
+    /// An earlier holder intended to release these machines, so they must not get tasks.
     virtual void on_releases_inherited(const std::vector<std::string>& machines) = 0;
     /// The cloud has released these machines.
     virtual void on_released(const std::vector<std::string>& machines) = 0;
-    /// The cloud responded to a provisioning request with these machines. `refused`: there were
-    /// not enough of this kind.
+    /// The cloud responded to a provisioning request with these machines, or the request failed
+    /// (`result`). `refused`: the cloud had fewer machines of this kind than requested.
     virtual void on_provisioned(const duty::ProvisionRequest& request,
                                 const std::vector<std::string>& machines, bool refused,
                                 cloud::Result result) = 0;
@@ -31,54 +31,60 @@
     virtual void on_lease_lost() = 0;
 };
 
-/// Carries out what a leader's duty::MachineDutyHolder decides: reads and writes of the state
-/// service, requests to the cloud. One object for one term of leadership: callbacks keep it alive
-/// and do nothing once it is stopped. All on the controller's thread.
+/// Executes the actions that a leader's duty::MachineDutyHolder decides on: reads and writes of the
+/// state service and requests to the cloud. An intent is a record of such a request, stored before
+/// the request is sent. Each term of leadership has its own object; callbacks share ownership of it
+/// and do nothing after stop(). Used on the event loop's thread only.
 class MachineDuties : public std::enable_shared_from_this<MachineDuties> {
   public:
-    /// What it works with. All outlive every callback.
+    /// Services that it uses. All must outlive every callback.
     struct Services {
-        net::Runtime& runtime;            ///< time
-        const Settings& settings;         ///< of this controller
-        store::StoreClient& store;        ///< the state service
-        cloud::CloudClient& cloud;        ///< the cloud
+        net::Runtime& runtime;            ///< clock
+        const Settings& settings;         ///< settings of this controller
+        store::StoreClient& store;        ///< client of the state service
+        cloud::CloudClient& cloud;        ///< client of the cloud's API
         LeaderHost& host;                 ///< the controller
-        MachineDutiesListener& listener;  ///< gets the results
+        MachineDutiesListener& listener;  ///< receives the results
     };
 
-    /// `term`: fencing token of the leader. `leader_revision`: of the leader's key.
+    /// `term`: first fencing token of the term. `leader_revision`: revision of the leader record
+    /// that began the term.
     MachineDuties(const Services& services, std::uint64_t term, std::uint64_t leader_revision);
 
-    /// Carries out what is due; called whenever time has passed or something is wanted.
-    void pump();
-    /// The term has ended.
+    /// Executes all actions that are due. Called periodically, and after something was queued or a
+    /// result has arrived.
+    void run_due_actions();
+    /// Ends the term: results of requests still in flight are ignored.
     void stop() { stopped_ = true; }
-    /// All placement records are read; from now on the cloud gets requests.
-    void records_known() { records_known_ = true; }
+    /// Called when all placement records are read. From then on the cloud gets requests.
+    void on_placement_records_read() { placement_records_read_ = true; }
 
-    /// Wants a machine released. `urgent`: without waiting for further machines.
+    /// Queues the release of a machine. `urgent`: send it without waiting to batch further
+    /// machines.
     void queue_release(const std::string& machine, bool urgent);
-    /// Wants machines provisioned.
+    /// Queues a provisioning request; the listener gets its result.
     void queue_provision(duty::ProvisionRequest request);
-    /// Whether the result of a provisioning request can be expected soon.
+    /// Whether the result of a provisioning request is expected soon, so that further provisioning
+    /// should wait for it.
     [[nodiscard]] bool provisioning_in_flight() const {
         return holder_.ledger().provisioning_in_flight();
     }
-    /// Whether all intents of earlier holders are known: before that nothing is placed.
+    /// Whether all intents of earlier holders are known. Nothing is placed before that, because a
+    /// machine that is to be released must not get tasks.
     [[nodiscard]] bool inherited_known() const { return holder_.inherited_known(); }
 
   private:
-    [[nodiscard]] duty::MachineDutyHolder::Moment moment();
-    void carry_out(const duty::ReadDuty& action);
-    void carry_out(const duty::ReadIntents& action);
-    void carry_out(const duty::ReadIntent& action);
-    void carry_out(const duty::WriteDuty& action);
-    void carry_out(const duty::WriteIntent& action);
-    void carry_out(const duty::RemoveIntents& action);
-    void carry_out(const duty::RequestRelease& action);
-    void carry_out(const duty::RequestProvision& action);
+    [[nodiscard]] duty::MachineDutyHolder::Moment holder_inputs();
+    void execute(const duty::ReadDuty& action);
+    void execute(const duty::ReadIntents& action);
+    void execute(const duty::ReadIntent& action);
+    void execute(const duty::WriteDuty& action);
+    void execute(const duty::WriteIntent& action);
+    void execute(const duty::RemoveIntents& action);
+    void execute(const duty::RequestRelease& action);
+    void execute(const duty::RequestProvision& action);
     void on_intents_read(const wire::ItemPage& page);
-    void pump_unless_lost();
+    void run_due_actions_unless_lost();
     void log_if_claim_changed(duty::Duty duty, bool held_before);
     void log_stale_epoch(const std::string& request);
     void log_overdue_intent();
@@ -86,14 +92,14 @@
 
     Services services_;
     duty::MachineDutyHolder holder_;
-    bool intents_kept_;  // off only in tests of this guard
+    bool keep_unconfirmed_intents_;  // SafetyGuards::intent_kept; only tests switch it off
     bool stopped_ = false;
-    bool records_known_ = false;
-    bool pumping_ = false;
-    bool pump_again_ = false;
-    std::uint64_t refused_as_stale_ = 0;
+    bool placement_records_read_ = false;
+    bool running_actions_ = false;
+    bool run_again_ = false;
+    std::uint64_t stale_epoch_refusals_ = 0;
     core::Millis reported_at_ = 0;
-    core::Millis reported_overdue_at_ = 0;
+    core::Millis overdue_reported_at_ = 0;
 };
 
 }  // namespace lichendrift::control
