--- a/src/control/plan_executor.h
+++ b/src/control/plan_executor.h
@@ -6,13 +6,13 @@
 
 namespace lichendrift::control {
 
-/// Runs the planner. The daemon gives it a thread of its own, the tests virtual time.
+/// Runs the planner. The daemon runs it on a separate thread, the tests in virtual time.
 class PlanExecutor {
   public:
     virtual ~PlanExecutor() = default;
 
-    /// Calls `take_snapshot` and plans on its result, both away from the loop's thread; then calls
-    /// `on_plan` on the loop's thread. One call at a time.
+    /// Calls `take_snapshot` and runs the planner on its result, both off the event loop's thread,
+    /// then calls `on_plan` on the event loop's thread. Must not be called again before that.
     virtual void plan(std::function<core::Snapshot()> take_snapshot,
                       std::function<void(core::Plan)> on_plan) = 0;
 };
--- a/src/control/plan_loop.cpp
+++ b/src/control/plan_loop.cpp
@@ -1,4 +1,4 @@
-// When plans are made.
+// Decides when the planner runs.
 #include "control/plan_loop.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 constexpr Millis kMinSpacingMs = 60;
 constexpr Millis kMaxSpacingMs = 1500;
-constexpr Millis kSpacingFactor = 3;  // times as long as the last plan took
+constexpr Millis kSpacingFactor = 3;  // the spacing is this multiple of the last plan's duration
 constexpr Millis kMaxIntervalMs = 1000;
 
 }  // namespace
@@ -41,7 +41,8 @@
     planning_ = true;
     requested_again_ = false;
     planner_.plan(
-        // On the planner's thread, and maybe after the end of the term.
+        // Runs on the planner's thread, possibly after the end of the term; so it shares ownership
+        // of the cluster and does not use `this`.
         [cluster = term_.cluster, now, wall_ms] {
             return cluster->with_lock(
                 [&](core::Cluster& locked) { return locked.snapshot(now, wall_ms); });
--- a/src/control/plan_loop.h
+++ b/src/control/plan_loop.h
@@ -7,24 +7,25 @@
 
 namespace lichendrift::control {
 
-/// Asks for plans, one at a time, and spaces them so that planning gets a bounded part of the time:
-/// on a slow or busy machine plans come less often, rather than heartbeats and renewals late.
+/// Requests plans, one at a time, and spaces them in proportion to how long planning takes. So
+/// planning takes a bounded share of the time: on a slow or busy machine plans become less frequent
+/// instead of heartbeats and lease renewals becoming late.
 class PlanLoop {
   public:
-    /// `on_plan_ready` gets each plan on the loop's thread.
+    /// `on_plan_ready` is called with each plan on the event loop's thread.
     PlanLoop(Term& term, PlanExecutor& planner,
              std::function<void(const core::Plan&)> on_plan_ready)
         : term_(term), planner_(planner), on_plan_ready_(std::move(on_plan_ready)) {}
 
-    /// Plans as soon as the spacing allows. Requests until then are answered by that one plan; one
-    /// that comes while a plan is being made by the next.
+    /// Starts a plan as soon as the spacing allows. Requests made until then share that plan; a
+    /// request made while the planner runs leads to another plan afterwards.
     void request();
 
-    /// Whether a plan should be requested even if nothing has changed.
+    /// Whether the last plan is so old that one should be requested even if nothing has changed.
     [[nodiscard]] bool overdue() const;
 
   private:
-    static constexpr Millis kLongAgo = -10'000;  // so that the first plan is due at once
+    static constexpr Millis kLongAgo = -10'000;  // makes the first plan due at once
 
     void start_plan();
     void on_plan(const core::Plan& plan);
@@ -33,9 +34,9 @@
     PlanExecutor& planner_;
     std::function<void(const core::Plan&)> on_plan_ready_;
     bool planning_ = false;
-    bool requested_again_ = false;    // while planning
-    bool timer_set_ = false;          // for the end of the spacing
-    Millis last_plan_at_ = kLongAgo;  // its start; once it is ready, that moment
+    bool requested_again_ = false;    // a request came while the planner was running
+    bool timer_set_ = false;          // a timer calls request() when the spacing has passed
+    Millis last_plan_at_ = kLongAgo;  // start of the plan; after it is ready, the time of that
     Millis last_duration_ms_ = 0;
 };
 
