--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -1,5 +1,5 @@
-// What the leader writes to the state service: placement records, terminal states, and the removal
-// of records that nobody needs.
+// The leader's writes to the state service: placement records, terminal states, and removals of
+// records that are no longer needed.
 #include "control/record_writer.h"
 
 #include "core/state_keys.h"
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr std::size_t kMaxTransactionBytes = 40'000;  // of placement records
+constexpr std::size_t kMaxTransactionBytes = 40'000;  // of the placement records in a transaction
 constexpr int kMaxPlacementWrites = 2;                // transactions in flight
-// Beyond these, of records that starts of replicas wait for.
+// Further transactions in flight, allowed only for records that the starts of replicas wait for.
 constexpr int kMaxUrgentPlacementWrites = 2;
 constexpr int kMaxTerminalWrites = 3;  // transactions in flight
-// Operations of a terminal state's transaction besides the placement records that it removes: the
-// keys of the open job and of the terminal state.
+// Operations of a terminal state's transaction, not counting the placement records that it removes:
+// one for the key of the open job and one for the key of the terminal state.
 constexpr std::size_t kTerminalOperations = 2;
 constexpr Millis kReadBackRetryMs = 300;
 
@@ -32,8 +32,9 @@
     remove_orphaned_records();
 }
 
-// The limits that hold later count as soon as no controller can come that would not understand what
-// is written within them, and at once when the state service shows that they hold.
+// An announced, smaller limit on values is applied early, by dividing the records more finely, once
+// every controller is known to understand that layout. It is applied at once if the state service
+// rejects a transaction, which shows that the smaller limit is in force.
 core::Cluster::RecordLimits RecordWriter::record_limits() const {
     const auto& store = term_.store;
     const bool may_refine = term_.settings.guards.current_version &&
@@ -49,8 +50,9 @@
     for (const auto& write : writes) {
         const auto key = key_of(write);
         transaction.conditions.push_back({key, write.revision});
-        // A record that becomes durable after its job is over, late or from a copy that lags, would
-        // be followed by starts.
+        // Tasks are started once their record is durable. So a record must not become durable after
+        // its job has ended, by a delayed write or because this controller's copy of the open jobs
+        // is out of date.
         if (term_.settings.guards.record_of_open) {
             transaction.conditions.push_back(
                 {core::keys::open_job(write.job_id), write.open_revision});
@@ -68,7 +70,8 @@
     auto writes = term_.cluster->with_lock(
         [&](core::Cluster& cluster) { return cluster.next_record_writes(limits, lazy, now); });
     if (writes.empty()) return;
-    // Records that wait for the rate limit must not delay the start of a replica.
+    // Urgent records get a higher priority, so that a replica's start does not wait behind records
+    // that are held back by the rate limit.
     const auto priority =
         writes.front().urgent ? store::RequestPriority::Submit : store::RequestPriority::Place;
     const auto transaction = placement_transaction(writes);
@@ -91,7 +94,8 @@
 
 void RecordWriter::on_placement_record_written(const core::RecordWrite& write,
                                                const store::TransactionResult& result) {
-    // Unconfirmed, or an earlier write that was unconfirmed has been applied since.
+    // Either the outcome of this write is unknown, or the record was changed by an earlier write
+    // whose outcome was unknown.
     if (result.outcome == store::Outcome::Unknown || condition_failed(result, key_of(write))) {
         return read_back(write);
     }
@@ -104,7 +108,7 @@
         cluster.on_record_written(write, result.outcome == store::Outcome::Ok, result.revision,
                                   now);
     });
-    // Which terminal state the job has comes with the next read.
+    // The refresh brings the job's terminal state.
     if (job_over) job_watcher_.refresh([](bool) {});
 }
 
--- a/src/control/record_writer.h
+++ b/src/control/record_writer.h
@@ -11,20 +11,21 @@
 
 namespace lichendrift::control {
 
-/// Writes what the cluster has for the state service: placement records, terminal states of jobs
-/// that are done, and the removal of placement records that nobody needs. A write whose outcome is
-/// unknown is read back before the record is written again. Used once failover is complete.
+/// Writes the cluster state's pending changes to the state service: placement records, terminal
+/// states of jobs that are done, and removals of placement records that are no longer needed. If
+/// the outcome of a write is unknown, the record is read back before it is written again. Used only
+/// after failover is complete.
 class RecordWriter {
   public:
-    /// `on_placements_durable`: outcomes of placement records have reached the cluster, which may
-    /// have commands to send now.
+    /// `on_placements_durable` is called after the outcomes of placement writes are applied to the
+    /// cluster state, which may make commands due.
     RecordWriter(Term& term, JobWatcher& job_watcher, std::function<void()> on_placements_durable)
         : term_(term),
           job_watcher_(job_watcher),
           on_placements_durable_(std::move(on_placements_durable)) {}
 
-    /// Writes what is due, as far as the bounds on transactions in flight allow; nothing without
-    /// the leader's lease.
+    /// Sends the writes that are due, within the bounds on transactions in flight. Does nothing
+    /// unless the leader's lease is valid.
     void write_due();
 
   private:
@@ -35,7 +36,7 @@
     };
     struct TerminalWrite {
         core::FinalWrite write;
-        core::JobText job;  // if it is stored with the terminal state
+        core::JobText job;  // set only if it is stored with the terminal state
     };
     [[nodiscard]] core::Cluster::RecordLimits record_limits() const;
     [[nodiscard]] Transaction placement_transaction(const RecordWrites& writes) const;
