--- a/src/control/failover_reader.cpp
+++ b/src/control/failover_reader.cpp
@@ -1,4 +1,4 @@
-// How a new leader reads what earlier ones left in the state service.
+// Reads the state that earlier leaders left in the state service.
 #include "control/failover_reader.h"
 
 #include <charconv>
@@ -11,13 +11,13 @@
 
 namespace {
 
-constexpr Millis kRetryDelayMs = 200;
+constexpr Millis kReadRetryDelayMs = 200;
 
 }  // namespace
 
 template <typename F>
 void FailoverReader::retry_later(F read) {
-    term_.runtime.after(kRetryDelayMs, term_.callbacks.bind(std::move(read)));
+    term_.runtime.after(kReadRetryDelayMs, term_.callbacks.bind(std::move(read)));
 }
 
 void FailoverReader::read_open_jobs() {
@@ -34,7 +34,7 @@
             cluster.add_job(job.text, job.revision, now, false, term_.age_of(job.text));
         }
     });
-    steps_.on_open_jobs_read();
+    callbacks_.on_open_jobs_read();
     read_placement_records("");
 }
 
@@ -84,7 +84,7 @@
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         for (const auto& record : records_) {
             if (cluster.has_job(record.job_id)) continue;
-            // The records of a job stand together.
+            // Records are sorted by key, so those of one job are adjacent.
             if (!closed_jobs_.empty() && closed_jobs_.back() == record.job_id) continue;
             closed_jobs_.push_back(record.job_id);
         }
@@ -92,7 +92,7 @@
 }
 
 void FailoverReader::read_terminal_state(std::size_t index) {
-    if (index >= closed_jobs_.size()) return steps_.on_state_read();
+    if (index >= closed_jobs_.size()) return callbacks_.on_state_read();
     term_.store.get(
         store::RequestPriority::Leadership, core::keys::terminal_state(closed_jobs_[index]),
         term_.callbacks.bind([this, index](store::Outcome outcome, const wire::Item& item) {
@@ -107,7 +107,8 @@
     }
     if (outcome == store::Outcome::Ok) {
         const auto state = wire::parse_terminal_state_value(closed_jobs_[index], item.value);
-        // Its text is kept while its tasks may still be on machines.
+        // The job's description is stored with the terminal state if tasks of the job may still be
+        // on machines.
         if (state && state->job) {
             const auto now = term_.runtime.now();
             term_.cluster->with_lock(
@@ -126,7 +127,8 @@
                 cluster.load_record(stored.job_id, stored.record_number, stored.record,
                                     stored.revision, now);
             } else {
-                // All its tasks are done, or it was never accepted: nothing can be on a machine.
+                // The job's tasks are all done, or it was never accepted. Either way none of its
+                // tasks can be on a machine, so the record is removed.
                 cluster.add_orphan(
                     core::keys::placement_record(stored.job_id, stored.record_number));
             }
--- a/src/control/failover_reader.h
+++ b/src/control/failover_reader.h
@@ -12,29 +12,29 @@
 namespace lichendrift::control {
 
 /// Reads what the leaders of earlier terms left in the state service: the open jobs, the placement
-/// records, and the terminal states of jobs that have records but are not open any more. Until all
-/// of it is read nothing may be concluded about machines. Reads that fail are repeated until the
+/// records, and the terminal states of jobs that have records but are no longer open. Until all of
+/// this is read, it is unknown which tasks may be on a machine. Failed reads are retried until the
 /// term ends.
 class FailoverReader {
   public:
-    /// Called once each, in this order.
-    struct Steps {
-        std::function<void()> on_open_jobs_read;  ///< the cluster has all jobs that were open
+    /// Progress of the failover. Each is called once, in this order.
+    struct Callbacks {
+        std::function<void()> on_open_jobs_read;  ///< all open jobs are in the cluster state
         std::function<void()> on_state_read;      ///< load_placement_records() may be called
     };
 
-    /// `term` and `job_watcher` outlive the reader.
-    FailoverReader(Term& term, JobWatcher& job_watcher, Steps steps)
-        : term_(term), job_watcher_(job_watcher), steps_(std::move(steps)) {}
+    /// `term` and `job_watcher` must outlive the reader.
+    FailoverReader(Term& term, JobWatcher& job_watcher, Callbacks callbacks)
+        : term_(term), job_watcher_(job_watcher), callbacks_(std::move(callbacks)) {}
 
-    /// Begins to read.
+    /// Starts reading; the callbacks report the progress.
     void start() { read_open_jobs(); }
 
     /// Whether this controller knows every job that was open when the term began.
     [[nodiscard]] bool open_jobs_read() const { return open_jobs_read_; }
 
-    /// Gives the placement records that were read to the cluster, once. Returns how many there
-    /// were.
+    /// Loads the placement records that were read into the cluster state and returns their number.
+    /// May be called once, after `on_state_read`.
     std::size_t load_placement_records();
 
   private:
@@ -58,10 +58,10 @@
 
     Term& term_;
     JobWatcher& job_watcher_;
-    Steps steps_;
+    Callbacks callbacks_;
     bool open_jobs_read_ = false;
     std::vector<StoredRecord> records_;
-    std::vector<std::string> closed_jobs_;  // with records, and not open any more
+    std::vector<std::string> closed_jobs_;  // have placement records but are not open
 };
 
 }  // namespace lichendrift::control
