--- a/src/control/image_hint_store.cpp
+++ b/src/control/image_hint_store.cpp
@@ -1,4 +1,4 @@
-// Image hints in the state service.
+// Reads and writes the image hints in the state service.
 #include "control/image_hint_store.h"
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Millis kPartIntervalMs = 8000;     // between two checks of the same part
-constexpr Millis kMinCheckIntervalMs = 500;  // between checks of any two parts
-constexpr std::size_t kMachineBytes = 90;    // of a machine in a part
+constexpr Millis kPartCheckIntervalMs = 8000;  // between two checks of one part
+constexpr Millis kMinCheckIntervalMs = 500;    // between two checks of any parts
+constexpr std::size_t kBytesPerMachine = 90;   // assumed size of one machine's hints
 
 }  // namespace
 
@@ -38,22 +38,23 @@
 
 void ImageHintStore::write_due() {
     if (!term_.host.has_leader_lease()) return;
-    // In several parts, as one value would hold no more than a hundred machines; one at a time.
+    // The hints are split into parts, because one value holds no more than a hundred machines. One
+    // part is checked and written at a time.
     const auto value_bytes = term_.store.max_value_bytes_from_now_on() * 3 / 4;
-    const auto machines_per_part = std::max<std::size_t>(1, value_bytes / kMachineBytes);
+    const auto machines_per_part = std::max<std::size_t>(1, value_bytes / kBytesPerMachine);
     const auto parts = term_.cluster->with_lock(
         [&](core::Cluster& cluster) { return 1 + cluster.machine_count() / machines_per_part; });
     const auto now = term_.runtime.now();
     const auto interval =
-        std::max(kMinCheckIntervalMs, kPartIntervalMs / static_cast<Millis>(parts));
+        std::max(kMinCheckIntervalMs, kPartCheckIntervalMs / static_cast<Millis>(parts));
     if (now - part_checked_at_ < interval || !term_.store.can_write_at_once(1)) return;
     part_checked_at_ = now;
     part_ = (part_ + 1) % parts;
     const auto hints = term_.cluster->with_lock(
         [&](core::Cluster& cluster) { return cluster.image_hints(part_, parts); });
     auto value = wire::image_hints_value(hints, value_bytes);
-    if (value == values_[part_]) return;
-    values_[part_] = value;
+    if (value == written_values_[part_]) return;
+    written_values_[part_] = value;
     term_.store.transact(store::RequestPriority::Read, {term_.leadership_condition()},
                          {{core::keys::image_hints(part_), std::move(value), 0}},
                          term_.callbacks.bind([this](const store::TransactionResult& result) {
--- a/src/control/image_hint_store.h
+++ b/src/control/image_hint_store.h
@@ -9,18 +9,19 @@
 
 namespace lichendrift::control {
 
-/// Keeps the image hints, which machine has which images, in the state service, so that the next
-/// leader places tasks where their images are. They are hints only: losing some costs late starts.
+/// Stores the image hints (which machines have which images) in the state service, so that the next
+/// leader can place tasks on machines that already have their images. Losing hints only makes some
+/// tasks start later.
 class ImageHintStore {
   public:
-    /// `term` outlives the store.
+    /// `term` must outlive this object.
     explicit ImageHintStore(Term& term) : term_(term) {}
 
-    /// Reads the hints of earlier terms into the cluster, as far as that succeeds at once.
+    /// Reads the hints of earlier terms into the cluster state. A failed read is not retried.
     void read();
 
-    /// Writes the next part of the hints if it is due and has changed; nothing without the
-    /// leader's lease.
+    /// Writes the next part of the hints if its check is due and it has changed. Does nothing
+    /// unless the leader's lease is valid.
     void write_due();
 
   private:
@@ -28,8 +29,8 @@
 
     Term& term_;
     Millis part_checked_at_ = 0;
-    std::size_t part_ = 0;                       // the one that was checked last
-    std::map<std::size_t, std::string> values_;  // as written last, by part
+    std::size_t part_ = 0;                               // index of the part that was checked last
+    std::map<std::size_t, std::string> written_values_;  // last written value of each part
 };
 
 }  // namespace lichendrift::control
