--- a/src/control/cluster_settings.cpp
+++ b/src/control/cluster_settings.cpp
@@ -1,4 +1,4 @@
-// Translates the platform's settings into those of core::Cluster.
+// Converts the settings file into the settings of core::Cluster.
 #include "control/cluster_settings.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 constexpr double kMsPerSecond = 1000;
 constexpr double kBytesPerKilobyte = 1024;
-// A placed task takes about 50 bytes of its record; the margin is for long machine names.
+// A placed task takes about 50 bytes of its record; the rest is a margin for long machine names.
 constexpr double kRecordBytesPerTask = 80;
 constexpr std::uint32_t kMinTasksPerRecord = 8;
 
@@ -34,7 +34,8 @@
     return translated;
 }
 
-// The version in production computes it like this: it is a part of the stored format.
+// Must give the same result as the version in production: how a job's tasks are divided into
+// placement records is part of the stored format.
 std::uint32_t tasks_per_record(const Settings& settings) {
     auto kilobytes = settings.state_value_kb;
     if (!settings.guards.stable_layout && settings.guards.current_version) {
--- a/src/control/cluster_settings.h
+++ b/src/control/cluster_settings.h
@@ -7,8 +7,8 @@
 
 namespace lichendrift::control {
 
-/// The cluster's settings for one term: the platform's settings file, checked, in the cluster's
-/// units. `token`: the term's first fencing token.
+/// Converts the checked settings file into the settings of core::Cluster for one term, for instance
+/// seconds into milliseconds. `token`: the term's first fencing token.
 [[nodiscard]] core::ClusterSettings cluster_settings(const Settings& settings, std::uint64_t token);
 
 }  // namespace lichendrift::control
--- a/src/control/locked_cluster.h
+++ b/src/control/locked_cluster.h
@@ -8,50 +8,50 @@
 
 namespace lichendrift::control {
 
-/// The cluster of one term behind its lock. Two threads use it: the loop's thread for everything,
-/// the planner's thread for snapshots only.
+/// The cluster state of one term, protected by a mutex. Two threads use it: the event loop's thread
+/// for everything, the planner's thread for snapshots only.
 ///
-/// Sections under the lock are short: they neither log nor start requests or timers, and they do
-/// not call with_lock() again. What they decide is returned and carried out after them.
+/// Critical sections must be short. They must not log, start requests or timers, or call
+/// with_lock() again: they return what to do, and the caller does it after the lock is released.
 class LockedCluster {
   public:
-    /// `zones`: the platform's zones, in the order of the settings file.
+    /// `zones`: names of the zones, in the order of the settings file.
     LockedCluster(const core::ClusterSettings& settings, const std::vector<std::string>& zones)
-        : zones_(names_of(zones)), cluster_(settings, types_, zones_) {}
+        : zones_(intern_all(zones)), cluster_(settings, types_, zones_) {}
 
-    /// Calls `fn` with the cluster under the lock and returns what it returns.
+    /// Calls `fn` with the cluster state while holding the lock, and returns its result.
     template <typename F>
     auto with_lock(F fn) {
         std::scoped_lock lock(mutex_);
         return fn(cluster_);
     }
 
-    /// Name of a machine type that a plan names by its index.
+    /// Name of the machine type with this index. Plans refer to types by index.
     [[nodiscard]] std::string type_name(core::TypeIndex type) {
         std::scoped_lock lock(mutex_);
         return types_.name(type);
     }
 
-    /// Name of a zone that a plan names by its index.
+    /// Name of the zone with this index. Plans refer to zones by index.
     [[nodiscard]] std::string zone_name(core::ZoneIndex zone) {
         std::scoped_lock lock(mutex_);
         return zones_.name(zone);
     }
 
-    /// Index of a machine type; a new one if the name is not known yet.
+    /// Index of the machine type; assigns a new one if the name is not known yet.
     [[nodiscard]] core::TypeIndex type_index(const std::string& name) {
         std::scoped_lock lock(mutex_);
         return types_.intern(name);
     }
 
-    /// Index of a zone; a new one if the name is not known yet.
+    /// Index of the zone; assigns a new one if the name is not known yet.
     [[nodiscard]] core::ZoneIndex zone_index(const std::string& name) {
         std::scoped_lock lock(mutex_);
         return zones_.intern(name);
     }
 
   private:
-    static core::Names names_of(const std::vector<std::string>& names) {
+    static core::Names intern_all(const std::vector<std::string>& names) {
         core::Names interned;
         for (const auto& name : names) interned.intern(name);
         return interned;
