--- a/src/control/fenced_store.cpp
+++ b/src/control/fenced_store.cpp
@@ -1,4 +1,4 @@
-// Conversions between the types of duties and those of the state service's client.
+// Converts between the types of duties and those of the state service's client.
 #include "control/fenced_store.h"
 
 #include "wire/stored_values.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::string encoded(const duty::StoredValue& value) {
+std::string encode_value(const duty::StoredValue& value) {
     if (const auto* record = std::get_if<duty::DutyRecord>(&value)) {
         return wire::duty_value(*record);
     }
@@ -68,7 +68,7 @@
     }
     std::vector<wire::Change> changes;
     for (const auto& change : write.changes()) {
-        changes.push_back({change.key, encoded(change.value), 0});
+        changes.push_back({change.key, encode_value(change.value), 0});
     }
     store.transact(priority, conditions, changes,
                    [done = std::move(done)](const store::TransactionResult& result) {
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -1,5 +1,4 @@
-// What all parts of the leader share: the condition of their writes and how they find out that
-// another controller leads.
+// The condition of the leader's writes, and the check that detects another controller's election.
 #include "control/term.h"
 
 #include <algorithm>
--- a/src/control/term.h
+++ b/src/control/term.h
@@ -15,33 +15,36 @@
 
 using core::Millis;
 
-/// One term of leadership: what all parts of the leader share. Owned by the Leader and outlives
-/// its parts; used on the loop's thread, but for the cluster.
+/// What all parts of the leader share during one term of leadership. Owned by the Leader and
+/// outlives its parts. Used on the event loop's thread, except for `cluster`.
 struct Term {
-    net::Runtime& runtime;          ///< time, timers and requests
-    const Settings& settings;       ///< the platform's settings
-    store::StoreClient& store;      ///< the state service
+    net::Runtime& runtime;          ///< clock, timers and outgoing requests
+    const Settings& settings;       ///< from the settings file
+    store::StoreClient& store;      ///< client of the state service
     LeaderHost& host;               ///< the controller
     std::uint64_t token;            ///< the term's first fencing token
     std::uint64_t leader_revision;  ///< revision of the leader record that began the term
-    /// Shared with the planner's thread, which may still use it when the term is over.
+    /// Shared with the planner's thread, which may still use it after the term has ended.
     std::shared_ptr<LockedCluster> cluster;
-    /// Every callback of the leader and its parts is bound to it; it ends with the term.
+    /// Scope of all callbacks of the leader and its parts. It ends with the term; bound callbacks
+    /// do nothing afterwards.
     net::CallbackScope callbacks = {};
 
-    /// Condition of every write of this term: a late one of a leader that was replaced fails.
+    /// The condition of every write of this term: the leader record is unchanged. So a delayed
+    /// write of a leader that was replaced fails.
     [[nodiscard]] wire::Condition leadership_condition() const;
 
-    /// Steps down if the write failed because another controller leads; returns whether it did.
+    /// Steps down if the write failed because another controller was elected. Returns whether it
+    /// stepped down.
     bool step_down_if_replaced(const store::TransactionResult& result);
 
-    /// Milliseconds since the job's submission, by the time of day.
+    /// Milliseconds since the job's submission, by the wall clock.
     [[nodiscard]] Millis age_of(const core::JobText& job) const {
         return runtime.wall_ms() - job.submitted_ms;
     }
 };
 
-/// Whether the transaction's condition on `key` failed.
+/// Whether the transaction failed on its condition on `key`.
 [[nodiscard]] bool condition_failed(const store::TransactionResult& result, std::string_view key);
 
 }  // namespace lichendrift::control
