--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Millis kPollEveryMs = 8000;
-constexpr Millis kPollSpreadMs = 4000;
-constexpr Millis kLeaderCampaignsAfterMs = 60'000;  // if no follower takes the duty
+constexpr Millis kPollIntervalMs = 8000;
+constexpr Millis kPollJitterMs = 4000;
+constexpr Millis kLeaderCampaignsAfterMs = 60'000;  // if no follower has taken the duty
 
 }  // namespace
 
@@ -21,7 +21,7 @@
 void Cleaner::poll_for_vacancy() {
     if (stopped_) return;
     auto& runtime = services_.runtime;
-    runtime.after(kPollEveryMs + static_cast<Millis>(runtime.random() % kPollSpreadMs),
+    runtime.after(kPollIntervalMs + static_cast<Millis>(runtime.random() % kPollJitterMs),
                   [this] { poll_for_vacancy(); });
     if (tenure_) {
         if (services_.host.leading() && !should_campaign()) hand_over();
@@ -40,7 +40,8 @@
     if (should_campaign()) create_lease();
 }
 
-// The leader has enough to do: it campaigns only if nobody else does.
+// The leader is busy with other work, so it campaigns only if it has no peers or none of them has
+// taken the duty for a while.
 bool Cleaner::should_campaign() const {
     if (!services_.host.leading() || services_.settings.peers.empty()) return true;
     return vacant_since_ && services_.runtime.now() - *vacant_since_ > kLeaderCampaignsAfterMs;
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Which controller cleans up.
+/// Election of the controller that holds the cleanup duty.
 
 #include <memory>
 #include <optional>
@@ -11,23 +11,24 @@
 
 namespace lichendrift::control {
 
-/// Takes part in the election for the cleanup duty, which one controller holds, preferably not the
-/// leader. Lives as long as its controller; what belongs to one tenure is in CleanupTenure and
-/// CleanupRounds.
+/// Takes part in the election for the cleanup duty: removing stored records that are no longer
+/// needed. One controller holds the duty, preferably not the leader. A Cleaner lives as long as its
+/// controller; the state of one tenure (one period of holding the duty) is in CleanupTenure and
+/// CleanupRounds. Used on the event loop's thread only.
 class Cleaner : private CleanupTenureListener {
   public:
     /// Does nothing before start().
     explicit Cleaner(const CleanerServices& services) : services_(services) {}
 
-    /// Begins to poll for a vacancy, if the settings have cleaning up switched on.
+    /// Starts polling whether the duty is vacant, unless cleanup is switched off in the settings.
     void start();
-    /// Gives the duty up at once, for another controller to take.
+    /// Gives up the duty at once, so that another controller can take it over.
     void hand_over();
-    /// The process ends: hands over, and does not campaign again.
+    /// Called when the process ends: hands over the duty and does not campaign again.
     void stop();
     /// Whether this controller holds the duty.
     [[nodiscard]] bool holds_duty() const { return tenure_ && tenure_->held(); }
-    /// Placement records seen that belong to no job: there should be none.
+    /// Number of placement records found that belong to no job. Any such record indicates a fault.
     [[nodiscard]] std::uint64_t suspicious_records() const { return counters_.suspicious; }
 
   private:
@@ -43,9 +44,9 @@
     void on_duty_ended(events::DutyEnd how, duty::Epoch epoch) override;
 
     CleanerServices services_;
-    std::shared_ptr<CleanupTenure> tenure_;  // null: another controller's turn
+    std::shared_ptr<CleanupTenure> tenure_;  // null: this controller does not hold the duty's lease
     CleanupCounters counters_;
-    std::optional<Millis> vacant_since_;  // nothing: another controller was seen to hold the lease
+    std::optional<Millis> vacant_since_;  // empty: not known to be vacant
     bool stopped_ = false;
 };
 
--- a/src/control/cleaner_services.h
+++ b/src/control/cleaner_services.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the classes of the cleanup duty work with.
+/// Services that the classes of the cleanup duty use.
 
 #include "cloud/cloud_client.h"
 #include "control/job_watcher.h"
@@ -11,7 +11,7 @@
 
 namespace lichendrift::control {
 
-/// What a cleaner needs of its controller.
+/// The controller as seen by its cleaner.
 class CleanerHost {
   public:
     virtual ~CleanerHost() = default;
@@ -19,17 +19,17 @@
     [[nodiscard]] virtual bool leading() const = 0;
     /// Whether every controller is known to have fenced duties switched on.
     [[nodiscard]] virtual bool peers_fence_duties() const = 0;
-    /// Writes an event to the log.
+    /// Logs an event with the controller's context.
     virtual void log(const events::Event& event) = 0;
 };
 
-/// What a cleaner works with. All outlive every callback.
+/// Services that a cleaner uses. All must outlive every callback.
 struct CleanerServices {
-    net::Runtime& runtime;      ///< time and random numbers
-    const Settings& settings;   ///< of this controller
-    store::StoreClient& store;  ///< the state service
-    cloud::CloudClient& cloud;  ///< for the list of machines
-    JobWatcher& job_watcher;    ///< for the open jobs
+    net::Runtime& runtime;      ///< clock, timers and random numbers
+    const Settings& settings;   ///< settings of this controller
+    store::StoreClient& store;  ///< client of the state service
+    cloud::CloudClient& cloud;  ///< client of the cloud's API, for the list of machines
+    JobWatcher& job_watcher;    ///< this controller's copy of the open jobs
     CleanerHost& host;          ///< the controller
 };
 
--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -1,4 +1,4 @@
-// Pages of records, decisions and removals of the cleanup duty.
+// Scans the stored records for the cleanup duty and removes those that are no longer needed.
 #include "control/cleanup_rounds.h"
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr Millis kRoundPauseMs = 300'000;
-constexpr std::size_t kMaxJobsOfPage = 20;  // whose terminal states are read
-constexpr std::size_t kWritesOfPage = 2;    // room that the rate limit must leave
+constexpr std::size_t kMaxJobsPerPage = 20;  // each costs a read of its terminal state
+constexpr std::size_t kWritesPerPage = 2;    // the rate limit must allow them before a page begins
 
-// The job in a key `place/ID/K`.
-std::string job_of(const std::string& key) {
+// The job id in a key `place/ID/K`; empty if the key has another form.
+std::string job_id_from_key(const std::string& key) {
     const auto slash = key.rfind('/');
     if (slash == std::string::npos || slash < keys::kPlacementRecords.size()) return "";
     return key.substr(keys::kPlacementRecords.size(), slash - keys::kPlacementRecords.size());
@@ -46,7 +46,7 @@
     : services_(services),
       tenure_(std::move(tenure)),
       counters_(counters),
-      round_begins_at_(services.runtime.now()) {}
+      next_round_at_(services.runtime.now()) {}
 
 void CleanupRounds::schedule_next_page() {
     const auto delay_ms = static_cast<Millis>(services_.settings.features.cleanup_page_s * 1000);
@@ -56,9 +56,9 @@
 }
 
 void CleanupRounds::begin_next_page() {
-    const bool waits = services_.runtime.now() < round_begins_at_ ||
-                       !services_.store.can_write_at_once(kWritesOfPage) || !tenure_->permit();
-    if (waits) return schedule_next_page();
+    const bool must_wait = services_.runtime.now() < next_round_at_ ||
+                           !services_.store.can_write_at_once(kWritesPerPage) || !tenure_->permit();
+    if (must_wait) return schedule_next_page();
     if (hints_due_) return read_hints();
     read_placements();
 }
@@ -66,7 +66,7 @@
 void CleanupRounds::end_round() {
     last_placement_key_.clear();
     hints_due_ = false;
-    round_begins_at_ = services_.runtime.now() + kRoundPauseMs;
+    next_round_at_ = services_.runtime.now() + kRoundPauseMs;
     schedule_next_page();
 }
 
@@ -75,44 +75,44 @@
 void CleanupRounds::read_placements() {
     services_.store.list(
         store::RequestPriority::Read, std::string(keys::kPlacementRecords), last_placement_key_,
-        [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& read) {
+        [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& records) {
             if (!self->active()) return;
             if (outcome != store::Outcome::Ok) return self->schedule_next_page();
-            self->update_job_watcher(read);
+            self->update_job_watcher(records);
         });
 }
 
-// A job leaves `open/` and gets its terminal state in one transaction: one that is not open by a
-// copy from after this page has a terminal state, or never was a job.
-void CleanupRounds::update_job_watcher(const wire::ItemPage& read) {
-    services_.job_watcher.refresh([self = shared_from_this(), read](bool up_to_date) {
+// One transaction removes a job's key under `open/` and writes its terminal state. So a job that is
+// missing from a copy of the open jobs read after this page has a terminal state or never existed.
+void CleanupRounds::update_job_watcher(const wire::ItemPage& records) {
+    services_.job_watcher.refresh([self = shared_from_this(), records](bool up_to_date) {
         if (!self->active()) return;
         if (!up_to_date) return self->schedule_next_page();
-        self->select_placements(read);
+        self->select_placements(records);
     });
 }
 
-void CleanupRounds::select_placements(const wire::ItemPage& read) {
+void CleanupRounds::select_placements(const wire::ItemPage& records) {
     page_ = {};
-    bool whole = true;
-    for (const auto& item : read.items) {
-        whole = select_placement(item);
-        if (!whole) break;
+    bool all_selected = true;
+    for (const auto& item : records.items) {
+        all_selected = select_placement(item);
+        if (!all_selected) break;
         last_placement_key_ = item.key;
     }
-    hints_due_ = whole && !read.more;
+    hints_due_ = all_selected && !records.more;
     read_terminal_state(0);
 }
 
-// Takes a record into the page unless its job is open; false if the page is full.
+// Adds a record to the page unless its job is open. Returns false if the page is full.
 bool CleanupRounds::select_placement(const wire::Item& item) {
-    const auto id = job_of(item.key);
+    const auto id = job_id_from_key(item.key);
     if (services_.job_watcher.find_open(id) != nullptr) return true;
     const auto known = std::find_if(page_.jobs.begin(), page_.jobs.end(),
-                                    [&](const JobOfPage& job) { return job.id == id; });
+                                    [&](const PageJob& job) { return job.id == id; });
     const auto index = static_cast<std::size_t>(known - page_.jobs.begin());
     if (known == page_.jobs.end()) {
-        if (page_.jobs.size() >= kMaxJobsOfPage) return false;
+        if (page_.jobs.size() >= kMaxJobsPerPage) return false;
         page_.jobs.push_back({id, duty::KnownJobState::Open, {}});
     }
     page_.placements.push_back({{item.key, item.revision, placement_content(item)}, index});
@@ -133,7 +133,7 @@
         });
 }
 
-// Without a result the job counts as open: its records are left alone.
+// If the read fails the job keeps the state Open, so that its records are kept.
 void CleanupRounds::on_terminal_state_read(std::size_t job_index, store::Outcome outcome,
                                            const wire::Item& item) {
     auto& job = page_.jobs[job_index];
@@ -171,11 +171,11 @@
 void CleanupRounds::read_hints() {
     services_.store.list(
         store::RequestPriority::Read, std::string(keys::kImageHints), "",
-        [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& read) {
+        [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& records) {
             if (!self->active()) return;
-            if (outcome != store::Outcome::Ok || read.items.empty()) return self->end_round();
+            if (outcome != store::Outcome::Ok || records.items.empty()) return self->end_round();
             std::vector<duty::HintEntry> hints;
-            for (const auto& item : read.items) hints.push_back(hint_entry(item));
+            for (const auto& item : records.items) hints.push_back(hint_entry(item));
             self->list_machines(std::move(hints));
         });
 }
--- a/src/control/cleanup_rounds.h
+++ b/src/control/cleanup_rounds.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Rounds of the cleanup duty over the stored records.
+/// Periodic scans of the cleanup duty over the stored records.
 
 #include <memory>
 #include <string>
@@ -13,38 +13,41 @@
 
 namespace lichendrift::control {
 
-/// Counts of a cleaner since the start of the process.
+/// Counts of a cleaner since the process started.
 struct CleanupCounters {
-    std::uint64_t removed = 0;     ///< records
+    std::uint64_t removed = 0;     ///< records that were removed
     std::uint64_t suspicious = 0;  ///< placement records that belong to no job
 };
 
-/// Goes through the placement records page by page, then through the image hints, and removes what
-/// is certainly of no use; see docs/duties.md, "Cleaning up". One object for one tenure: callbacks
-/// keep it alive and do nothing once the tenure has ended. One page is worked on at a time.
+/// Scans the placement records page by page, then the image hints, and removes records that are
+/// certainly no longer needed (docs/duties.md, "Cleaning up"): placement records of jobs whose
+/// terminal state shows that no task was placed, placement records without allocations of other
+/// ended jobs, and hints about machines that no longer exist. One such scan is a round; one page is
+/// processed at a time. Each tenure has its own object; callbacks share ownership of it and do
+/// nothing after the tenure has ended.
 class CleanupRounds : public std::enable_shared_from_this<CleanupRounds> {
   public:
-    /// The counters outlive every callback.
+    /// `counters` must outlive every callback.
     CleanupRounds(const CleanerServices& services, std::shared_ptr<CleanupTenure> tenure,
                   CleanupCounters& counters);
 
-    /// Begins with the first round.
+    /// Schedules the first page of the first round.
     void start() { schedule_next_page(); }
 
   private:
-    // A job whose terminal state decides about records of the page.
-    struct JobOfPage {
+    // A job with records on the page; its state decides whether they are removed.
+    struct PageJob {
         std::string id;
         duty::KnownJobState state = duty::KnownJobState::Open;
-        duty::RecordVersion terminal_state;  // the proof, if there is one
+        duty::RecordVersion terminal_state;  // condition of the removal; set if it exists
     };
-    struct PlacementOfPage {
+    struct PagePlacement {
         duty::PlacementEntry entry;
-        std::size_t job = 0;  // index of its job
+        std::size_t job = 0;  // index into PlacementPage::jobs
     };
     struct PlacementPage {
-        std::vector<PlacementOfPage> placements;
-        std::vector<JobOfPage> jobs;
+        std::vector<PagePlacement> placements;
+        std::vector<PageJob> jobs;
     };
 
     [[nodiscard]] bool active() const { return tenure_->active(); }
@@ -53,8 +56,8 @@
     void end_round();
 
     void read_placements();
-    void update_job_watcher(const wire::ItemPage& read);
-    void select_placements(const wire::ItemPage& read);
+    void update_job_watcher(const wire::ItemPage& records);
+    void select_placements(const wire::ItemPage& records);
     [[nodiscard]] bool select_placement(const wire::Item& item);
     void read_terminal_state(std::size_t job_index);
     void on_terminal_state_read(std::size_t job_index, store::Outcome outcome,
@@ -72,9 +75,9 @@
     std::shared_ptr<CleanupTenure> tenure_;
     CleanupCounters& counters_;
     PlacementPage page_;
-    std::string last_placement_key_;  // of the pages so far; empty: the first page is next
+    std::string last_placement_key_;  // the scan continues after it; empty: at the start
     bool hints_due_ = false;
-    Millis round_begins_at_;
+    Millis next_round_at_;
 };
 
 }  // namespace lichendrift::control
--- a/src/control/cleanup_tenure.cpp
+++ b/src/control/cleanup_tenure.cpp
@@ -1,4 +1,4 @@
-// Lease and claim of the cleanup duty.
+// Renews the lease of the cleanup duty and claims its record.
 #include "control/cleanup_tenure.h"
 
 #include "control/fenced_store.h"
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Millis kLeaseMarginMs = 1000;
-constexpr Millis kRenewEveryMs = 10'000;
+constexpr Millis kRenewIntervalMs = 10'000;
 constexpr Millis kClaimRetryMs = 500;
-constexpr Millis kPeersRetryMs = 8000;  // until all controllers are known to fence
+constexpr Millis kPeersFenceRetryMs = 8000;  // until all controllers are known to fence duties
 
 duty::Claim::Setup claim_setup(const Settings& settings, std::uint64_t key_revision,
                                std::uint64_t nonce) {
@@ -23,8 +23,9 @@
     return setup;
 }
 
-// Until when a lease is surely valid that was created or renewed by a request sent at that time.
-Millis surely_valid_until(Millis sent) { return sent + kCleanupLeaseMs - kLeaseMarginMs; }
+// The time until which a lease is certainly valid if the request that created or renewed it was
+// sent at `sent`.
+Millis guaranteed_valid_until(Millis sent) { return sent + kCleanupLeaseMs - kLeaseMarginMs; }
 
 }  // namespace
 
@@ -33,7 +34,7 @@
     : services_(services),
       listener_(listener),
       lease_(lease),
-      valid_until_(surely_valid_until(lease.requested_at)),
+      valid_until_(guaranteed_valid_until(lease.requested_at)),
       claim_(claim_setup(services.settings, lease.key_revision, nonce)) {}
 
 void CleanupTenure::start() {
@@ -59,10 +60,10 @@
     return claim_.permit(valid_until_);
 }
 
-// ---- the lease ----
+// ---- lease ----
 
 void CleanupTenure::schedule_renewal() {
-    services_.runtime.after(kRenewEveryMs, [self = shared_from_this()] {
+    services_.runtime.after(kRenewIntervalMs, [self = shared_from_this()] {
         if (!self->ended_) self->renew_lease();
     });
 }
@@ -77,13 +78,13 @@
 
 void CleanupTenure::on_lease_renewed(store::Outcome outcome, Millis sent) {
     if (outcome == store::Outcome::Ok) {
-        valid_until_ = std::max(valid_until_, surely_valid_until(sent));
+        valid_until_ = std::max(valid_until_, guaranteed_valid_until(sent));
     } else if (outcome == store::Outcome::Missing) {
         end(events::DutyEnd::Lost);
     }
 }
 
-// ---- the duty's record ----
+// ---- claim of the duty's record ----
 
 void CleanupTenure::advance_claim() {
     if (claim_.state() == duty::Claim::State::Lost) return end(events::DutyEnd::Lost);
@@ -123,7 +124,7 @@
 
 void CleanupTenure::write_duty() {
     const auto write = claim_.begin_write(services_.host.peers_fence_duties());
-    if (!write) return advance_claim_after(kPeersRetryMs);
+    if (!write) return advance_claim_after(kPeersFenceRetryMs);
     send_write(services_.store, store::RequestPriority::Read, *write,
                [self = shared_from_this()](const duty::WriteResult& result) {
                    if (self->ended_) return;
--- a/src/control/cleanup_tenure.h
+++ b/src/control/cleanup_tenure.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One tenure of the cleanup duty.
+/// One tenure of the cleanup duty: the period in which one controller holds the duty's lease.
 
 #include <memory>
 #include <optional>
@@ -12,49 +12,54 @@
 
 namespace lichendrift::control {
 
-/// Lifetime of the lease of the cleanup duty. Nothing urgent waits for it.
+/// Duration of the cleanup duty's lease. It can be long because no urgent work waits for a new
+/// holder.
 inline constexpr Millis kCleanupLeaseMs = 30'000;
 
-/// Learns when a tenure begins to count and when it ends.
+/// Notified when a tenure acquires the duty and when it ends.
 class CleanupTenureListener {
   public:
     virtual ~CleanupTenureListener() = default;
-    /// The duty's record names this controller.
+    /// The duty's record now names this controller as the holder.
     virtual void on_duty_acquired() = 0;
-    /// The tenure is over. `epoch`: of the duty; 0: it was not acquired.
+    /// The tenure has ended. `epoch`: the duty's epoch in this tenure; 0: it was not held.
     virtual void on_duty_ended(events::DutyEnd how, duty::Epoch epoch) = 0;
 };
 
-/// One tenure of the cleanup duty, from the lease to its end: renews the lease, claims the duty's
-/// record and gives permits. One object for one tenure: callbacks keep it alive and do nothing once
-/// it has ended. All on the controller's thread.
+/// One tenure of the cleanup duty, from the creation of the lease until it is lost or given up.
+/// Renews the lease, claims the duty's record and issues permits (the fencing conditions of
+/// writes). Each tenure has its own object; callbacks share ownership of it and do nothing after it
+/// has ended. Used on the event loop's thread only.
 class CleanupTenure : public std::enable_shared_from_this<CleanupTenure> {
   public:
     /// The lease under which the duty is held.
     struct Lease {
-        std::uint64_t id = 0;            ///< its number at the state service
-        Millis requested_at = 0;         ///< steady time
-        std::uint64_t key_revision = 0;  ///< of the key that exists under it
+        std::uint64_t id = 0;            ///< assigned by the state service
+        Millis requested_at = 0;         ///< steady time at which the request was sent
+        std::uint64_t key_revision = 0;  ///< of the key that was written under the lease
     };
 
-    /// `nonce`: never used before for this duty. The listener outlives every callback.
+    /// `nonce`: a value that no claim of this duty has used before. `listener` must outlive every
+    /// callback.
     CleanupTenure(const CleanerServices& services, CleanupTenureListener& listener, Lease lease,
                   std::uint64_t nonce);
 
-    /// Begins to renew the lease and claims the duty's record.
+    /// Starts renewing the lease and claims the duty's record.
     void start();
-    /// Ends the tenure, if it has not ended.
+    /// Ends the tenure and notifies the listener. Does nothing if the tenure has ended.
     void end(events::DutyEnd how);
-    /// Ends the tenure if a write failed because the lease or the duty has passed on.
+    /// Ends the tenure if a write failed because the lease or the duty has passed to another
+    /// controller.
     void end_if_replaced(const duty::WriteResult& result);
 
-    /// Whether it has not ended.
+    /// Whether the tenure has not ended.
     [[nodiscard]] bool active() const { return !ended_; }
     /// Whether the duty's record names this controller.
     [[nodiscard]] bool held() const { return !ended_ && claim_.held(); }
-    /// The right to act, while the lease is surely valid.
+    /// A permit for writes of this duty; empty if the tenure has ended, the lease may have expired,
+    /// or the claim gives none.
     [[nodiscard]] std::optional<duty::Permit> permit();
-    /// Number of the lease.
+    /// The lease's number, assigned by the state service.
     [[nodiscard]] std::uint64_t lease_id() const { return lease_.id; }
 
   private:
