--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -1,4 +1,5 @@
-// The cleanup duty: what it removes, what it never removes, and who holds it.
+// Tests of the cleanup duty: which records it removes, which it keeps, and which controller holds
+// it.
 #include <gtest/gtest.h>
 
 #include "duty/cleanup.h"
@@ -8,7 +9,8 @@
 namespace lichendrift::simulation {
 namespace {
 
-Options cleaning(std::uint64_t seed, control::CleanupMode mode = control::CleanupMode::Remove) {
+Options cleanup_options(std::uint64_t seed,
+                        control::CleanupMode mode = control::CleanupMode::Remove) {
     auto options = calm(seed);
     options.features.fenced_duties = true;
     options.features.cleanup = mode;
@@ -17,7 +19,7 @@
     return options;
 }
 
-std::optional<std::size_t> cleaner(Simulation& simulation) {
+std::optional<std::size_t> cleanup_holder(Simulation& simulation) {
     for (std::size_t n = 0; n < simulation.node_count(); ++n) {
         const auto* controller = simulation.controller(n);
         if (controller != nullptr && controller->cleans_up()) return n;
@@ -25,33 +27,39 @@
     return std::nullopt;
 }
 
-const char* const kPlaced = R"({"t":1,"n":2,"p":[[0,10000000000001,"host-000001",1]]})";
-const char* const kNotPlaced = R"({"t":1,"n":2,"p":[]})";
-const char* const kJob =
+const char* const kRecordWithAllocation =
+    R"({"t":1,"n":2,"p":[[0,10000000000001,"host-000001",1]]})";
+const char* const kRecordWithoutAllocation = R"({"t":1,"n":2,"p":[]})";
+const char* const kJobJson =
     R"({"c":"any","t":"core","g":false,"p":1,"n":1,"u":[1,0,1],"i":"img","s":0.1,"o":false,)"
     R"("a":false,"l":true,"e":[1,0,0],"w":0})";
 
-void put(Simulation& simulation, const std::string& key, const std::string& value) {
+void store_value(Simulation& simulation, const std::string& key, const std::string& value) {
     simulation.store()[key] = {value, 1};
 }
 
-// A leader that ended between a terminal state and the removal of the records leaves all of these.
-void put_leftovers(Simulation& simulation) {
-    put(simulation, "over/job-000001", R"({"s":"done"})");
-    put(simulation, "place/job-000001/0", kPlaced);
-    put(simulation, "place/job-000001/1000007", kPlaced);  // of a finer layout
-    put(simulation, "over/job-000002", std::string(R"({"s":"aborted","j":)") + kJob + "}");
-    put(simulation, "place/job-000002/0", kPlaced);
-    put(simulation, "over/job-000003", std::string(R"({"s":"aborted","j":)") + kJob + "}");
-    put(simulation, "place/job-000003/0", kNotPlaced);
-    put(simulation, "place/job-000004/0", kPlaced);  // of no job
-    put(simulation, "place/job-000005/0", R"({"t":"damaged"})");
-    put(simulation, "images/7", R"({"m":[["host-!","img"]]})");  // older than any machine
+// Stores records as a leader leaves them that ends after it has written a job's terminal state and
+// before it has removed the job's placement records, and records that must be kept.
+void store_leftover_records(Simulation& simulation) {
+    store_value(simulation, "over/job-000001", R"({"s":"done"})");
+    store_value(simulation, "place/job-000001/0", kRecordWithAllocation);
+    store_value(simulation, "place/job-000001/1000007",
+                kRecordWithAllocation);  // from a finer record layout
+    store_value(simulation, "over/job-000002",
+                std::string(R"({"s":"aborted","j":)") + kJobJson + "}");
+    store_value(simulation, "place/job-000002/0", kRecordWithAllocation);
+    store_value(simulation, "over/job-000003",
+                std::string(R"({"s":"aborted","j":)") + kJobJson + "}");
+    store_value(simulation, "place/job-000003/0", kRecordWithoutAllocation);
+    store_value(simulation, "place/job-000004/0", kRecordWithAllocation);  // belongs to no job
+    store_value(simulation, "place/job-000005/0", R"({"t":"damaged"})");
+    store_value(simulation, "images/7",
+                R"({"m":[["host-!","img"]]})");  // for a machine older than any listed
 }
 
-TEST(Cleanup, RemovesWhatIsProvenOfNoUseAndNothingElse) {
-    Simulation simulation(cleaning(1));
-    simulation.at(2000, [&] { put_leftovers(simulation); });
+TEST(Cleanup, RemovesOnlyRecordsProvenUnneeded) {
+    Simulation simulation(cleanup_options(1));
+    simulation.at(2000, [&] { store_leftover_records(simulation); });
     simulation.advance(60'000);
     const auto& store = simulation.store();
     EXPECT_FALSE(store.contains("place/job-000001/0"));
@@ -66,17 +74,17 @@
 }
 
 TEST(Cleanup, ReportsWithoutRemoving) {
-    Simulation simulation(cleaning(2, control::CleanupMode::Report));
-    simulation.at(2000, [&] { put_leftovers(simulation); });
+    Simulation simulation(cleanup_options(2, control::CleanupMode::Report));
+    simulation.at(2000, [&] { store_leftover_records(simulation); });
     simulation.advance(60'000);
     for (const auto* key : {"place/job-000001/0", "place/job-000003/0", "images/7"}) {
         EXPECT_TRUE(simulation.store().contains(key)) << key;
     }
 }
 
-TEST(Cleanup, RecordsOfJobsThatRunAreLeftAlone) {
+TEST(Cleanup, KeepsRecordsOfRunningJobs) {
     for (std::uint64_t seed = 10; seed < 22; ++seed) {
-        auto options = cleaning(seed);
+        auto options = cleanup_options(seed);
         options.jobs = 30;
         options.faults = true;
         options.busy_ms = 70'000;
@@ -87,11 +95,11 @@
     }
 }
 
-// A controller's copy of the open jobs may be older than the page of records that it reads: jobs
-// that were accepted in between must not be taken for jobs that never existed.
-TEST(Cleanup, RecordsOfJobsJustAcceptedAreNotSuspicious) {
+// A controller's copy of the open jobs may be older than the page of placement records that it has
+// read. Jobs that were accepted in between must not be reported as jobs that never existed.
+TEST(Cleanup, RecordsOfNewlyAcceptedJobsAreNotSuspicious) {
     for (std::uint64_t seed = 24; seed < 27; ++seed) {
-        auto options = cleaning(seed);
+        auto options = cleanup_options(seed);
         options.features.cleanup_page_s = 1;
         options.machines = 12;
         Simulation simulation(options);
@@ -99,9 +107,9 @@
             simulation.jobs().push_back(
                 plain(numbered(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
         }
-        // Requests of users would bring the copy up to date.
+        // Cuts off users, because their requests would make the controller refresh its copy.
         simulation.at(18'000, [&] {
-            simulation.cut(node_name(*cleaner(simulation)), "user", 60'000, false);
+            simulation.cut(node_name(*cleanup_holder(simulation)), "user", 60'000, false);
         });
         simulation.advance(70'000);
         for (std::size_t n = 0; n < simulation.node_count(); ++n) {
@@ -111,50 +119,52 @@
     }
 }
 
-TEST(Cleanup, IsHeldByAFollowerAndPassesOnWhenItEnds) {
+TEST(Cleanup, IsHeldByAFollowerAndTakenOverAfterItsCrash) {
     for (std::uint64_t seed = 30; seed < 36; ++seed) {
-        Simulation simulation(cleaning(seed));
+        Simulation simulation(cleanup_options(seed));
         simulation.advance(30'000);
-        const auto first = cleaner(simulation);
+        const auto first = cleanup_holder(simulation);
         ASSERT_TRUE(first);
         EXPECT_NE(first, simulation.leader());
         simulation.crash(*first, 100'000);
         simulation.advance(80'000);
-        const auto second = cleaner(simulation);
+        const auto second = cleanup_holder(simulation);
         ASSERT_TRUE(second);
         EXPECT_NE(second, first);
         EXPECT_EQ(parsed(simulation.store()["duty/cleanup"].first)["e"].GetUint64(), 2U);
     }
 }
 
-TEST(Cleanup, HandsOverAtOnceWhenItsControllerEndsInGoodOrderOrBecomesLeader) {
-    Simulation simulation(cleaning(40));
+TEST(Cleanup, IsHandedOverOnShutdownAndWhenItsHolderIsElectedLeader) {
+    Simulation simulation(cleanup_options(40));
     simulation.advance(30'000);
-    const auto first = cleaner(simulation);
+    const auto first = cleanup_holder(simulation);
     ASSERT_TRUE(first);
     simulation.controller(*first)->hand_over();
     simulation.advance(45'000);
-    const auto second = cleaner(simulation);
+    const auto second = cleanup_holder(simulation);
     ASSERT_TRUE(second);
     EXPECT_NE(second, first);
-    // The leader ends: now and then the controller that cleans up becomes leader, and hands over.
+    // Crashes the leader repeatedly. When the holder of the cleanup duty is elected leader, it
+    // hands the duty over.
     for (int round = 0; round < 6; ++round) {
         simulation.crash(*simulation.leader(), 500);
         simulation.advance(simulation.now() + 45'000);
-        const auto holder = cleaner(simulation);
+        const auto holder = cleanup_holder(simulation);
         ASSERT_TRUE(holder);
         EXPECT_NE(holder, simulation.leader());
     }
 }
 
-// Frozen in the middle of a page, with the removal delayed, until another controller cleans up.
-TEST(Cleanup, ARemovalOfAReplacedHolderIsRefused) {
-    auto options = cleaning(50);
+// The holder is frozen while it processes a page, and its removal request is delayed until another
+// controller holds the duty. The delayed removal must be refused.
+TEST(Cleanup, RefusesADelayedRemovalOfAReplacedHolder) {
+    auto options = cleanup_options(50);
     options.features.cleanup_page_s = 30;
     Simulation simulation(options);
-    simulation.at(2000, [&] { put_leftovers(simulation); });
+    simulation.at(2000, [&] { store_leftover_records(simulation); });
     std::size_t removals = 0;
-    bool late_was_refused = false;
+    bool late_removal_refused = false;
     simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
         const bool removes = request.target == "/txn" &&
                              request.body.find("\"remove\":\"place/") != std::string::npos;
@@ -162,20 +172,21 @@
         simulation.cut(node_name(node), "state", 45'000, true);
         simulation.freeze(node, 44'000);
         simulation.at(simulation.now() + 45'500, [&] {
-            late_was_refused =
+            late_removal_refused =
                 simulation.store().contains("place/job-000001/0") &&
                 parsed(simulation.store()["duty/cleanup"].first)["e"].GetUint64() == 2;
         });
     });
     simulation.advance(90'000);
-    EXPECT_TRUE(late_was_refused);
+    EXPECT_TRUE(late_removal_refused);
     simulation.advance(160'000);
     EXPECT_FALSE(simulation.store().contains("place/job-000001/0"));
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// The list of machines lags: a machine newer than all that it shows may be missing from it.
-TEST(Cleanup, HintsOfMachinesThatMayBeThereAreKept) {
+// The cloud's list of machines lags behind: a machine newer than all listed ones may exist without
+// being listed, so its hints are kept.
+TEST(Cleanup, KeepsHintsOfMachinesThatMayExist) {
     using duty::CleanupDecision;
     using duty::HintEntry;
     const std::set<std::string> listed{"host-000002", "host-000005"};
--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -1,5 +1,6 @@
-// Real controllers over loopback, stopped and continued by signals again and again while machines
-// come and go: no act of a replaced holder may affect a machine in use.
+// Runs controller processes over loopback, paused and resumed by signals (SIGSTOP, SIGCONT) while
+// machines are added and lost. Guards against a request of a replaced duty holder that releases a
+// machine in use.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,10 +12,10 @@
 namespace lichendrift::simulation {
 namespace {
 
-constexpr Millis kPatience = 60'000;  // also on a machine that is busy with other things
-constexpr Millis kDisturbEvery = 4000;
+constexpr Millis kWaitTimeoutMs = 60'000;  // long enough for a busy machine
+constexpr Millis kDisturbIntervalMs = 4000;
 
-Options settings_of(std::uint64_t seed) {
+Options options_with_seed(std::uint64_t seed) {
     auto options = calm(seed);
     options.report_s = 0.4;
     options.lease_s = 6;
@@ -31,25 +32,27 @@
     return it == simulation.store().end() ? 0 : parsed(it->second.first)["e"].GetUint64();
 }
 
-std::optional<std::size_t> leading(Simulation& simulation) {
+std::optional<std::size_t> stored_leader(Simulation& simulation) {
     const auto it = simulation.store().find("leader");
     if (it == simulation.store().end()) return std::nullopt;
     const std::string member = parsed(it->second.first)["m"].GetString();
     return static_cast<std::size_t>(member.at(1) - '0');
 }
 
-// One machine falls silent for a while and is released for it; now and then one is lost.
-void disturb_machines(Simulation& simulation, std::mt19937_64& rng) {
-    std::vector<Worker*> up;
+// Makes one machine silent for a while, so that the leader releases it. One time in three it also
+// removes a machine.
+void disturb_random_machines(Simulation& simulation, std::mt19937_64& rng) {
+    std::vector<Worker*> running;
     for (auto& [name, worker] : simulation.workers()) {
-        if (worker.up && !worker.gone) up.push_back(&worker);
+        if (worker.up && !worker.gone) running.push_back(&worker);
     }
-    if (up.empty()) return;
-    up[rng() % up.size()]->hung_until = simulation.now() + 3000 + static_cast<Millis>(rng() % 2500);
-    if (rng() % 3 == 0) simulation.lose_worker(*up[rng() % up.size()]);
+    if (running.empty()) return;
+    running[rng() % running.size()]->hung_until =
+        simulation.now() + 3000 + static_cast<Millis>(rng() % 2500);
+    if (rng() % 3 == 0) simulation.lose_worker(*running[rng() % running.size()]);
 }
 
-std::uint64_t rounds_wanted() {
+std::uint64_t round_count() {
     // NOLINTNEXTLINE(concurrency-mt-unsafe): no other thread runs yet.
     const char* wanted = std::getenv("DUTY_ROUNDS");
     return wanted == nullptr ? 8 : std::strtoull(wanted, nullptr, 10);
@@ -57,28 +60,29 @@
 
 class FencedLoopback : public ::testing::TestWithParam<int> {};
 
-TEST_P(FencedLoopback, StoppedAndContinuedInMidAct) {
+TEST_P(FencedLoopback, StopsAndResumesTheLeaderDuringARequest) {
     const auto seed = static_cast<std::uint64_t>(GetParam());
-    LoopbackEnvironment environment(settings_of(seed), LICHENDRIFT_DEPLOYED_FEATURES);
+    LoopbackEnvironment environment(options_with_seed(seed), LICHENDRIFT_DEPLOYED_FEATURES);
     auto& simulation = environment.simulation();
     simulation.set_capacity(8);
     simulation.set_boot(400);
     simulation.set_never(0);
     std::mt19937_64 rng(seed);
     ASSERT_TRUE(
-        environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
+        environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kWaitTimeoutMs));
 
-    // In the middle of an act the leader is stopped; its request arrives late.
-    bool armed = false;
-    bool at_release = false;  // or else at the first act of any kind
+    // Pauses the leader while it sends a request, and delays that request.
+    bool stop_armed = false;
+    bool stop_at_release = false;  // otherwise at the first request of a duty
     std::optional<std::size_t> stopped;
     environment.delay([&](std::size_t node, const net::HttpRequest& request) -> Millis {
-        const bool any_act = is_release(request) || is_provision(request) || writes_intent(request);
-        const bool wanted = at_release ? is_release(request) : any_act;
-        if (!armed || stopped || !wanted) return 0;
+        const bool duty_request =
+            is_release(request) || is_provision(request) || writes_intent(request);
+        const bool wanted = stop_at_release ? is_release(request) : duty_request;
+        if (!stop_armed || stopped || !wanted) return 0;
         environment.stop(node);
         stopped = node;
-        // Mostly until after the successor has begun.
+        // Mostly delays the request until its sender has been replaced as leader.
         return rng() % 4 == 0 ? 0 : 2500 + static_cast<Millis>(rng() % 3000);
     });
     std::size_t number = 1;
@@ -90,22 +94,22 @@
             simulation.jobs().push_back(job);
         }
     };
-    for (std::uint64_t round = 0; round < rounds_wanted() && simulation.broken().empty(); ++round) {
+    for (std::uint64_t round = 0; round < round_count() && simulation.broken().empty(); ++round) {
         const auto epoch = provisioning_epoch(simulation);
         add_jobs();
-        at_release = round % 2 == 0;
-        armed = true;
+        stop_at_release = round % 2 == 0;
+        stop_armed = true;
         const auto is_stopped = [&] { return stopped.has_value(); };
         bool found = false;
-        for (Millis waited = 0; !found && waited < kPatience; waited += kDisturbEvery) {
-            disturb_machines(simulation, rng);
-            found = environment.run_until(is_stopped, kDisturbEvery);
+        for (Millis waited = 0; !found && waited < kWaitTimeoutMs; waited += kDisturbIntervalMs) {
+            disturb_random_machines(simulation, rng);
+            found = environment.run_until(is_stopped, kDisturbIntervalMs);
         }
         ASSERT_TRUE(found);
         add_jobs();
         ASSERT_TRUE(environment.run_until([&] { return provisioning_epoch(simulation) > epoch; },
-                                          kPatience));
-        armed = false;
+                                          kWaitTimeoutMs));
+        stop_armed = false;
         environment.run_for(static_cast<Millis>(rng() % 400));
         environment.resume(*stopped);
         stopped.reset();
@@ -115,7 +119,7 @@
                            [](const Job& job) { return job.done_reported; });
     };
     EXPECT_TRUE(environment.run_until([&] { return all_done() || !simulation.broken().empty(); },
-                                      kPatience + 30'000));
+                                      kWaitTimeoutMs + 30'000));
     for (const auto& job : simulation.jobs()) {
         if (job.done_reported) continue;
         ADD_FAILURE() << job.id << " submitted " << job.submitted << " at " << job.submit_at
@@ -123,25 +127,26 @@
                       << ", answered " << job.responded_at << ", now " << simulation.now();
     }
     EXPECT_EQ(simulation.broken(), "");
-    EXPECT_GT(provisioning_epoch(simulation), rounds_wanted());
+    EXPECT_GT(provisioning_epoch(simulation), round_count());
     RecordProperty("released", static_cast<int>(simulation.releases().machines));
     RecordProperty("late", static_cast<int>(simulation.releases().late));
     RecordProperty("by_replaced", static_cast<int>(simulation.releases().by_replaced));
 }
 INSTANTIATE_TEST_SUITE_P(Runs, FencedLoopback, ::testing::Range(1, 5));
 
-// On a signal to end a controller releases its leases: nobody waits for them to expire.
-TEST(DutiesOnLoopback, AreHandedOverByAControllerThatIsTerminated) {
-    LoopbackEnvironment environment(settings_of(9), LICHENDRIFT_DEPLOYED_FEATURES);
+// On SIGTERM a controller releases its leases, so that its successor need not wait until they
+// expire.
+TEST(DutiesOnLoopback, AreHandedOverWhenTheHolderIsTerminated) {
+    LoopbackEnvironment environment(options_with_seed(9), LICHENDRIFT_DEPLOYED_FEATURES);
     auto& simulation = environment.simulation();
     ASSERT_TRUE(
-        environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kPatience));
-    const auto first = leading(simulation);
+        environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kWaitTimeoutMs));
+    const auto first = stored_leader(simulation);
     ASSERT_TRUE(first);
-    EXPECT_TRUE(environment.terminate(*first, kPatience));
+    EXPECT_TRUE(environment.terminate(*first, kWaitTimeoutMs));
     ASSERT_TRUE(
-        environment.run_until([&] { return provisioning_epoch(simulation) == 2; }, kPatience));
-    EXPECT_NE(leading(simulation), first);
+        environment.run_until([&] { return provisioning_epoch(simulation) == 2; }, kWaitTimeoutMs));
+    EXPECT_NE(stored_leader(simulation), first);
     EXPECT_EQ(simulation.broken(), "");
 }
 
