--- a/src/control/fleet_sync.cpp
+++ b/src/control/fleet_sync.cpp
@@ -38,7 +38,7 @@
 }
 
 void FleetSync::on_failover_complete() {
-    duties_->on_placement_records_read();
+    duties_->on_placement_records_loaded();
     failover_complete_at_ = term_.runtime.now();
 }
 
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -54,7 +54,7 @@
     duty::MachineDutyHolder::Inputs inputs;
     inputs.now = services_.runtime.now();
     inputs.lease_valid = services_.host.has_leader_lease();
-    inputs.placement_records_loaded = placement_records_read_;
+    inputs.placement_records_loaded = placement_records_loaded_;
     inputs.not_after = services_.host.leader_lease_valid_until();
     inputs.may_begin_fencing = services_.host.peers_fence_duties();
     inputs.background_writes_allowed = store.can_write_at_once(store.max_transaction_operations());
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -57,7 +57,7 @@
     /// Ends the term: results of requests still in flight are ignored.
     void stop() { stopped_ = true; }
     /// Called when all placement records are read. From then on the cloud gets requests.
-    void on_placement_records_read() { placement_records_read_ = true; }
+    void on_placement_records_loaded() { placement_records_loaded_ = true; }
 
     /// Queues the release of a machine. `urgent`: send it without waiting to batch further
     /// machines.
@@ -96,7 +96,7 @@
     duty::MachineDutyHolder holder_;
     bool keep_unconfirmed_intents_;  // SafetyGuards::intent_kept; only tests switch it off
     bool stopped_ = false;
-    bool placement_records_read_ = false;
+    bool placement_records_loaded_ = false;
     bool running_actions_ = false;
     bool run_again_ = false;
     std::uint64_t stale_epoch_refusals_ = 0;
--- a/src/core/plan_types.h
+++ b/src/core/plan_types.h
@@ -70,7 +70,7 @@
     return machine.spot ? type.spot_hourly : type.hourly;
 }
 
-/// The largest number of tasks of an `apart` job in one zone: half of them, rounded up.
+/// The largest number of tasks of an `spread_zones` job in one zone: half of them, rounded up.
 inline std::uint32_t max_tasks_in_zone(const JobSpec& spec) { return (spec.count + 1) / 2; }
 
 /// Every zone, in the order of the indices.
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -121,8 +121,8 @@
     ///< free within this time, seconds
     double on_demand_wait_s = kOnDemandWaitS;  ///< the same for on-demand machines
     ZoneIndex zone = kInvalidIndex;            ///< with one_zone: the zone of its other tasks
-    /// Number of its tasks by zone, for `one_zone`, `apart` and services; may have fewer entries
-    /// than there are zones.
+    /// Number of its tasks by zone, for `one_zone`, `spread_zones` and services; may have fewer
+    /// entries than there are zones.
     std::vector<std::uint32_t> zone_counts;
     std::vector<MachineIndex> replica_machines;  ///< of a service: machines of its other replicas
     std::vector<MachineIndex> avoided_machines;  ///< machines on which it failed
