--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -62,7 +62,7 @@
     call({"GET", "/flavors", ""}, [this, done = std::move(done)](const net::HttpReply& reply) {
         const auto result = result_of(reply);
         if (result != Result::Ok) return done(result, {});
-        auto types = wire::parse_types(reply.body);
+        auto types = wire::parse_machine_types(reply.body);
         if (!types) {
             malformed_.note(runtime_.now());
             return done(Result::Unavailable, {});
--- a/src/control/cancellation_exchange.cpp
+++ b/src/control/cancellation_exchange.cpp
@@ -58,8 +58,8 @@
     auto& outbox = outboxes_[peer];
     if (outbox.waiting.empty() || outbox.requests_in_flight >= kMaxAnnouncementsInFlight) return;
     ++outbox.requests_in_flight;
-    const wire::CancellationNews news{0, std::exchange(outbox.waiting, {})};
-    peers_.call(peers_.all()[peer], peer_path::kCancelled, wire::encode_cancellation_news(news),
+    const wire::CancellationUpdate news{0, std::exchange(outbox.waiting, {})};
+    peers_.call(peers_.all()[peer], peer_path::kCancelled, wire::encode_cancellation_update(news),
                 kDeadlineMs, [this, peer](const net::HttpReply&) {
                     --outboxes_[peer].requests_in_flight;
                     send_outbox(peer);
@@ -67,13 +67,13 @@
 }
 
 void CancellationExchange::on_announced(const std::string& body, const net::Respond& respond) {
-    const auto news = wire::decode_cancellation_news(body);
+    const auto news = wire::decode_cancellation_update(body);
     if (!news) return peers_.refuse_malformed(respond);
     learn(*news);
     respond(peer_response(http_status::kOk));
 }
 
-void CancellationExchange::learn(const wire::CancellationNews& news) {
+void CancellationExchange::learn(const wire::CancellationUpdate& news) {
     for (const auto& cancellation : news.cancelled) {
         if (wire::valid_job_id(cancellation.id)) job_watcher_.on_peer_cancellation(cancellation);
     }
@@ -119,7 +119,7 @@
         peers_.call(peer, peer_path::kQuery, wire::encode_cancellation_query(since), kDeadlineMs,
                     [this, sent, since, missing](const net::HttpReply& reply) {
                         const auto news =
-                            peers_.decode_reply(reply, wire::decode_cancellation_news);
+                            peers_.decode_reply(reply, wire::decode_cancellation_update);
                         if (!news) return;
                         learn(*news);
                         if (news->complete_after > since || --*missing > 0) return;
@@ -131,14 +131,14 @@
 void CancellationExchange::on_query(const std::string& body, const net::Respond& respond) {
     const auto since = wire::decode_cancellation_query(body);
     if (!since) return peers_.refuse_malformed(respond);
-    wire::CancellationNews news{
+    wire::CancellationUpdate news{
         job_watcher_.cancellations().complete_after(),
         job_watcher_.cancellations().newest_after(*since, kMaxCancellationsInAnswer)};
     // An answer that is cut short covers nothing.
     if (news.cancelled.size() >= kMaxCancellationsInAnswer) {
         news.complete_after = std::numeric_limits<std::uint64_t>::max();
     }
-    respond(peer_response(http_status::kOk, wire::encode_cancellation_news(news)));
+    respond(peer_response(http_status::kOk, wire::encode_cancellation_update(news)));
 }
 
 // ---- what follows from the moment up to which cancellations are known ----
--- a/src/control/cancellation_exchange.h
+++ b/src/control/cancellation_exchange.h
@@ -50,7 +50,7 @@
     void check_age_later();
     void check_age();
     void query_peers();
-    void learn(const wire::CancellationNews& news);
+    void learn(const wire::CancellationUpdate& news);
     [[nodiscard]] Millis known_until() const;
 
     net::Runtime& runtime_;
--- a/src/control/command_dispatcher.cpp
+++ b/src/control/command_dispatcher.cpp
@@ -59,7 +59,8 @@
     ++calls_in_flight_;
     term_.runtime.call(
         commands.endpoint,
-        {"POST", "/do", wire::direct_body(commands.token, commands.session, commands.commands)},
+        {"POST", "/do",
+         wire::direct_commands_body(commands.token, commands.session, commands.commands)},
         kCallTimeoutMs, term_.callbacks.bind([this, commands](const net::HttpReply& reply) {
             on_answer(commands, reply);
         }));
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -57,7 +57,7 @@
 
 void respond_terminal(const net::Respond& respond, const std::string& job_id, TerminalState state) {
     const auto* name = state == TerminalState::Aborted ? "aborted" : "done";
-    respond({http_status::kOk, wire::job_answer(job_id, name)});
+    respond({http_status::kOk, wire::job_state_body(job_id, name)});
 }
 
 }  // namespace
@@ -140,9 +140,9 @@
     };
     switch (result) {
         case SubmissionResult::Created:
-            return respond({http_status::kCreated, wire::job_answer(job_id, "pending")});
+            return respond({http_status::kCreated, wire::job_state_body(job_id, "pending")});
         case SubmissionResult::Duplicate:
-            return respond({http_status::kOk, wire::job_answer(job_id, "pending")});
+            return respond({http_status::kOk, wire::job_state_body(job_id, "pending")});
         case SubmissionResult::AlreadyKnown:
             return poll(job_id, respond, unavailable);
         case SubmissionResult::TooLarge:
@@ -202,7 +202,7 @@
     const auto counted = counts_.find(job_id);
     const auto counts = counted == counts_.end() ? TaskCounts{} : counted->second;
     const auto* state = counts.running > 0 ? "running" : "pending";
-    respond({http_status::kOk, wire::job_answer(job_id, state, counts.done, counts.running)});
+    respond({http_status::kOk, wire::job_state_body(job_id, state, counts.done, counts.running)});
 }
 
 // ---- cancellations ----
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -176,7 +176,7 @@
             result.outcome = Outcome::Unknown;
         }
     } else if (result.outcome == Outcome::Conflict) {
-        if (auto failed = wire::parse_failed(reply.body)) result.failed = std::move(*failed);
+        if (auto failed = wire::parse_failed_keys(reply.body)) result.failed = std::move(*failed);
     } else if (result.outcome == Outcome::Missing) {
         result.outcome = Outcome::Unavailable;
     }
@@ -196,7 +196,7 @@
             kLeaseTimeout,
             [this, done = std::move(done), sent_at = runtime_.now()](const net::HttpReply& reply) {
                 auto outcome = outcome_of(reply);
-                const auto lease = wire::parse_lease(reply.body);
+                const auto lease = wire::parse_lease_id(reply.body);
                 if (outcome == Outcome::Ok && !lease) {
                     malformed_.note(runtime_.now());
                     outcome = Outcome::Unknown;
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-std::optional<std::vector<core::MachineType>> parse_types(std::string_view body) {
+std::optional<std::vector<core::MachineType>> parse_machine_types(std::string_view body) {
     json::Document document(body);
     std::vector<core::MachineType> types;
     document.root().required_objects(field::kMachineTypes, [&](json::ObjectReader& entry) {
@@ -76,7 +76,7 @@
     return document.if_valid(std::move(types));
 }
 
-std::string types_value(const std::vector<core::MachineType>& types) {
+std::string machine_types_value(const std::vector<core::MachineType>& types) {
     return json::object_text([&](json::Writer& out) {
         out.array_field(field::kMachineTypes, [&] {
             for (const auto& type : types) out.object([&] { write_type(out, type); });
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -13,9 +13,10 @@
 namespace lichendrift::wire {
 
 /// The machine types that the cloud offers.
-[[nodiscard]] std::optional<std::vector<core::MachineType>> parse_types(std::string_view body);
+[[nodiscard]] std::optional<std::vector<core::MachineType>> parse_machine_types(
+    std::string_view body);
 /// Machine types in the same form, with what placement needs of them.
-[[nodiscard]] std::string types_value(const std::vector<core::MachineType>& types);
+[[nodiscard]] std::string machine_types_value(const std::vector<core::MachineType>& types);
 
 /// Request for machines. `epoch`: of the duty under which they are provisioned, in an additional
 /// field; 0: left out.
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -44,7 +44,7 @@
     }
 };
 template <>
-struct Layout<CancellationNews> {
+struct Layout<CancellationUpdate> {
     static auto entries(auto& news) { return std::tie(news.complete_after, news.cancelled); }
 };
 template <>
@@ -138,9 +138,11 @@
     return answer;
 }
 
-std::string encode_cancellation_news(const CancellationNews& news) { return cbor::encode(news); }
-std::optional<CancellationNews> decode_cancellation_news(std::string_view bytes) {
-    return cbor::decode<CancellationNews>(bytes);
+std::string encode_cancellation_update(const CancellationUpdate& news) {
+    return cbor::encode(news);
+}
+std::optional<CancellationUpdate> decode_cancellation_update(std::string_view bytes) {
+    return cbor::decode<CancellationUpdate>(bytes);
 }
 
 std::string encode_report(const core::Report& report) { return cbor::encode(report); }
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -42,7 +42,7 @@
 
 /// Cancellations that a controller knows of: the answer to a query, and the announcement of one
 /// that was just confirmed.
-struct CancellationNews {
+struct CancellationUpdate {
     /// No cancellation of a later revision that this controller may have confirmed is missing.
     std::uint64_t complete_after = 0;
     std::vector<Cancellation> cancelled;  ///< the cancellations
@@ -98,10 +98,10 @@
 /// The revision that a query asks from.
 [[nodiscard]] std::optional<std::uint64_t> decode_cancellation_query(std::string_view bytes);
 
-/// See CancellationNews.
-[[nodiscard]] std::string encode_cancellation_news(const CancellationNews& news);
-/// See CancellationNews.
-[[nodiscard]] std::optional<CancellationNews> decode_cancellation_news(std::string_view bytes);
+/// See CancellationUpdate.
+[[nodiscard]] std::string encode_cancellation_update(const CancellationUpdate& news);
+/// See CancellationUpdate.
+[[nodiscard]] std::optional<CancellationUpdate> decode_cancellation_update(std::string_view bytes);
 
 /// A worker's heartbeat, to be forwarded.
 [[nodiscard]] std::string encode_report(const core::Report& report);
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -111,7 +111,7 @@
     return document.if_valid(std::move(page));
 }
 
-std::optional<std::vector<std::string>> parse_failed(std::string_view body) {
+std::optional<std::vector<std::string>> parse_failed_keys(std::string_view body) {
     json::Document document(body);
     std::vector<std::string> keys;
     document.root().required(field::kFailedKeys, keys);
@@ -122,7 +122,7 @@
     return json::object_text([&](json::Writer& out) { out.field(field::kLeaseTtlMs, ttl_ms); });
 }
 
-std::optional<std::uint64_t> parse_lease(std::string_view body) {
+std::optional<std::uint64_t> parse_lease_id(std::string_view body) {
     return parse_number(body, field::kLease);
 }
 
--- a/src/wire/state_messages.h
+++ b/src/wire/state_messages.h
@@ -29,7 +29,7 @@
 /// The revision that an applied transaction gave its changes.
 [[nodiscard]] std::optional<std::uint64_t> parse_revision(std::string_view body);
 /// The keys whose conditions did not hold.
-[[nodiscard]] std::optional<std::vector<std::string>> parse_failed(std::string_view body);
+[[nodiscard]] std::optional<std::vector<std::string>> parse_failed_keys(std::string_view body);
 
 /// A key with its value.
 struct Item {
@@ -54,6 +54,6 @@
 /// Request for a lease.
 [[nodiscard]] std::string lease_body(std::uint64_t ttl_ms);
 /// The id of a new lease.
-[[nodiscard]] std::optional<std::uint64_t> parse_lease(std::string_view body);
+[[nodiscard]] std::optional<std::uint64_t> parse_lease_id(std::string_view body);
 
 }  // namespace lichendrift::wire
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -112,12 +112,12 @@
     return "field '" + std::string(error.field) + "' is missing or invalid";
 }
 
-std::string job_answer(std::string_view id, std::string_view state) {
+std::string job_state_body(std::string_view id, std::string_view state) {
     return json::object_text([&](json::Writer& out) { write_state(out, id, state); });
 }
 
-std::string job_answer(std::string_view id, std::string_view state, std::uint32_t done,
-                       std::uint32_t running) {
+std::string job_state_body(std::string_view id, std::string_view state, std::uint32_t done,
+                           std::uint32_t running) {
     return json::object_text([&](json::Writer& out) {
         write_state(out, id, state);
         out.field(field::kDoneTasks, done);
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -20,10 +20,10 @@
 [[nodiscard]] std::string error_text(const ParseError& error);
 
 /// Answer about a job in the state `state`, of the protocol's texts.
-[[nodiscard]] std::string job_answer(std::string_view id, std::string_view state);
+[[nodiscard]] std::string job_state_body(std::string_view id, std::string_view state);
 /// The same with the numbers of completed and running tasks.
-[[nodiscard]] std::string job_answer(std::string_view id, std::string_view state,
-                                     std::uint32_t done, std::uint32_t running);
+[[nodiscard]] std::string job_state_body(std::string_view id, std::string_view state,
+                                         std::uint32_t done, std::uint32_t running);
 
 /// Body of a refusal.
 [[nodiscard]] std::string error_body(std::string_view reason);
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -104,8 +104,8 @@
     });
 }
 
-std::string direct_body(std::uint64_t token, std::uint64_t session,
-                        const std::vector<core::Command>& commands) {
+std::string direct_commands_body(std::uint64_t token, std::uint64_t session,
+                                 const std::vector<core::Command>& commands) {
     return json::object_text([&](json::Writer& out) {
         out.field(field::kFencingToken, token);
         out.field(field::kAgentEpoch, session);
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -23,7 +23,7 @@
 [[nodiscard]] std::string redirect_body(const std::string& member);
 
 /// Direct commands for one session of a worker.
-[[nodiscard]] std::string direct_body(std::uint64_t token, std::uint64_t session,
-                                      const std::vector<core::Command>& commands);
+[[nodiscard]] std::string direct_commands_body(std::uint64_t token, std::uint64_t session,
+                                               const std::vector<core::Command>& commands);
 
 }  // namespace lichendrift::wire
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -85,7 +85,7 @@
     const auto passed = wire::decode_forwarded_answer(production_bytes("peer-user-answer.cbor"));
     ASSERT_TRUE(passed);
     EXPECT_EQ(passed->status, 503);
-    const auto news = wire::decode_cancellation_news(production_bytes("peer-cancelled.cbor"));
+    const auto news = wire::decode_cancellation_update(production_bytes("peer-cancelled.cbor"));
     ASSERT_TRUE(news);
     EXPECT_EQ(news->cancelled.size(), 2U);
     EXPECT_EQ(wire::decode_cancellation_query(production_bytes("peer-cancellations.cbor")), 431U);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -75,8 +75,8 @@
 }
 
 TEST(Cbor, CancellationsAndQuestionsAboutThem) {
-    const auto bytes = encode_cancellation_news({17, {{18, "job-000001"}, {19, "job-000002"}}});
-    const auto news = decode_cancellation_news(bytes);
+    const auto bytes = encode_cancellation_update({17, {{18, "job-000001"}, {19, "job-000002"}}});
+    const auto news = decode_cancellation_update(bytes);
     ASSERT_TRUE(news);
     EXPECT_EQ(news->complete_after, 17U);
     ASSERT_EQ(news->cancelled.size(), 2U);
@@ -85,10 +85,10 @@
     EXPECT_EQ(decode_cancellation_query(encode_cancellation_query(7)), 7U);
     // Cut short or of another kind, it says nothing.
     for (std::size_t n = 0; n < bytes.size(); ++n) {
-        EXPECT_FALSE(decode_cancellation_news(std::string_view(bytes).substr(0, n))) << n;
+        EXPECT_FALSE(decode_cancellation_update(std::string_view(bytes).substr(0, n))) << n;
     }
     EXPECT_FALSE(decode_cancellation_query(bytes.substr(1)));
-    EXPECT_FALSE(decode_cancellation_news(encode_cancellation_query(7)));
+    EXPECT_FALSE(decode_cancellation_update(encode_cancellation_query(7)));
 }
 
 TEST(Json, JobsSurviveTheStore) {
