--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -9,13 +9,13 @@
 // gigabytes. No array can have more entries than there are bytes left, and we send no maps.
 bool is_safe_to_load(std::string_view bytes) {
     struct State {
-        std::size_t left = 0;
+        std::size_t remaining = 0;
         bool safe = true;
     } state;
     auto callbacks = cbor_empty_callbacks;
     callbacks.array_start = [](void* context, std::size_t size) {
         auto& current = *static_cast<State*>(context);
-        current.safe &= size <= current.left;
+        current.safe &= size <= current.remaining;
     };
     callbacks.map_start = [](void* context, std::size_t) {
         static_cast<State*>(context)->safe = false;
@@ -23,12 +23,12 @@
     callbacks.indef_array_start = callbacks.indef_map_start = callbacks.string_start =
         callbacks.byte_string_start =
             [](void* context) { static_cast<State*>(context)->safe = false; };
-    for (std::size_t at = 0; at < bytes.size() && state.safe;) {
-        state.left = bytes.size() - at;
-        const auto result = cbor_stream_decode(reinterpret_cast<cbor_data>(bytes.data()) + at,
-                                               state.left, &callbacks, &state);
+    for (std::size_t offset = 0; offset < bytes.size() && state.safe;) {
+        state.remaining = bytes.size() - offset;
+        const auto result = cbor_stream_decode(reinterpret_cast<cbor_data>(bytes.data()) + offset,
+                                               state.remaining, &callbacks, &state);
         if (result.status != CBOR_DECODER_FINISHED || result.read == 0) return false;
-        at += result.read;
+        offset += result.read;
     }
     return state.safe;
 }
@@ -52,11 +52,11 @@
 }
 
 const cbor_item_t* ArrayReader::next() {
-    if (left() == 0) {
+    if (remaining() == 0) {
         fail();
         return nullptr;
     }
-    return items_[at_++];
+    return items_[next_index_++];
 }
 
 std::uint64_t ArrayReader::unsigned_integer() {
@@ -68,7 +68,7 @@
     return cbor_get_int(item);
 }
 
-double ArrayReader::real() {
+double ArrayReader::double_value() {
     const auto* item = next();
     if (item == nullptr || !cbor_isa_float_ctrl(item) || cbor_float_ctrl_is_ctrl(item)) {
         fail();
@@ -78,7 +78,7 @@
 }
 
 // Every simple value counts as null, as in every version so far.
-std::optional<double> ArrayReader::real_or_null() {
+std::optional<double> ArrayReader::double_or_null() {
     const auto* item = next();
     if (item == nullptr || !cbor_isa_float_ctrl(item)) {
         fail();
--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -53,19 +53,23 @@
     template <typename Entry>
     void entry(const Entry& value) {
         if constexpr (std::same_as<Entry, bool>) {
-            append([&](auto* to, std::size_t size) { return cbor_encode_bool(value, to, size); });
+            append([&](auto* buffer, std::size_t size) {
+                return cbor_encode_bool(value, buffer, size);
+            });
         } else if constexpr (std::integral<Entry> || std::is_enum_v<Entry>) {
-            append([&](auto* to, std::size_t size) {
-                return cbor_encode_uint(static_cast<std::uint64_t>(value), to, size);
+            append([&](auto* buffer, std::size_t size) {
+                return cbor_encode_uint(static_cast<std::uint64_t>(value), buffer, size);
             });
         } else if constexpr (std::same_as<Entry, double>) {
-            append([&](auto* to, std::size_t size) { return cbor_encode_double(value, to, size); });
+            append([&](auto* buffer, std::size_t size) {
+                return cbor_encode_double(value, buffer, size);
+            });
         } else if constexpr (std::same_as<Entry, std::optional<double>>) {
             if (value) return entry(*value);
-            append([](auto* to, std::size_t size) { return cbor_encode_null(to, size); });
+            append([](auto* buffer, std::size_t size) { return cbor_encode_null(buffer, size); });
         } else if constexpr (std::same_as<Entry, std::string>) {
-            append([&](auto* to, std::size_t size) {
-                return cbor_encode_string_start(value.size(), to, size);
+            append([&](auto* buffer, std::size_t size) {
+                return cbor_encode_string_start(value.size(), buffer, size);
             });
             bytes_.append(value);
         } else {
@@ -75,8 +79,9 @@
         }
     }
     void start_array(std::size_t count) {
-        append(
-            [&](auto* to, std::size_t size) { return cbor_encode_array_start(count, to, size); });
+        append([&](auto* buffer, std::size_t size) {
+            return cbor_encode_array_start(count, buffer, size);
+        });
     }
     template <typename Encode>
     void append(Encode encode) {
@@ -131,9 +136,9 @@
             if (number > static_cast<std::uint64_t>(MaxEnumerator<Entry>::kValue)) return fail();
             out = static_cast<Entry>(number);
         } else if constexpr (std::same_as<Entry, double>) {
-            out = real();
+            out = double_value();
         } else if constexpr (std::same_as<Entry, std::optional<double>>) {
-            out = real_or_null();
+            out = double_or_null();
         } else if constexpr (std::same_as<Entry, std::string>) {
             const auto bytes = text();
             out.assign(bytes.data(), bytes.size());
@@ -145,17 +150,17 @@
     template <typename Message>
     void list(std::vector<Message>& out) {
         ArrayReader elements(next());
-        while (well_formed_ && elements.left() > 0) {
+        while (well_formed_ && elements.remaining() > 0) {
             if (!ArrayReader(elements.next()).message(out.emplace_back())) return fail();
         }
         if (!elements.well_formed_) fail();
     }
 
-    [[nodiscard]] std::size_t left() const { return well_formed_ ? size_ - at_ : 0; }
+    [[nodiscard]] std::size_t remaining() const { return well_formed_ ? size_ - next_index_ : 0; }
     const cbor_item_t* next();
     std::uint64_t unsigned_integer();
-    double real();
-    std::optional<double> real_or_null();
+    double double_value();
+    std::optional<double> double_or_null();
     bool boolean();
     std::string_view text();
     void fail() { well_formed_ = false; }
@@ -163,7 +168,7 @@
     bool well_formed_ = true;
     cbor_item_t** items_ = nullptr;
     std::size_t size_ = 0;
-    std::size_t at_ = 0;
+    std::size_t next_index_ = 0;
 };
 
 /// The bytes of a message.
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -9,14 +9,16 @@
 
 namespace {
 
-constexpr double kThousandths = 1000;
+constexpr double kThousandthsPerUnit = 1000;
 constexpr double kRounding = 1e-6;  // of a thousandth, for amounts that have no exact binary form
 
 std::int64_t to_thousandths(double amount) {
-    return static_cast<std::int64_t>(amount * kThousandths + kRounding);
+    return static_cast<std::int64_t>(amount * kThousandthsPerUnit + kRounding);
 }
 
-double from_thousandths(std::int64_t amount) { return static_cast<double>(amount) / kThousandths; }
+double from_thousandths(std::int64_t amount) {
+    return static_cast<double>(amount) / kThousandthsPerUnit;
+}
 
 core::MachineType read_type(json::ObjectReader& in) {
     core::MachineType type;
@@ -28,12 +30,12 @@
     in.required(field::kMemoryGb, memory_gb);
     in.optional(field::kGpus, gpus);
     type.capacity = {to_thousandths(cpus), to_thousandths(gpus), to_thousandths(memory_gb)};
-    in.optional(field::kLocalGb, type.local_gb);
+    in.optional(field::kLocalDiskGb, type.local_gb);
     in.optional(field::kFetchGbPerS, type.fetch_gb_s);
     in.optional(field::kHourlyPrice, type.hourly);
     if (!in.optional(field::kSpotHourlyPrice, type.spot_hourly)) type.spot_hourly = type.hourly;
     in.optional(field::kBootS, type.boot_s);
-    type.zones = in.texts(field::kZones).value_or(std::vector<std::string>{});
+    type.zones = in.strings(field::kZones).value_or(std::vector<std::string>{});
     return type;
 }
 
@@ -84,13 +86,13 @@
     });
 }
 
-std::string provision_body(const duty::ProvisionRequest& order, duty::Epoch epoch) {
+std::string provision_body(const duty::ProvisionRequest& request, duty::Epoch epoch) {
     return json::object_text([&](json::Writer& out) {
-        out.field(field::kRequestName, order.id);
-        out.field(field::kMachineType, order.type);
-        out.field(field::kZone, order.zone);
-        out.field(field::kSpot, order.spot);
-        out.field(field::kNumber, order.count);
+        out.field(field::kRequestId, request.id);
+        out.field(field::kMachineType, request.type);
+        out.field(field::kZone, request.zone);
+        out.field(field::kSpot, request.spot);
+        out.field(field::kMachineCount, request.count);
         write_epoch(out, epoch);
     });
 }
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -20,7 +20,7 @@
 
 /// Request for machines. `epoch`: of the duty under which they are provisioned, in an additional
 /// field; 0: left out.
-[[nodiscard]] std::string provision_body(const duty::ProvisionRequest& order, duty::Epoch epoch);
+[[nodiscard]] std::string provision_body(const duty::ProvisionRequest& request, duty::Epoch epoch);
 /// The names of the machines that were provisioned.
 [[nodiscard]] std::optional<std::vector<std::string>> parse_provisioned(std::string_view body);
 /// Whether the refusal says that the cloud has no machine of the type, zone and kind.
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,4 +1,4 @@
-// The protocol's field names and enum texts, each once. The page docs/PROTOCOL of the operators
+// The protocol's field names and enum strings, each once. The page docs/PROTOCOL of the operators
 // says what they mean; everywhere else the code has the terms on the left.
 #pragma once
 
@@ -26,7 +26,7 @@
 inline constexpr std::string_view kEndpoint = "endpoint";     ///< a worker's address
 inline constexpr std::string_view kError = "error";           ///< why a request was refused
 inline constexpr std::string_view kMore = "more";             ///< whether the list goes on
-inline constexpr std::string_view kDoneTasks = "done";        ///< number of completed tasks
+inline constexpr std::string_view kCompletedTasks = "done";   ///< number of completed tasks
 inline constexpr std::string_view kRunningTasks = "running";  ///< number of running tasks
 
 // Submissions.
@@ -37,7 +37,7 @@
 inline constexpr std::string_view kImage = "fascicolo";                       ///< a task's image
 inline constexpr std::string_view kImageGb = "imageGb";                       ///< its size
 inline constexpr std::string_view kOneZone = "oneZone";                       ///< all in one zone
-inline constexpr std::string_view kApart = "apart";                           ///< half in one zone
+inline constexpr std::string_view kSpreadZones = "apart";                     ///< half in one zone
 inline constexpr std::string_view kEstimateS = "durataS";                     ///< of the run time
 inline constexpr std::string_view kCheckpointIntervalS = "salvataggioOgniS";  ///< 0: never saves
 inline constexpr std::string_view kSaveS = "salvataggioS";                    ///< time to save
@@ -45,7 +45,7 @@
 
 // Heartbeats and commands.
 inline constexpr std::string_view kMachine = "banco";           ///< name of the machine
-inline constexpr std::string_view kAgentEpoch = "turno";        ///< session of the worker
+inline constexpr std::string_view kWorkerSession = "turno";     ///< session of the worker
 inline constexpr std::string_view kSequence = "protocollo";     ///< number of the report
 inline constexpr std::string_view kFencingToken = "delega";     ///< token of the commands
 inline constexpr std::string_view kSpotNoticeS = "preavvisoS";  ///< time until it is taken away
@@ -54,19 +54,19 @@
 inline constexpr std::string_view kExitReason = "esito";        ///< why a task exited
 inline constexpr std::string_view kSaved = "stored";            ///< whether progress was saved
 inline constexpr std::string_view kCommands = "ordini";         ///< list of commands
-inline constexpr std::string_view kCommand = "ordine";          ///< kind of a command
+inline constexpr std::string_view kCommandKind = "ordine";      ///< kind of a command
 inline constexpr std::string_view kGraceS = "tolleranzaS";      ///< time to save when halted
 inline constexpr std::string_view kRedirectTo = "riferireA";    ///< controller to report to
 
 // Cloud.
 inline constexpr std::string_view kTypeName = "label";            ///< name of a machine type
-inline constexpr std::string_view kLocalGb = "localGb";           ///< room for images
+inline constexpr std::string_view kLocalDiskGb = "localGb";       ///< room for images
 inline constexpr std::string_view kFetchGbPerS = "fetchGbPerS";   ///< rate of image fetches
 inline constexpr std::string_view kHourlyPrice = "hourly";        ///< ordinary price
 inline constexpr std::string_view kSpotHourlyPrice = "lowPrice";  ///< spot price
 inline constexpr std::string_view kBootS = "startupS";            ///< time to boot
-inline constexpr std::string_view kRequestName = "richiesta";     ///< makes a request idempotent
-inline constexpr std::string_view kNumber = "number";             ///< of machines
+inline constexpr std::string_view kRequestId = "richiesta";       ///< makes a request idempotent
+inline constexpr std::string_view kMachineCount = "number";       ///< of machines
 inline constexpr std::string_view kMachines = "banchi";           ///< names or list of machines
 inline constexpr std::string_view kAgeS = "ageS";                 ///< since the request
 inline constexpr std::string_view kEpoch = "epoch";               ///< of a duty, our addition
@@ -83,7 +83,7 @@
 inline constexpr std::string_view kLease = "concessione";   ///< id of a lease
 inline constexpr std::string_view kLeaseTtlMs = "ttlMs";    ///< of a new lease
 inline constexpr std::string_view kItems = "items";         ///< of a page
-inline constexpr std::string_view kNews = "news";           ///< changes that a watch saw
+inline constexpr std::string_view kWatchEvents = "news";    ///< changes that a watch saw
 inline constexpr std::string_view kFailedKeys = "failed";   ///< conditions that did not hold
 
 }  // namespace lichendrift::wire::field
@@ -93,7 +93,7 @@
 
 /// An enumerator with its text on the wire.
 template <typename Enum>
-struct Named {
+struct EnumText {
     std::string_view text;  ///< on the wire
     Enum value;             ///< inside
 };
@@ -106,37 +106,37 @@
 };
 
 /// Kinds of jobs. The operators' page names the first two; their own check submits the third.
-inline constexpr auto kJobKinds = std::to_array<Named<JobKind>>(
+inline constexpr auto kJobKinds = std::to_array<EnumText<JobKind>>(
     {{"sweep", JobKind::Array}, {"ensemble", JobKind::Gang}, {"service", JobKind::Service}});
 /// Priorities of jobs.
 inline constexpr auto kPriorities =
-    std::to_array<Named<core::Priority>>({{"critical", core::Priority::Critical},
-                                          {"high", core::Priority::High},
-                                          {"normal", core::Priority::Normal},
-                                          {"low", core::Priority::Low}});
+    std::to_array<EnumText<core::Priority>>({{"critical", core::Priority::Critical},
+                                             {"high", core::Priority::High},
+                                             {"normal", core::Priority::Normal},
+                                             {"low", core::Priority::Low}});
 /// Phases of tasks.
 inline constexpr auto kTaskPhases =
-    std::to_array<Named<core::TaskPhase>>({{"pulling", core::TaskPhase::Pulling},
-                                           {"gathering", core::TaskPhase::WaitingForPeers},
-                                           {"running", core::TaskPhase::Running},
-                                           {"saving", core::TaskPhase::Saving},
-                                           {"exited", core::TaskPhase::Exited}});
+    std::to_array<EnumText<core::TaskPhase>>({{"pulling", core::TaskPhase::Pulling},
+                                              {"gathering", core::TaskPhase::WaitingForPeers},
+                                              {"running", core::TaskPhase::Running},
+                                              {"saving", core::TaskPhase::Saving},
+                                              {"exited", core::TaskPhase::Exited}});
 /// Why tasks exited; any other text counts as unknown.
 inline constexpr auto kExitReasons =
-    std::to_array<Named<core::ExitReason>>({{"done", core::ExitReason::Done},
-                                            {"halted", core::ExitReason::Halted},
-                                            {"peers", core::ExitReason::PeerExited},
-                                            {"alone", core::ExitReason::PeersMissing},
-                                            {"error", core::ExitReason::Error},
-                                            {"full", core::ExitReason::InsufficientResources},
-                                            {"busy", core::ExitReason::OtherAttemptPresent}});
+    std::to_array<EnumText<core::ExitReason>>({{"done", core::ExitReason::Done},
+                                               {"halted", core::ExitReason::Halted},
+                                               {"peers", core::ExitReason::PeerExited},
+                                               {"alone", core::ExitReason::PeersMissing},
+                                               {"error", core::ExitReason::Error},
+                                               {"full", core::ExitReason::InsufficientResources},
+                                               {"busy", core::ExitReason::OtherAttemptPresent}});
 /// Kinds of commands.
 inline constexpr auto kCommandKinds =
-    std::to_array<Named<core::Command::Kind>>({{"run", core::Command::Kind::Run},
-                                               {"halt", core::Command::Kind::Halt},
-                                               {"reap", core::Command::Kind::Reap}});
+    std::to_array<EnumText<core::Command::Kind>>({{"run", core::Command::Kind::Run},
+                                                  {"halt", core::Command::Kind::Halt},
+                                                  {"reap", core::Command::Kind::Reap}});
 /// States of listed machines; any other text counts as starting.
-inline constexpr auto kMachineStates = std::to_array<Named<core::ListedMachine::State>>(
+inline constexpr auto kMachineStates = std::to_array<EnumText<core::ListedMachine::State>>(
     {{"failed", core::ListedMachine::State::Failed},
      {"running", core::ListedMachine::State::Running}});
 /// The cloud's error when it has no machine of the type, zone and kind.
--- a/src/wire/json_reader.cpp
+++ b/src/wire/json_reader.cpp
@@ -85,14 +85,14 @@
     return it == object_.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-std::optional<std::vector<std::string>> ObjectReader::texts(std::string_view name) const {
+std::optional<std::vector<std::string>> ObjectReader::strings(std::string_view name) const {
     const auto* list = find(name);
     if (list == nullptr || !list->IsArray()) return std::nullopt;
-    std::vector<std::string> texts;
+    std::vector<std::string> strings;
     for (const auto& entry : list->GetArray()) {
-        if (entry.IsString()) texts.emplace_back(entry.GetString(), entry.GetStringLength());
+        if (entry.IsString()) strings.emplace_back(entry.GetString(), entry.GetStringLength());
     }
-    return texts;
+    return strings;
 }
 
 Document::Document(std::string_view body) {
--- a/src/wire/json_reader.h
+++ b/src/wire/json_reader.h
@@ -41,7 +41,7 @@
 [[nodiscard]] bool read(const Value& value, std::int64_t& out);
 /// A list of exactly three numbers.
 [[nodiscard]] bool read(const Value& value, std::tuple<double&, double&, double&>& out);
-/// A list of texts; anything else in it makes the whole list another type.
+/// A list of strings; anything else in it makes the whole list another type.
 [[nodiscard]] bool read(const Value& value, std::vector<std::string>& out);
 
 /// The value as JSON text.
@@ -63,8 +63,8 @@
         const auto* value = find(name);
         return value != nullptr && read(*value, out);
     }
-    /// The texts of a list, without its entries of other types; nothing if there is no list.
-    [[nodiscard]] std::optional<std::vector<std::string>> texts(std::string_view name) const;
+    /// The strings of a list, without its entries of other types; nothing if there is no list.
+    [[nodiscard]] std::optional<std::vector<std::string>> strings(std::string_view name) const;
     /// Reads a field that has to be there.
     template <typename T>
     void required(std::string_view name, T& out) {
--- a/src/wire/json_writer.h
+++ b/src/wire/json_writer.h
@@ -36,10 +36,10 @@
             for (const double number : numbers) writer_.Double(number);
         });
     }
-    /// A list of texts.
-    void value(const std::vector<std::string>& texts) {
+    /// A list of strings.
+    void value(const std::vector<std::string>& strings) {
         array([&] {
-            for (const auto& text : texts) value(std::string_view(text));
+            for (const auto& text : strings) value(std::string_view(text));
         });
     }
 
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -45,7 +45,7 @@
 };
 template <>
 struct Layout<CancellationUpdate> {
-    static auto entries(auto& news) { return std::tie(news.complete_after, news.cancelled); }
+    static auto entries(auto& update) { return std::tie(update.complete_after, update.cancelled); }
 };
 template <>
 struct Layout<core::TaskReport> {
@@ -138,8 +138,8 @@
     return answer;
 }
 
-std::string encode_cancellation_update(const CancellationUpdate& news) {
-    return cbor::encode(news);
+std::string encode_cancellation_update(const CancellationUpdate& update) {
+    return cbor::encode(update);
 }
 std::optional<CancellationUpdate> decode_cancellation_update(std::string_view bytes) {
     return cbor::decode<CancellationUpdate>(bytes);
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -99,7 +99,7 @@
 [[nodiscard]] std::optional<std::uint64_t> decode_cancellation_query(std::string_view bytes);
 
 /// See CancellationUpdate.
-[[nodiscard]] std::string encode_cancellation_update(const CancellationUpdate& news);
+[[nodiscard]] std::string encode_cancellation_update(const CancellationUpdate& update);
 /// See CancellationUpdate.
 [[nodiscard]] std::optional<CancellationUpdate> decode_cancellation_update(std::string_view bytes);
 
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -103,8 +103,8 @@
     auto in = document.root();
     ItemPage page;
     in.required(field::kRevision, page.revision);
-    if (in.find(field::kNews) != nullptr) {
-        in.required_objects(field::kNews, [&](json::ObjectReader& entry) {
+    if (in.find(field::kWatchEvents) != nullptr) {
+        in.required_objects(field::kWatchEvents, [&](json::ObjectReader& entry) {
             page.items.push_back(read_changed_item(entry));
         });
     }
--- a/src/wire/stored_duties.cpp
+++ b/src/wire/stored_duties.cpp
@@ -21,12 +21,12 @@
 
 std::optional<duty::ProvisionRequest> read_provision(const json::Value& entry) {
     if (!entry.IsArray() || entry.Size() != kProvisionEntries) return std::nullopt;
-    rapidjson::SizeType at = 0;
+    rapidjson::SizeType index = 0;
     duty::ProvisionRequest provision;
     const bool typed =
-        json::read(entry[at++], provision.id) && json::read(entry[at++], provision.type) &&
-        json::read(entry[at++], provision.zone) && json::read(entry[at++], provision.spot) &&
-        json::read(entry[at++], provision.count);
+        json::read(entry[index++], provision.id) && json::read(entry[index++], provision.type) &&
+        json::read(entry[index++], provision.zone) && json::read(entry[index++], provision.spot) &&
+        json::read(entry[index++], provision.count);
     const bool valid = typed && json::is_valid_name(provision.id) &&
                        json::is_valid_name(provision.type) && json::is_valid_name(provision.zone) &&
                        provision.count > 0 && provision.count <= kMaxProvisioned;
@@ -42,18 +42,18 @@
 
 // Takes every entry that can be read. False if any could not, or if the field is no list.
 template <typename Entry, typename ReadEntry>
-bool salvage(const json::ObjectReader& in, std::string_view name, ReadEntry read_entry,
-             std::vector<Entry>& out) {
+bool read_valid_entries(const json::ObjectReader& in, std::string_view name, ReadEntry read_entry,
+                        std::vector<Entry>& out) {
     const auto* list = in.find(name);
     if (list == nullptr) return true;
     if (!list->IsArray()) return false;
-    bool whole = true;
+    bool complete = true;
     for (const auto& element : list->GetArray()) {
         auto entry = read_entry(element);
-        whole &= entry.has_value();
+        complete &= entry.has_value();
         if (entry) out.push_back(std::move(*entry));
     }
-    return whole;
+    return complete;
 }
 
 }  // namespace
@@ -100,11 +100,11 @@
     if (document.failed()) return stored;
     const auto in = document.root();
     auto& intent = stored.intent;
-    bool whole =
+    bool complete =
         in.optional(names::kEpoch, intent.epoch) && in.optional(names::kNonce, intent.nonce);
-    whole &= salvage(in, names::kReleases, read_release, intent.releases);
-    whole &= salvage(in, names::kProvisions, read_provision, intent.provisions);
-    stored.damaged = !whole;
+    complete &= read_valid_entries(in, names::kReleases, read_release, intent.releases);
+    complete &= read_valid_entries(in, names::kProvisions, read_provision, intent.provisions);
+    stored.damaged = !complete;
     return stored;
 }
 
--- a/src/wire/stored_names.h
+++ b/src/wire/stored_names.h
@@ -18,10 +18,10 @@
 inline constexpr std::string_view kTypes = "y";        ///< allowed machine types; left out: any
 inline constexpr std::string_view kZone = "z";         ///< the only zone; left out: any
 inline constexpr std::string_view kOneZone = "o";      ///< all tasks in one zone
-inline constexpr std::string_view kApart = "a";        ///< at most half of the tasks in one zone
+inline constexpr std::string_view kSpreadZones = "a";  ///< at most half of the tasks in one zone
 inline constexpr std::string_view kSpot = "l";         ///< may use spot machines
 inline constexpr std::string_view kDurationsS = "e";   ///< [estimate, checkpoint interval, save]
-inline constexpr std::string_view kDeadlineS = "d";    ///< left out: none
+inline constexpr std::string_view kDeadlineS = "d";    ///< remaining out: none
 inline constexpr std::string_view kSubmittedMs = "w";  ///< time of day
 }  // namespace lichendrift::wire::stored::job
 
--- a/src/wire/stored_values.cpp
+++ b/src/wire/stored_values.cpp
@@ -12,8 +12,8 @@
 constexpr std::uint64_t kMaxTasks = 100'000;
 constexpr rapidjson::SizeType kPlacedEntries = 4;  // task, attempt, machine, session
 // What a machine or an image takes in a value besides its name, at most.
-constexpr std::size_t kHintMachineBytes = 16;
-constexpr std::size_t kHintImageBytes = 8;
+constexpr std::size_t kHintMachineOverheadBytes = 16;
+constexpr std::size_t kHintImageOverheadBytes = 8;
 
 void write_job(json::Writer& out, const core::JobDescription& job) {
     namespace names = stored::job;
@@ -29,7 +29,7 @@
     if (job.types) out.field(names::kTypes, *job.types);
     if (job.zone) out.field(names::kZone, *job.zone);
     out.field(names::kOneZone, job.one_zone);
-    out.field(names::kApart, job.spread_zones);
+    out.field(names::kSpreadZones, job.spread_zones);
     out.field(names::kSpot, job.spot);
     out.field(names::kDurationsS, std::array{job.estimate_s, job.checkpoint_s, job.save_s});
     if (job.deadline_s) out.field(names::kDeadlineS, *job.deadline_s);
@@ -56,13 +56,13 @@
     in.required(names::kImage, job.image);
     in.required(names::kImageGb, job.image_gb);
     in.required(names::kOneZone, job.one_zone);
-    in.required(names::kApart, job.spread_zones);
+    in.required(names::kSpreadZones, job.spread_zones);
     in.required(names::kSpot, job.spot);
     in.required(names::kDurationsS, durations);
     in.optional(names::kService, job.service);
     job.priority = static_cast<core::Priority>(priority);
     job.count = static_cast<std::uint32_t>(count);
-    job.types = in.texts(names::kTypes);
+    job.types = in.strings(names::kTypes);
     if (!in.optional(names::kZone, job.zone.emplace())) job.zone.reset();
     if (!in.optional(names::kDeadlineS, job.deadline_s.emplace())) job.deadline_s.reset();
     in.optional(names::kSubmittedMs, job.submitted_ms);
@@ -206,8 +206,8 @@
     return json::object_text([&](json::Writer& out) {
         out.array_field(stored::hints::kMachines, [&] {
             for (const auto& [machine, images] : hints) {
-                std::size_t bytes = machine.size() + kHintMachineBytes;
-                for (const auto& image : images) bytes += image.size() + kHintImageBytes;
+                std::size_t bytes = machine.size() + kHintMachineOverheadBytes;
+                for (const auto& image : images) bytes += image.size() + kHintImageOverheadBytes;
                 if (out.size_bytes() + bytes > max_bytes) break;
                 out.array([&, &machine = machine, &images = images] {
                     out.value(machine);
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -20,7 +20,7 @@
 
 // Reads a text of a table of enumerators.
 template <typename Table, typename Enum>
-void read_named(json::ObjectReader& in, std::string_view name, const Table& table, Enum& out) {
+void read_enum(json::ObjectReader& in, std::string_view name, const Table& table, Enum& out) {
     std::string_view text;
     in.required(name, text);
     const auto value = text::find(table, text);
@@ -36,10 +36,10 @@
 
 void read_kind(json::ObjectReader& in, core::JobDescription& job) {
     auto kind = text::JobKind::Array;
-    read_named(in, field::kKind, text::kJobKinds, kind);
+    read_enum(in, field::kKind, text::kJobKinds, kind);
     job.service = kind == text::JobKind::Service;
     job.gang = kind == text::JobKind::Gang;
-    read_named(in, field::kPriority, text::kPriorities, job.priority);
+    read_enum(in, field::kPriority, text::kPriorities, job.priority);
     std::uint64_t count = 0;
     in.required(field::kTasks, count,
                 [](std::uint64_t tasks) { return tasks > 0 && tasks <= kMaxTasks; });
@@ -61,7 +61,7 @@
     });
     in.nullable(field::kZone, job.zone, json::is_valid_name);
     in.required(field::kOneZone, job.one_zone);
-    in.required(field::kApart, job.spread_zones);
+    in.required(field::kSpreadZones, job.spread_zones);
     in.required(field::kSpot, job.spot);
 }
 
@@ -120,7 +120,7 @@
                            std::uint32_t running) {
     return json::object_text([&](json::Writer& out) {
         write_state(out, id, state);
-        out.field(field::kDoneTasks, done);
+        out.field(field::kCompletedTasks, done);
         out.field(field::kRunningTasks, running);
     });
 }
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -19,7 +19,7 @@
 /// What a user is told about a submission with that error.
 [[nodiscard]] std::string error_text(const ParseError& error);
 
-/// Answer about a job in the state `state`, of the protocol's texts.
+/// Answer about a job in the state `state`, of the protocol's strings.
 [[nodiscard]] std::string job_state_body(std::string_view id, std::string_view state);
 /// The same with the numbers of completed and running tasks.
 [[nodiscard]] std::string job_state_body(std::string_view id, std::string_view state,
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -57,7 +57,7 @@
     in.required(field::kMachineType, report.type, json::is_valid_name);
     in.required(field::kZone, report.zone, json::is_valid_name);
     in.required(field::kSpot, report.spot);
-    in.required(field::kAgentEpoch, report.session);
+    in.required(field::kWorkerSession, report.session);
     in.required(field::kSequence, report.seq);
     in.required(field::kFencingToken, report.token);
     in.nullable(field::kSpotNoticeS, report.notice_s,
@@ -65,7 +65,7 @@
 }
 
 void write_command(json::Writer& out, const core::Command& command) {
-    out.field(field::kCommand, text::of(text::kCommandKinds, command.kind));
+    out.field(field::kCommandKind, text::of(text::kCommandKinds, command.kind));
     out.field(field::kTask, task_name(command.job, command.task));
     out.field(field::kAttempt, command.attempt);
     if (command.kind == core::Command::Kind::Halt) out.field(field::kGraceS, command.grace_s);
@@ -108,7 +108,7 @@
                                  const std::vector<core::Command>& commands) {
     return json::object_text([&](json::Writer& out) {
         out.field(field::kFencingToken, token);
-        out.field(field::kAgentEpoch, session);
+        out.field(field::kWorkerSession, session);
         write_commands(out, commands);
     });
 }
