--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -1,12 +1,14 @@
-// Decoding of CBOR with libcbor, guarded against heads that promise more than there is.
+// Decoding of CBOR with libcbor, protected against array heads that declare more entries than the
+// input can hold.
 #include "wire/cbor.h"
 
 namespace lichendrift::wire::cbor {
 
 namespace {
 
-// libcbor reserves what an array's head promises before it reads on: a damaged head would ask for
-// gigabytes. No array can have more entries than there are bytes left, and we send no maps.
+// libcbor allocates memory for all entries that an array's head declares before it reads them, so a
+// damaged head could request gigabytes. An array can't have more entries than there are bytes left.
+// Maps and items of indefinite length are rejected because no message contains them.
 bool is_safe_to_load(std::string_view bytes) {
     struct State {
         std::size_t remaining = 0;
@@ -77,7 +79,7 @@
     return cbor_float_get_float(item);
 }
 
-// Every simple value counts as null, as in every version so far.
+// Every simple value (false, true, undefined, ...) is read as null, as in all earlier versions.
 std::optional<double> ArrayReader::double_or_null() {
     const auto* item = next();
     if (item == nullptr || !cbor_isa_float_ctrl(item)) {
@@ -90,7 +92,7 @@
 
 bool ArrayReader::boolean() {
     const auto* item = next();
-    // libcbor aborts when asked whether a float is a boolean.
+    // cbor_is_bool aborts the process if the item is a floating-point number.
     if (item == nullptr || !cbor_isa_float_ctrl(item) || !cbor_float_ctrl_is_ctrl(item) ||
         !cbor_is_bool(item)) {
         fail();
--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -1,4 +1,5 @@
-// CBOR arrays (RFC 8949) of typed entries: the encoding of the messages between controllers.
+// Encoding and decoding of the messages between controllers. A message is a CBOR array (RFC 8949)
+// with one entry for each of its fields.
 #pragma once
 
 #include <cbor.h>
@@ -17,21 +18,23 @@
 
 namespace lichendrift::wire::cbor {
 
-/// The entries of a message's array, in order. A specialisation has a static function
-/// `entries(message)` that returns a std::tie of its fields; encoder and decoder both follow it.
+/// Maps a message type to the entries of its array. A specialization has a static function
+/// `entries(message)` that returns a std::tie of the fields in the order in which the encoder
+/// writes and the decoder reads them.
 template <typename Message>
 struct Layout;
 
-/// The highest enumerator that may be sent; a specialisation has a `kValue`.
+/// Highest valid value of an enumeration, as the member `kValue` of a specialization. The decoder
+/// rejects higher values.
 template <typename Enum>
 struct MaxEnumerator;
 
 template <typename>
-inline constexpr bool kIsVector = false;  ///< whether a type is a list of messages
+inline constexpr bool kIsVector = false;  ///< whether a type is encoded as an array of messages
 template <typename Element>
-inline constexpr bool kIsVector<std::vector<Element>> = true;  ///< a list is
+inline constexpr bool kIsVector<std::vector<Element>> = true;  ///< a vector is
 
-/// Appends the entries of a message to a buffer of its own.
+/// Encodes messages as CBOR into a buffer that it owns.
 class Encoder {
   public:
     /// Appends a message as an array of its entries.
@@ -44,11 +47,12 @@
             },
             Layout<Message>::entries(message));
     }
-    /// The bytes; the encoder is empty afterwards.
+    /// Moves the encoded bytes out of the encoder.
     [[nodiscard]] std::string take() { return std::move(bytes_); }
 
   private:
-    static constexpr std::size_t kMaxHeadBytes = 16;  // a head has at most 9
+    static constexpr std::size_t kMaxHeadBytes =
+        16;  // an item's head (type, argument) has at most 9
 
     template <typename Entry>
     void entry(const Entry& value) {
@@ -93,25 +97,27 @@
     std::string bytes_;
 };
 
-/// Releases a decoded item.
+/// Deleter for items that libcbor has allocated.
 struct ItemDeleter {
-    /// Gives up the only reference to `item`.
+    /// Drops the only reference to `item`, which frees it with all items that it contains.
     void operator()(cbor_item_t* item) const { cbor_decref(&item); }
 };
-/// Owns a decoded item with all that it contains.
+/// Owns a decoded item and all items that it contains.
 using ItemOwner = std::unique_ptr<cbor_item_t, ItemDeleter>;
 
-/// Decodes the whole of `bytes`; nothing if they are no CBOR, or hold what no message has.
+/// Decodes the CBOR item in `bytes`. Returns null if `bytes` is not well-formed CBOR, or contains a
+/// map or an item of indefinite length, which no message has.
 [[nodiscard]] ItemOwner load(std::string_view bytes);
 
-/// Reads the entries of one array in turn. The first one that is missing or of a wrong type makes
-/// the array malformed, and what is read afterwards has no meaning. Further entries are ignored.
+/// Reads the entries of one CBOR array in order. The first entry that is missing or has the wrong
+/// type makes the array malformed; values read after it are meaningless. Entries beyond those that
+/// are read are ignored.
 class ArrayReader {
   public:
-    /// Of an item that may be no array, or may be missing.
+    /// If `item` is null or not an array, the message is malformed. `item` must outlive the reader.
     explicit ArrayReader(const cbor_item_t* item);
 
-    /// Reads the entries of a message into it. False: malformed.
+    /// Reads the entries into the fields of `message`. Returns false if the array is malformed.
     template <typename Message>
     [[nodiscard]] bool message(Message& message) {
         std::apply([this](auto&... entries) { (this->entry(entries), ...); },
@@ -129,7 +135,7 @@
             if (!std::in_range<Entry>(number)) return fail();
             out = static_cast<Entry>(number);
         } else if constexpr (std::unsigned_integral<Entry>) {
-            // A narrower field takes the low bits, as in every version so far.
+            // If the field is narrower, the high bits are dropped, as in all earlier versions.
             out = static_cast<Entry>(unsigned_integer());
         } else if constexpr (std::is_enum_v<Entry>) {
             const auto number = unsigned_integer();
@@ -171,7 +177,7 @@
     std::size_t next_index_ = 0;
 };
 
-/// The bytes of a message.
+/// Encodes a message as CBOR.
 template <typename Message>
 [[nodiscard]] std::string encode(const Message& message) {
     Encoder encoder;
@@ -179,7 +185,7 @@
     return encoder.take();
 }
 
-/// The message that `bytes` hold; nothing if they are malformed.
+/// Decodes a message. Returns nullopt if `bytes` is malformed.
 template <typename Message>
 [[nodiscard]] std::optional<Message> decode(std::string_view bytes) {
     const auto item = load(bytes);
