--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of the cloud: machine types, provisioning requests and listings.
+// Messages exchanged with the cloud: machine types, provisioning, releases and lists of machines.
 #include "wire/cloud_messages.h"
 
 #include "wire/field_names.h"
@@ -10,7 +10,9 @@
 namespace {
 
 constexpr double kThousandthsPerUnit = 1000;
-constexpr double kRounding = 1e-6;  // of a thousandth, for amounts that have no exact binary form
+// Thousandths, added to an amount before it is truncated, because a decimal amount may have no
+// exact binary representation.
+constexpr double kRounding = 1e-6;
 
 std::int64_t to_thousandths(double amount) {
     return static_cast<std::int64_t>(amount * kThousandthsPerUnit + kRounding);
@@ -54,7 +56,8 @@
     return machine;
 }
 
-// Our addition to the protocol, for a cloud that refuses requests of an earlier epoch.
+// The epoch is an extension of the operators' protocol, for a cloud that refuses requests of an
+// earlier epoch.
 void write_epoch(json::Writer& out, duty::Epoch epoch) {
     if (epoch != 0) out.field(field::kEpoch, epoch);
 }
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -1,5 +1,6 @@
-// JSON messages of the cloud: machine types, provisioning, releases and listings. A parser returns
-// nothing for a malformed message: the client counts it and treats it as no answer.
+// JSON messages exchanged with the cloud: machine types, provisioning, releases and lists of
+// machines. A parser returns nullopt for a malformed message; the client counts it and treats it as
+// a missing answer.
 #pragma once
 
 #include <optional>
@@ -12,29 +13,30 @@
 
 namespace lichendrift::wire {
 
-/// The machine types that the cloud offers.
+/// Parses the machine types that the cloud offers.
 [[nodiscard]] std::optional<std::vector<core::MachineType>> parse_machine_types(
     std::string_view body);
-/// Machine types in the same form, with what placement needs of them.
+/// Encodes machine types in the same form, with only their names, resources and zones.
 [[nodiscard]] std::string machine_types_value(const std::vector<core::MachineType>& types);
 
-/// Request for machines. `epoch`: of the duty under which they are provisioned, in an additional
-/// field; 0: left out.
+/// Body of a request to provision machines. `epoch`: epoch of the duty under which they are
+/// provisioned, sent in an additional field; 0: the field is left out.
 [[nodiscard]] std::string provision_body(const duty::ProvisionRequest& request, duty::Epoch epoch);
-/// The names of the machines that were provisioned.
+/// Parses the names of the machines that a request provisioned.
 [[nodiscard]] std::optional<std::vector<std::string>> parse_provisioned(std::string_view body);
-/// Whether the refusal says that the cloud has no machine of the type, zone and kind.
+/// Whether the body of a refusal says that the cloud has no capacity for the requested machine type
+/// and zone, as spot or on-demand machines.
 [[nodiscard]] bool is_no_capacity(std::string_view body);
 
-/// Request to release machines. `epoch` as for provision_body.
+/// Body of a request to release the machines `names`. `epoch` as for provision_body.
 [[nodiscard]] std::string release_body(const std::vector<std::string>& names, duty::Epoch epoch);
 
 /// A page of the cloud's list of machines.
 struct Listing {
-    std::vector<core::ListedMachine> machines;  ///< in the order of their names
-    bool more = false;                          ///< whether further machines follow
+    std::vector<core::ListedMachine> machines;  ///< ordered by name
+    bool more = false;                          ///< whether there is a further page
 };
-/// A page of the list.
+/// Parses a page of the cloud's list of machines.
 [[nodiscard]] std::optional<Listing> parse_listing(std::string_view body);
 
 }  // namespace lichendrift::wire
