--- a/src/wire/parse_error.h
+++ b/src/wire/parse_error.h
@@ -1,4 +1,4 @@
-// Why a message was refused.
+// The result of parsing a message that may have to be refused.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,22 @@
 
 namespace lichendrift::wire {
 
-/// What is wrong with a message.
+/// Reason for which a message is refused.
 enum class ParseFault : std::uint8_t {
     NotJson,       ///< the body is not JSON
     NotAnObject,   ///< the body, or an entry of a list, is not a JSON object
     MissingField,  ///< a required field is missing or null
-    WrongType,     ///< a field has another JSON type, or a number does not fit
+    WrongType,     ///< a field has the wrong JSON type, or its number is out of range
     InvalidValue,  ///< a field has a value that is not allowed
 };
 
-/// The first thing that is wrong with a message.
+/// The first error in a message.
 struct ParseError {
-    ParseFault fault = ParseFault::NotJson;  ///< what is wrong
-    std::string_view field;                  ///< the protocol's name of the field; empty: the whole
+    ParseFault fault = ParseFault::NotJson;  ///< reason for the refusal
+    std::string_view field;  ///< the field's name on the wire; empty: no single field is at fault
 };
 
-/// A message, or why it was refused.
+/// A parsed message, or the error for which it is refused.
 template <typename Message>
 using Parsed = tl::expected<Message, ParseError>;
 
