--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,5 +1,5 @@
-// The protocol's field names and enum strings, each once. The page docs/PROTOCOL of the operators
-// says what they mean; everywhere else the code has the terms on the left.
+// Field names and enumeration texts of the JSON messages, each defined once. The operators' page
+// docs/PROTOCOL defines their meaning. The rest of the code uses only the constants.
 #pragma once
 
 #include <array>
@@ -8,120 +8,121 @@
 
 #include "core/types.h"
 
-/// Names of fields in the JSON of users, workers, cloud and state service.
+/// Names of the fields in the JSON messages of users, workers, the cloud and the state service.
 namespace lichendrift::wire::field {
 
-// In several messages.
-inline constexpr std::string_view kId = "nameId";             ///< of a job or a listed machine
-inline constexpr std::string_view kState = "stato";           ///< of a job, task or machine
-inline constexpr std::string_view kTasks = "prove";           ///< number or list of tasks
-inline constexpr std::string_view kCpus = "cpus";             ///< CPUs of a task or machine
-inline constexpr std::string_view kGpus = "gpus";             ///< GPUs of a task or machine
-inline constexpr std::string_view kMemoryGb = "memGb";        ///< memory of a task or machine
-inline constexpr std::string_view kMachineType = "modello";   ///< type of a machine
-inline constexpr std::string_view kMachineTypes = "modelli";  ///< machine types
-inline constexpr std::string_view kZone = "sede";             ///< a zone
-inline constexpr std::string_view kZones = "sedi";            ///< zones
-inline constexpr std::string_view kSpot = "inPrestito";       ///< on spot machines, is one
-inline constexpr std::string_view kEndpoint = "endpoint";     ///< a worker's address
-inline constexpr std::string_view kError = "error";           ///< why a request was refused
-inline constexpr std::string_view kMore = "more";             ///< whether the list goes on
+// Fields of several messages.
+inline constexpr std::string_view kId = "nameId";       ///< job id, or name of a listed machine
+inline constexpr std::string_view kState = "stato";     ///< state of a job, task or machine
+inline constexpr std::string_view kTasks = "prove";     ///< number of tasks, or list of tasks
+inline constexpr std::string_view kCpus = "cpus";       ///< CPUs of a task or machine
+inline constexpr std::string_view kGpus = "gpus";       ///< GPUs of a task or machine
+inline constexpr std::string_view kMemoryGb = "memGb";  ///< memory of a task or machine
+inline constexpr std::string_view kMachineType = "modello";   ///< machine type
+inline constexpr std::string_view kMachineTypes = "modelli";  ///< list of machine types
+inline constexpr std::string_view kZone = "sede";             ///< zone
+inline constexpr std::string_view kZones = "sedi";            ///< list of zones
+inline constexpr std::string_view kSpot = "inPrestito";       ///< spot allowed, or is spot
+inline constexpr std::string_view kEndpoint = "endpoint";     ///< address of a machine's worker
+inline constexpr std::string_view kError = "error";           ///< reason for a refusal
+inline constexpr std::string_view kMore = "more";             ///< whether there is a further page
 inline constexpr std::string_view kCompletedTasks = "done";   ///< number of completed tasks
 inline constexpr std::string_view kRunningTasks = "running";  ///< number of running tasks
 
-// Submissions.
-inline constexpr std::string_view kClass = "classe";                          ///< class of jobs
-inline constexpr std::string_view kTeam = "ufficio";                          ///< team with a quota
-inline constexpr std::string_view kKind = "genere";                           ///< see JobKind
-inline constexpr std::string_view kPriority = "urgenza";                      ///< see kPriorities
-inline constexpr std::string_view kImage = "fascicolo";                       ///< a task's image
-inline constexpr std::string_view kImageGb = "imageGb";                       ///< its size
-inline constexpr std::string_view kOneZone = "oneZone";                       ///< all in one zone
-inline constexpr std::string_view kSpreadZones = "apart";                     ///< half in one zone
-inline constexpr std::string_view kEstimateS = "durataS";                     ///< of the run time
+// Fields of submissions.
+inline constexpr std::string_view kClass = "classe";       ///< job class
+inline constexpr std::string_view kTeam = "ufficio";       ///< team with a quota
+inline constexpr std::string_view kKind = "genere";        ///< text of a JobKind
+inline constexpr std::string_view kPriority = "urgenza";   ///< text in kPriorities
+inline constexpr std::string_view kImage = "fascicolo";    ///< container image of the tasks
+inline constexpr std::string_view kImageGb = "imageGb";    ///< size of the image
+inline constexpr std::string_view kOneZone = "oneZone";    ///< all tasks in one zone
+inline constexpr std::string_view kSpreadZones = "apart";  ///< at most half in one zone
+inline constexpr std::string_view kEstimateS = "durataS";  ///< estimated run time of a task
 inline constexpr std::string_view kCheckpointIntervalS = "salvataggioOgniS";  ///< 0: never saves
-inline constexpr std::string_view kSaveS = "salvataggioS";                    ///< time to save
-inline constexpr std::string_view kDeadlineS = "scadenzaS";                   ///< since submission
+inline constexpr std::string_view kSaveS = "salvataggioS";   ///< time to save a checkpoint
+inline constexpr std::string_view kDeadlineS = "scadenzaS";  ///< since the submission
 
-// Heartbeats and commands.
+// Fields of heartbeats and commands.
 inline constexpr std::string_view kMachine = "banco";           ///< name of the machine
 inline constexpr std::string_view kWorkerSession = "turno";     ///< session of the worker
-inline constexpr std::string_view kSequence = "protocollo";     ///< number of the report
-inline constexpr std::string_view kFencingToken = "delega";     ///< token of the commands
-inline constexpr std::string_view kSpotNoticeS = "preavvisoS";  ///< time until it is taken away
-inline constexpr std::string_view kTask = "prova";              ///< "job/number"
-inline constexpr std::string_view kAttempt = "tentativo";       ///< attempt of a task
-inline constexpr std::string_view kExitReason = "esito";        ///< why a task exited
+inline constexpr std::string_view kSequence = "protocollo";     ///< sequence number of the report
+inline constexpr std::string_view kFencingToken = "delega";     ///< fencing token of the commands
+inline constexpr std::string_view kSpotNoticeS = "preavvisoS";  ///< time until spot reclaim
+inline constexpr std::string_view kTask = "prova";              ///< "JOB/NUMBER"
+inline constexpr std::string_view kAttempt = "tentativo";       ///< number of the attempt of a task
+inline constexpr std::string_view kExitReason = "esito";        ///< text in kExitReasons
 inline constexpr std::string_view kSaved = "stored";            ///< whether progress was saved
 inline constexpr std::string_view kCommands = "ordini";         ///< list of commands
-inline constexpr std::string_view kCommandKind = "ordine";      ///< kind of a command
-inline constexpr std::string_view kGraceS = "tolleranzaS";      ///< time to save when halted
-inline constexpr std::string_view kRedirectTo = "riferireA";    ///< controller to report to
+inline constexpr std::string_view kCommandKind = "ordine";      ///< text in kCommandKinds
+inline constexpr std::string_view kGraceS = "tolleranzaS";    ///< time to save after a halt command
+inline constexpr std::string_view kRedirectTo = "riferireA";  ///< controller to send heartbeats to
 
-// Cloud.
+// Fields of the cloud's messages.
 inline constexpr std::string_view kTypeName = "label";            ///< name of a machine type
-inline constexpr std::string_view kLocalDiskGb = "localGb";       ///< room for images
-inline constexpr std::string_view kFetchGbPerS = "fetchGbPerS";   ///< rate of image fetches
-inline constexpr std::string_view kHourlyPrice = "hourly";        ///< ordinary price
-inline constexpr std::string_view kSpotHourlyPrice = "lowPrice";  ///< spot price
+inline constexpr std::string_view kLocalDiskGb = "localGb";       ///< local disk space for images
+inline constexpr std::string_view kFetchGbPerS = "fetchGbPerS";   ///< download rate for images
+inline constexpr std::string_view kHourlyPrice = "hourly";        ///< price of an on-demand machine
+inline constexpr std::string_view kSpotHourlyPrice = "lowPrice";  ///< price of a spot machine
 inline constexpr std::string_view kBootS = "startupS";            ///< time to boot
-inline constexpr std::string_view kRequestId = "richiesta";       ///< makes a request idempotent
-inline constexpr std::string_view kMachineCount = "number";       ///< of machines
-inline constexpr std::string_view kMachines = "banchi";           ///< names or list of machines
-inline constexpr std::string_view kAgeS = "ageS";                 ///< since the request
-inline constexpr std::string_view kEpoch = "epoch";               ///< of a duty, our addition
-
-// State service.
-inline constexpr std::string_view kConditions = "when";     ///< of a transaction
-inline constexpr std::string_view kChanges = "then";        ///< of a transaction
+inline constexpr std::string_view kRequestId = "richiesta";       ///< for idempotent provisioning
+inline constexpr std::string_view kMachineCount = "number";  ///< number of machines to provision
+inline constexpr std::string_view kMachines = "banchi";      ///< machines, or their names
+inline constexpr std::string_view kAgeS = "ageS";    ///< time since the machine was requested
+inline constexpr std::string_view kEpoch = "epoch";  ///< epoch of a duty; our extension
+
+// Fields of the state service's messages.
+inline constexpr std::string_view kConditions = "when";     ///< conditions of a transaction
+inline constexpr std::string_view kChanges = "then";        ///< changes of a transaction
 inline constexpr std::string_view kKey = "path";            ///< key of an item
 inline constexpr std::string_view kValue = "value";         ///< value of an item
-inline constexpr std::string_view kKeyRevision = "timbro";  ///< of a key's last change
-inline constexpr std::string_view kRevision = "registro";   ///< of the whole store
-inline constexpr std::string_view kPut = "set";             ///< key that is written
-inline constexpr std::string_view kDelete = "remove";       ///< key that is removed
+inline constexpr std::string_view kKeyRevision = "timbro";  ///< revision of a key's last change
+inline constexpr std::string_view kRevision = "registro";   ///< revision of the whole store
+inline constexpr std::string_view kPut = "set";             ///< key to write or written
+inline constexpr std::string_view kDelete = "remove";       ///< key to remove or removed
 inline constexpr std::string_view kLease = "concessione";   ///< id of a lease
-inline constexpr std::string_view kLeaseTtlMs = "ttlMs";    ///< of a new lease
-inline constexpr std::string_view kItems = "items";         ///< of a page
-inline constexpr std::string_view kWatchEvents = "news";    ///< changes that a watch saw
-inline constexpr std::string_view kFailedKeys = "failed";   ///< conditions that did not hold
+inline constexpr std::string_view kLeaseTtlMs = "ttlMs";    ///< time to live of a new lease
+inline constexpr std::string_view kItems = "items";         ///< items of a page
+inline constexpr std::string_view kWatchEvents = "news";    ///< changes that a watch reports
+inline constexpr std::string_view kFailedKeys = "failed";   ///< keys whose conditions did not hold
 
 }  // namespace lichendrift::wire::field
 
-/// Texts of enumerations.
+/// Texts that stand for enumerators in JSON messages.
 namespace lichendrift::wire::text {
 
-/// An enumerator with its text on the wire.
+/// An enumerator and its text in messages.
 template <typename Enum>
 struct EnumText {
-    std::string_view text;  ///< on the wire
-    Enum value;             ///< inside
+    std::string_view text;  ///< text in messages
+    Enum value;             ///< enumerator
 };
 
-/// What a job's tasks have to do with each other.
+/// How the tasks of a job depend on each other.
 enum class JobKind : std::uint8_t {
     Array,    ///< independent tasks
-    Gang,     ///< all at the same time or none
-    Service,  ///< independent tasks that run until the job is cancelled
+    Gang,     ///< gang scheduling: all tasks start together or none
+    Service,  ///< independent replicas that run until the job is cancelled
 };
 
-/// Kinds of jobs. The operators' page names the first two; their own check submits the third.
+/// Texts of job kinds. The operators' protocol page lists only the first two, but their own check
+/// submits the third.
 inline constexpr auto kJobKinds = std::to_array<EnumText<JobKind>>(
     {{"sweep", JobKind::Array}, {"ensemble", JobKind::Gang}, {"service", JobKind::Service}});
-/// Priorities of jobs.
+/// Texts of job priorities.
 inline constexpr auto kPriorities =
     std::to_array<EnumText<core::Priority>>({{"critical", core::Priority::Critical},
                                              {"high", core::Priority::High},
                                              {"normal", core::Priority::Normal},
                                              {"low", core::Priority::Low}});
-/// Phases of tasks.
+/// Texts of task phases in heartbeats.
 inline constexpr auto kTaskPhases =
     std::to_array<EnumText<core::TaskPhase>>({{"pulling", core::TaskPhase::Pulling},
                                               {"gathering", core::TaskPhase::WaitingForPeers},
                                               {"running", core::TaskPhase::Running},
                                               {"saving", core::TaskPhase::Saving},
                                               {"exited", core::TaskPhase::Exited}});
-/// Why tasks exited; any other text counts as unknown.
+/// Texts of exit reasons. Any other text is read as ExitReason::Unknown.
 inline constexpr auto kExitReasons =
     std::to_array<EnumText<core::ExitReason>>({{"done", core::ExitReason::Done},
                                                {"halted", core::ExitReason::Halted},
@@ -130,19 +131,20 @@
                                                {"error", core::ExitReason::Error},
                                                {"full", core::ExitReason::InsufficientResources},
                                                {"busy", core::ExitReason::OtherAttemptPresent}});
-/// Kinds of commands.
+/// Texts of command kinds.
 inline constexpr auto kCommandKinds =
     std::to_array<EnumText<core::Command::Kind>>({{"run", core::Command::Kind::Run},
                                                   {"halt", core::Command::Kind::Halt},
                                                   {"reap", core::Command::Kind::Reap}});
-/// States of listed machines; any other text counts as starting.
+/// Texts of the states of listed machines. Any other text is read as State::Starting.
 inline constexpr auto kMachineStates = std::to_array<EnumText<core::ListedMachine::State>>(
     {{"failed", core::ListedMachine::State::Failed},
      {"running", core::ListedMachine::State::Running}});
-/// The cloud's error when it has no machine of the type, zone and kind.
+/// The cloud's error text if it has no capacity for the requested machine type and zone, as spot or
+/// on-demand machines.
 inline constexpr std::string_view kNoCapacity = "no capacity";
 
-/// The enumerator of a text; nothing if the table has none.
+/// The enumerator that `table` has for a text; nullopt if it has none.
 template <typename Table>
 [[nodiscard]] auto find(const Table& table, std::string_view text)
     -> std::optional<decltype(table.front().value)> {
@@ -152,7 +154,7 @@
     return std::nullopt;
 }
 
-/// The text of an enumerator that the table has.
+/// The text of an enumerator; empty if `table` does not contain it.
 template <typename Table, typename Enum>
 [[nodiscard]] std::string_view of(const Table& table, Enum value) {
     for (const auto& entry : table) {
