--- a/src/wire/json_reader.cpp
+++ b/src/wire/json_reader.cpp
@@ -1,4 +1,4 @@
-// Typed reading of JSON objects.
+// Typed reading of JSON objects with RapidJSON.
 #include "wire/json_reader.h"
 
 #include <rapidjson/stringbuffer.h>
