--- a/src/wire/json_writer.h
+++ b/src/wire/json_writer.h
@@ -1,4 +1,4 @@
-// Writing of JSON objects. Only the files of src/wire include it.
+// Writing of JSON objects with RapidJSON. Included only by the files of src/wire.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -13,44 +13,44 @@
 
 namespace lichendrift::wire::json {
 
-/// Writes one JSON text, value after value.
+/// Writes one JSON document, value by value.
 class Writer {
   public:
-    /// A text.
+    /// Writes a string.
     void value(std::string_view text) {
         writer_.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
     }
-    /// A boolean.
+    /// Writes a boolean.
     void value(std::same_as<bool> auto flag) { writer_.Bool(flag); }
-    /// An integer.
+    /// Writes an unsigned integer.
     void value(std::unsigned_integral auto number) requires(!std::same_as<decltype(number), bool>) {
         writer_.Uint64(number);
     }
-    /// An integer.
+    /// Writes a signed integer.
     void value(std::int64_t number) { writer_.Int64(number); }
-    /// A number.
+    /// Writes a floating-point number.
     void value(double number) { writer_.Double(number); }
-    /// A list of three numbers.
+    /// Writes an array of three numbers.
     void value(const std::array<double, 3>& numbers) {
         array([&] {
             for (const double number : numbers) writer_.Double(number);
         });
     }
-    /// A list of strings.
+    /// Writes an array of strings.
     void value(const std::vector<std::string>& strings) {
         array([&] {
             for (const auto& text : strings) value(std::string_view(text));
         });
     }
 
-    /// A list of the values that `write` writes.
+    /// Writes an array; `write` writes its values.
     template <typename Write>
     void array(Write write) {
         writer_.StartArray();
         write();
         writer_.EndArray();
     }
-    /// An object of the fields that `write` writes.
+    /// Writes an object; `write` writes its fields.
     template <typename Write>
     void object(Write write) {
         writer_.StartObject();
@@ -58,22 +58,22 @@
         writer_.EndObject();
     }
 
-    /// The name of a field; its value has to follow.
+    /// Writes the name of a field; the caller must write its value next.
     void name(std::string_view field) {
         writer_.Key(field.data(), static_cast<rapidjson::SizeType>(field.size()));
     }
-    /// A field with its value.
+    /// Writes a field with its value.
     template <typename T>
     void field(std::string_view field, const T& content) {
         name(field);
         value(content);
     }
-    /// A field with a value that is JSON already.
+    /// Writes a field whose value `json` is already serialized.
     void raw_field(std::string_view field, std::string_view json) {
         name(field);
         writer_.RawValue(json.data(), json.size(), rapidjson::kObjectType);
     }
-    /// A field with a list of the values that `write` writes.
+    /// Writes a field whose value is an array; `write` writes the values of the array.
     template <typename Write>
     void array_field(std::string_view field, Write write) {
         name(field);
@@ -82,7 +82,7 @@
 
     /// Bytes written so far.
     [[nodiscard]] std::size_t size_bytes() const { return buffer_.GetSize(); }
-    /// What was written.
+    /// The JSON written so far.
     [[nodiscard]] std::string text() const { return {buffer_.GetString(), buffer_.GetSize()}; }
 
   private:
@@ -90,7 +90,7 @@
     rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
 };
 
-/// The text of one object with the fields that `write(Writer&)` writes.
+/// Returns one JSON object; `write(Writer&)` writes its fields.
 template <typename Write>
 [[nodiscard]] std::string object_text(Write write) {
     Writer writer;
