--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,5 +1,6 @@
-// Layouts of the messages between controllers. Versions that serve side by side during an upgrade
-// share them: an entry that is added, dropped or moved makes the other version refuse the message.
+// Layouts of the messages between controllers. During an upgrade, controllers of two versions
+// exchange these messages, so the layouts must not change: if an entry is added, removed or moved,
+// one of the versions refuses the other's messages.
 #include "wire/peer_messages.h"
 
 #include "wire/cbor.h"
@@ -12,7 +13,7 @@
 constexpr int kMaxStatus = 599;
 constexpr int kMaxRetryAfterS = 600;
 
-// A message of one number: versions, features and queries.
+// A message with a single number: a version, a set of features or a cancellation query.
 struct Number {
     std::uint64_t value = 0;
 };
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -1,5 +1,5 @@
-// What the controllers send to each other, in CBOR. The layouts are in peer_messages.cpp. A decoder
-// returns nothing for a malformed message; callers answer 400 or count it.
+// Messages between controllers, encoded in CBOR with the layouts in peer_messages.cpp. A decoder
+// returns nullopt for a malformed message; callers reject it with status 400 or count it.
 #pragma once
 
 #include <cstdint>
@@ -15,107 +15,109 @@
 /// The leader's answer to a heartbeat that another controller forwarded.
 struct HeartbeatAnswer {
     std::uint64_t token = 0;              ///< fencing token for the worker
-    std::vector<core::Command> commands;  ///< in the order of execution
+    std::vector<core::Command> commands;  ///< in the order in which the worker executes them
 };
 
-/// Progress of a job, for display to its user.
+/// Progress of a job, which is shown to its user.
 struct JobCounts {
-    std::string id;             ///< of the job
+    std::string id;             ///< id of the job
     std::uint32_t done = 0;     ///< completed tasks
     std::uint32_t running = 0;  ///< running tasks
 };
 
-/// What the leader announces to the other controllers, about once a second.
+/// Message that the leader sends to the other controllers about once a second.
 struct Announcement {
     std::string member;             ///< name of the leader
     std::uint64_t token = 0;        ///< first fencing token of its term
-    bool store_responsive = false;  ///< whether the state service answers the leader
-    bool complete = false;          ///< whether `counts` has all jobs, not just the changed ones
+    bool store_responsive = false;  ///< the state service answers the leader
+    bool complete = false;          ///< `counts` has all open jobs, not just those that changed
     std::vector<JobCounts> counts;  ///< progress of open jobs
 };
 
-/// A job that a controller has confirmed, or is about to confirm, as cancelled.
+/// A job whose cancellation a controller has confirmed to the user, or is about to.
 struct Cancellation {
-    std::uint64_t revision = 0;  ///< of its terminal state in the state service
-    std::string id;              ///< of the job
+    std::uint64_t revision = 0;  ///< revision of its terminal state in the state service
+    std::string id;              ///< id of the job
 };
 
-/// Cancellations that a controller knows of: the answer to a query, and the announcement of one
-/// that was just confirmed.
+/// Cancellations that a controller knows of. Sent to announce cancellations that it confirms, and
+/// as the answer to a query.
 struct CancellationUpdate {
-    /// No cancellation of a later revision that this controller may have confirmed is missing.
+    /// `cancelled` contains every cancellation with a revision above this one that the sender may
+    /// have confirmed.
     std::uint64_t complete_after = 0;
-    std::vector<Cancellation> cancelled;  ///< the cancellations
+    std::vector<Cancellation> cancelled;  ///< cancellations that the sender knows of
 };
 
 /// A user's request that a controller forwards to the leader, because the state service answers
-/// the leader but not the controller itself.
+/// the leader but not this controller.
 struct ForwardedRequest {
     std::string method;  ///< HTTP method
-    std::string target;  ///< HTTP target
-    std::string body;    ///< as the user sent it
+    std::string target;  ///< HTTP request target
+    std::string body;    ///< HTTP body, unchanged
 };
 
 /// The leader's answer to a forwarded request.
 struct ForwardedAnswer {
     int status = 0;         ///< HTTP status, 200 to 599
-    int retry_after_s = 0;  ///< seconds for the Retry-After header; 0: none
-    std::string body;       ///< for the user
+    int retry_after_s = 0;  ///< Retry-After header, seconds, at most 600; 0: none
+    std::string body;       ///< HTTP body
 };
 
-/// Version of the formats and messages that this controller knows. Controllers older than services
-/// (jobs that run until they are cancelled) have no version and do not know the query for it.
+/// Version of the stored formats and of the messages that this controller supports. Controllers
+/// from before services (jobs that run until they are cancelled) have no version and do not support
+/// the version query.
 inline constexpr std::uint64_t kProtocolVersion = 1;
 
-/// Features that a controller has switched on, as bits. One without any, or of a version before
-/// features, does not know the query for them.
+/// Features that a controller has enabled, as bits. A controller without any enabled, or of a
+/// version from before features, does not support the feature query.
 enum class Feature : std::uint64_t {
-    FencedDuties = 1,  ///< fenced duties, see docs/duties.md
+    FencedDuties = 1,  ///< the duties are fenced by epochs; see docs/duties.md
 };
 
-/// A version query or its answer.
+/// Encodes a version query or its answer, which have the same form.
 [[nodiscard]] std::string encode_version(std::uint64_t version);
-/// The version that a query or answer names.
+/// Decodes the version in a query or its answer.
 [[nodiscard]] std::optional<std::uint64_t> decode_version(std::string_view bytes);
 
-/// A feature query or its answer. `features`: bits of Feature.
+/// Encodes a feature query or its answer, which have the same form. `features`: bits of Feature.
 [[nodiscard]] std::string encode_features(std::uint64_t features);
-/// The bits of Feature that a query or answer names.
+/// Decodes the bits of Feature in a query or its answer.
 [[nodiscard]] std::optional<std::uint64_t> decode_features(std::string_view bytes);
 
-/// See ForwardedRequest.
+/// Encodes a user's request for the leader.
 [[nodiscard]] std::string encode_forwarded_request(const ForwardedRequest& request);
-/// See ForwardedRequest.
+/// Decodes a user's request that a controller forwarded.
 [[nodiscard]] std::optional<ForwardedRequest> decode_forwarded_request(std::string_view bytes);
 
-/// See ForwardedAnswer.
+/// Encodes the leader's answer to a forwarded request.
 [[nodiscard]] std::string encode_forwarded_answer(const ForwardedAnswer& answer);
-/// See ForwardedAnswer; one with a status or delay out of range is malformed.
+/// Decodes the leader's answer. It is malformed if its status or delay is out of range.
 [[nodiscard]] std::optional<ForwardedAnswer> decode_forwarded_answer(std::string_view bytes);
 
-/// Asks for the cancellations after revision `since`.
+/// Encodes a query for the cancellations with a revision above `since`.
 [[nodiscard]] std::string encode_cancellation_query(std::uint64_t since);
-/// The revision that a query asks from.
+/// Decodes the revision `since` of a query.
 [[nodiscard]] std::optional<std::uint64_t> decode_cancellation_query(std::string_view bytes);
 
-/// See CancellationUpdate.
+/// Encodes an announcement of cancellations or the answer to a query.
 [[nodiscard]] std::string encode_cancellation_update(const CancellationUpdate& update);
-/// See CancellationUpdate.
+/// Decodes an announcement of cancellations or the answer to a query.
 [[nodiscard]] std::optional<CancellationUpdate> decode_cancellation_update(std::string_view bytes);
 
-/// A worker's heartbeat, to be forwarded.
+/// Encodes a worker's heartbeat that is forwarded to the leader.
 [[nodiscard]] std::string encode_report(const core::Report& report);
-/// A forwarded heartbeat.
+/// Decodes a forwarded heartbeat.
 [[nodiscard]] std::optional<core::Report> decode_report(std::string_view bytes);
 
-/// See HeartbeatAnswer.
+/// Encodes the leader's answer to a forwarded heartbeat.
 [[nodiscard]] std::string encode_heartbeat_answer(const HeartbeatAnswer& answer);
-/// See HeartbeatAnswer.
+/// Decodes the leader's answer to a forwarded heartbeat.
 [[nodiscard]] std::optional<HeartbeatAnswer> decode_heartbeat_answer(std::string_view bytes);
 
-/// See Announcement.
+/// Encodes an announcement of the leader.
 [[nodiscard]] std::string encode_announcement(const Announcement& announcement);
-/// See Announcement.
+/// Decodes an announcement of the leader.
 [[nodiscard]] std::optional<Announcement> decode_announcement(std::string_view bytes);
 
 }  // namespace lichendrift::wire
