--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -43,8 +43,8 @@
 /// Cancellations that a controller knows of. Sent to announce cancellations that it confirms, and
 /// as the answer to a query.
 struct CancellationUpdate {
-    /// `cancelled` contains every cancellation with a revision above this one that the sender may
-    /// have confirmed.
+    /// In an answer: `cancelled` contains every cancellation that the sender may have confirmed
+    /// with a revision above this one and above the query's. Ignored in an announcement.
     std::uint64_t complete_after = 0;
     std::vector<Cancellation> cancelled;  ///< cancellations that the sender knows of
 };
