--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of the state service: transactions, items, changes and leases.
+// Messages exchanged with the state service: transactions, items, changes and leases.
 #include "wire/state_messages.h"
 
 #include "wire/field_names.h"
@@ -27,7 +27,7 @@
     value = json::text_of(*node);
 }
 
-// An item that a watch saw change, or be removed.
+// Reads a change that a watch reports: a key that was written or removed.
 Item read_changed_item(json::ObjectReader& in) {
     Item item;
     in.required(field::kKeyRevision, item.revision);
@@ -47,7 +47,7 @@
     return item;
 }
 
-// A body of which one number is wanted.
+// Parses the required integer `name` of a body.
 std::optional<std::uint64_t> parse_number(std::string_view body, std::string_view name) {
     json::Document document(body);
     std::uint64_t number = 0;
--- a/src/wire/state_messages.h
+++ b/src/wire/state_messages.h
@@ -1,5 +1,6 @@
-// JSON messages of the state service: transactions, items, changes and leases. A parser returns
-// nothing for a malformed message: the client counts it and takes the outcome as unknown.
+// JSON messages exchanged with the state service: transactions, items, changes and leases. A parser
+// returns nullopt for a malformed message; the client counts it and treats the outcome of the
+// request as unknown.
 #pragma once
 
 #include <cstdint>
@@ -10,50 +11,51 @@
 
 namespace lichendrift::wire {
 
-/// A key with the revision that it must have for a transaction to be applied.
+/// A condition of a transaction: a key and the revision that it must have.
 struct Condition {
     std::string key;             ///< the key
-    std::uint64_t revision = 0;  ///< of its last change; 0: the key must not exist
+    std::uint64_t revision = 0;  ///< revision of the key's last change; 0: it must not exist
 };
 
-/// A key that a transaction writes or removes.
+/// A change of a transaction: a key that is written or removed.
 struct Change {
     std::string key;          ///< the key
     std::string value;        ///< JSON; empty: remove the key
-    std::uint64_t lease = 0;  ///< that the key is attached to; 0: none
+    std::uint64_t lease = 0;  ///< lease that the key is attached to; 0: none
 };
 
-/// Transaction (compare-and-swap) that applies `changes` if all `conditions` hold.
+/// Body of a transaction (compare-and-swap) that applies `changes` if all `conditions` hold.
 [[nodiscard]] std::string transaction_body(const std::vector<Condition>& conditions,
                                            const std::vector<Change>& changes);
-/// The revision that an applied transaction gave its changes.
+/// Parses the revision at which a transaction was applied.
 [[nodiscard]] std::optional<std::uint64_t> parse_revision(std::string_view body);
-/// The keys whose conditions did not hold.
+/// Parses the keys whose conditions did not hold, from the answer to a transaction that was
+/// not applied.
 [[nodiscard]] std::optional<std::vector<std::string>> parse_failed_keys(std::string_view body);
 
-/// A key with its value.
+/// A key with its value, in a listing or in a change that a watch reports.
 struct Item {
     std::string key;             ///< the key
     std::string value;           ///< JSON; empty in a change: the key was removed
-    std::uint64_t revision = 0;  ///< of its last change
+    std::uint64_t revision = 0;  ///< revision of the key's last change
 };
-/// The answer to a read of one key.
+/// Parses the answer to a read of one key. `key` stays empty if the answer does not contain it.
 [[nodiscard]] std::optional<Item> parse_item(std::string_view body);
 
-/// Items of a list, or changes that a watch saw.
+/// A page of a listing, or the changes that a watch reports.
 struct ItemPage {
-    std::vector<Item> items;     ///< in the service's order
-    bool more = false;           ///< whether the list goes on
-    std::uint64_t revision = 0;  ///< of the whole store at the time of the answer
+    std::vector<Item> items;     ///< in the order of the answer
+    bool more = false;           ///< whether there is a further page
+    std::uint64_t revision = 0;  ///< revision of the whole store at the time of the answer
 };
-/// A page of a list.
+/// Parses a page of a listing.
 [[nodiscard]] std::optional<ItemPage> parse_items(std::string_view body);
-/// What a watch saw; it may be nothing.
+/// Parses the answer to a watch, which may contain no changes.
 [[nodiscard]] std::optional<ItemPage> parse_changes(std::string_view body);
 
-/// Request for a lease.
+/// Body of a request for a lease that expires `ttl_ms` milliseconds after its last renewal.
 [[nodiscard]] std::string lease_body(std::uint64_t ttl_ms);
-/// The id of a new lease.
+/// Parses the id of a new lease.
 [[nodiscard]] std::optional<std::uint64_t> parse_lease_id(std::string_view body);
 
 }  // namespace lichendrift::wire
