--- a/src/wire/stored_values.cpp
+++ b/src/wire/stored_values.cpp
@@ -1,4 +1,4 @@
-// Values of jobs, placement records, terminal states, leader and image hints in the state service.
+// Stored values of jobs, placement records, terminal states, the leader and image hints.
 #include "wire/stored_values.h"
 
 #include "wire/json_reader.h"
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t kMaxTasks = 100'000;
 constexpr rapidjson::SizeType kPlacedEntries = 4;  // task, attempt, machine, session
-// What a machine or an image takes in a value besides its name, at most.
+// Upper bounds on the bytes that a machine or an image takes in the value in addition to its name.
 constexpr std::size_t kHintMachineOverheadBytes = 16;
 constexpr std::size_t kHintImageOverheadBytes = 8;
 
@@ -101,7 +101,8 @@
     return true;
 }
 
-// An entry of the image hints: a machine's name, the first that is not empty, and then its images.
+// Reads one entry of the image hints: the first name that is not empty is that of the machine,
+// those after it are its images.
 bool read_hint(const json::Value& entry, ImageHints::value_type& hint) {
     std::vector<std::string> names;
     if (!json::read(entry, names) || names.empty()) return false;
@@ -193,7 +194,7 @@
     TerminalState terminal_state;
     terminal_state.aborted = state == names::kAborted;
     if (const auto* job = in.find(names::kJob)) {
-        // A description that is damaged leaves the state itself as it is.
+        // A damaged description does not make the terminal state invalid.
         std::optional<ParseError> job_error;
         json::ObjectReader job_reader(*job, job_error);
         terminal_state.job = read_job(job_reader, id);
