--- a/src/wire/stored_duties.cpp
+++ b/src/wire/stored_duties.cpp
@@ -1,4 +1,4 @@
-// Values of duties and intents in the state service.
+// Stored values of duties and intents.
 #include "wire/json_reader.h"
 #include "wire/json_writer.h"
 #include "wire/stored_names.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxProvisioned = 1000;       // in one request; the protocol allows fewer
+constexpr std::uint32_t kMaxProvisioned = 1000;  // in one request; the protocol's limit is lower
 constexpr rapidjson::SizeType kProvisionEntries = 5;  // id, type, zone, spot, count
 
 void write_provision(json::Writer& out, const duty::ProvisionRequest& provision) {
@@ -40,7 +40,8 @@
     return name;
 }
 
-// Takes every entry that can be read. False if any could not, or if the field is no list.
+// Appends all entries of an array that can be read to `out`. Returns false if any can't be read, or
+// if the field is not an array.
 template <typename Entry, typename ReadEntry>
 bool read_valid_entries(const json::ObjectReader& in, std::string_view name, ReadEntry read_entry,
                         std::vector<Entry>& out) {
