--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of users: submissions and answers.
+// Messages exchanged with users: submissions and answers.
 #include "wire/user_messages.h"
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 
 constexpr std::uint64_t kMaxTasks = 100'000;
 constexpr std::size_t kMaxAllowedTypes = 64;
-constexpr double kMaxAmount = 1e12;  // exclusive, of durations and resources
+constexpr double kMaxAmount = 1e12;  // exclusive limit for durations and resources
 constexpr std::size_t kMaxIdDigits = 20;
 
 bool is_valid_amount(double amount) { return amount >= 0 && amount < kMaxAmount; }
 
-// Reads a text of a table of enumerators.
+// Reads a required text and converts it to the enumerator that `table` has for it.
 template <typename Table, typename Enum>
 void read_enum(json::ObjectReader& in, std::string_view name, const Table& table, Enum& out) {
     std::string_view text;
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -1,4 +1,4 @@
-// JSON messages of users: submissions and the answers to them.
+// JSON messages exchanged with users: submissions and answers.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 namespace lichendrift::wire {
 
-/// Whether a text has the form of a job id, such as "job-000412".
+/// Whether `id` has the form of a job id, such as "job-000412".
 [[nodiscard]] bool valid_job_id(std::string_view id);
 
-/// The job that the body of a submission describes. Fields that are not known are ignored.
+/// Parses the job description in the body of a submission. Unknown fields are ignored.
 [[nodiscard]] Parsed<core::JobDescription> parse_submission(std::string_view body);
 
-/// What a user is told about a submission with that error.
+/// The message to the user for an error in a submission.
 [[nodiscard]] std::string error_text(const ParseError& error);
 
-/// Answer about a job in the state `state`, of the protocol's strings.
+/// Body of an answer about a job. `state`: the protocol's text for the state of the job.
 [[nodiscard]] std::string job_state_body(std::string_view id, std::string_view state);
-/// The same with the numbers of completed and running tasks.
+/// Body of an answer about a job, with the numbers of completed (`done`) and running tasks.
 [[nodiscard]] std::string job_state_body(std::string_view id, std::string_view state,
                                          std::uint32_t done, std::uint32_t running);
 
-/// Body of a refusal.
+/// Body of an answer that refuses a request.
 [[nodiscard]] std::string error_body(std::string_view reason);
 
 }  // namespace lichendrift::wire
