--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of workers: heartbeats and commands.
+// Messages exchanged with workers: heartbeats and commands.
 #include "wire/worker_messages.h"
 
 #include "wire/field_names.h"
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr double kMaxNoticeS = 1e9;
-constexpr std::size_t kMaxTaskDigits = 9;  // of a task's number, so that it fits 32 bits
+constexpr std::size_t kMaxTaskDigits = 9;  // keeps a task's number within 32 bits
 
-// "job-000412/3"
+// Splits a task's name, such as "job-000412/3", into job and number. Returns false if it is
+// invalid.
 bool split_task(std::string_view name, std::string& job, std::uint32_t& task) {
     constexpr std::uint32_t kBase = 10;
     const auto slash = name.rfind('/');
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -1,4 +1,4 @@
-// JSON messages of workers: heartbeats and commands.
+// JSON messages exchanged with workers: heartbeats and commands.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,20 @@
 
 namespace lichendrift::wire {
 
-/// A worker's heartbeat, or its report in the answer to a direct command. Nothing: malformed; the
-/// worker gets status 400 without a reason. Fields that are not known are ignored.
+/// Parses a worker's report, from a heartbeat or from the answer to direct commands. Returns
+/// nullopt if it is malformed; the worker then gets status 400 without details. Unknown fields are
+/// ignored.
 [[nodiscard]] std::optional<core::Report> parse_report(std::string_view body);
 
-/// Answer to a heartbeat: commands under a fencing token, executed in order.
+/// Body of the answer to a heartbeat: commands with a fencing token, which the worker executes in
+/// order.
 [[nodiscard]] std::string commands_body(std::uint64_t token,
                                         const std::vector<core::Command>& commands);
 
-/// Answer to a heartbeat that sends the worker to the controller `member`.
+/// Body of the answer to a heartbeat that redirects the worker to the controller `member`.
 [[nodiscard]] std::string redirect_body(const std::string& member);
 
-/// Direct commands for one session of a worker.
+/// Body of a request that sends commands to one session of a worker outside of its heartbeats.
 [[nodiscard]] std::string direct_commands_body(std::uint64_t token, std::uint64_t session,
                                                const std::vector<core::Command>& commands);
 
