--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -11,79 +11,81 @@
 namespace {
 
 core::Report sample_report() {
-    core::Report r;
-    r.machine = "host-000001";
-    r.endpoint = "10.0.0.9:9000";
-    r.type = "g8";
-    r.zone = "a";
-    r.spot = true;
-    r.session = 3;
-    r.seq = 18446744073709551615ULL;
-    r.token = 41;
-    r.notice_s = 12.5;
-    r.tasks.push_back(
+    core::Report report;
+    report.machine = "host-000001";
+    report.endpoint = "10.0.0.9:9000";
+    report.type = "g8";
+    report.zone = "a";
+    report.spot = true;
+    report.session = 3;
+    report.seq = 18446744073709551615ULL;
+    report.token = 41;
+    report.notice_s = 12.5;
+    report.tasks.push_back(
         {"job-000412", 3, 2, core::TaskPhase::Running, core::ExitReason::None, false});
-    r.tasks.push_back({"job-000398", 0, 1, core::TaskPhase::Exited, core::ExitReason::Done, true});
-    return r;
+    report.tasks.push_back(
+        {"job-000398", 0, 1, core::TaskPhase::Exited, core::ExitReason::Done, true});
+    return report;
 }
 
-TEST(Cbor, ReportSurvivesTheLink) {
-    const auto r = sample_report();
-    const auto back = decode_report(encode_report(r));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->machine, r.machine);
-    EXPECT_EQ(back->seq, r.seq);
-    EXPECT_EQ(back->notice_s, r.notice_s);
-    ASSERT_EQ(back->tasks.size(), 2U);
-    EXPECT_EQ(back->tasks[1].exit_reason, core::ExitReason::Done);
-    auto without = r;
-    without.notice_s.reset();
-    EXPECT_FALSE(decode_report(encode_report(without))->notice_s);
+TEST(Cbor, ReportsRoundTrip) {
+    const auto report = sample_report();
+    const auto decoded = decode_report(encode_report(report));
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->machine, report.machine);
+    EXPECT_EQ(decoded->seq, report.seq);
+    EXPECT_EQ(decoded->notice_s, report.notice_s);
+    ASSERT_EQ(decoded->tasks.size(), 2U);
+    EXPECT_EQ(decoded->tasks[1].exit_reason, core::ExitReason::Done);
+    auto without_notice = report;
+    without_notice.notice_s.reset();
+    EXPECT_FALSE(decode_report(encode_report(without_notice))->notice_s);
 }
 
-TEST(Cbor, DamagedMessagesAreRefusedOrRead) {
-    // Cut short at every place, and with any byte changed: never a crash, never half a message.
-    const auto whole = encode_report(sample_report());
-    for (std::size_t n = 0; n < whole.size(); ++n) {
-        EXPECT_FALSE(decode_report(std::string_view(whole).substr(0, n)));
+TEST(Cbor, DamagedReportsAreRefusedOrDecodedWithoutCrash) {
+    // A report that is cut short anywhere is refused. One with a changed byte is refused or
+    // decoded, without a crash and without additional tasks.
+    const auto encoded = encode_report(sample_report());
+    for (std::size_t n = 0; n < encoded.size(); ++n) {
+        EXPECT_FALSE(decode_report(std::string_view(encoded).substr(0, n)));
     }
     std::mt19937 rng(7);
     for (int i = 0; i < 4000; ++i) {
-        auto damaged = whole;
+        auto damaged = encoded;
         damaged[rng() % damaged.size()] = static_cast<char>(rng());
-        if (auto r = decode_report(damaged)) {
-            EXPECT_LE(r->tasks.size(), 2U);
+        if (auto report = decode_report(damaged)) {
+            EXPECT_LE(report->tasks.size(), 2U);
         }
     }
     EXPECT_FALSE(decode_heartbeat_answer("\x83\x01\x02\x03"));
     EXPECT_FALSE(decode_announcement(""));
 }
 
-TEST(Json, RecordsSurviveTheStore) {
+TEST(Json, PlacementRecordsRoundTrip) {
     core::PlacementRecord record;
     record.term = 7;
     record.nonce = 9;
     record.placed.push_back({4, 70'000'001, "host-000002", 2});
     record.done = {{0, 3}, {5, 5}};
-    const auto back = parse_placement_value(placement_value(record));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->placed, record.placed);
-    EXPECT_EQ(back->done, record.done);
-    EXPECT_EQ(back->nonce, 9U);
+    const auto decoded = parse_placement_value(placement_value(record));
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->placed, record.placed);
+    EXPECT_EQ(decoded->done, record.done);
+    EXPECT_EQ(decoded->nonce, 9U);
     EXPECT_FALSE(parse_placement_value(R"({"t":1,"n":1,"p":[[1,2,3,4]]})"));
     EXPECT_FALSE(parse_placement_value("{}"));
 }
 
-TEST(Cbor, CancellationsAndQuestionsAboutThem) {
+TEST(Cbor, CancellationUpdatesAndQueriesRoundTrip) {
     const auto bytes = encode_cancellation_update({17, {{18, "job-000001"}, {19, "job-000002"}}});
-    const auto news = decode_cancellation_update(bytes);
-    ASSERT_TRUE(news);
-    EXPECT_EQ(news->complete_after, 17U);
-    ASSERT_EQ(news->cancelled.size(), 2U);
-    EXPECT_EQ(news->cancelled[1].revision, 19U);
-    EXPECT_EQ(news->cancelled[1].id, "job-000002");
+    const auto update = decode_cancellation_update(bytes);
+    ASSERT_TRUE(update);
+    EXPECT_EQ(update->complete_after, 17U);
+    ASSERT_EQ(update->cancelled.size(), 2U);
+    EXPECT_EQ(update->cancelled[1].revision, 19U);
+    EXPECT_EQ(update->cancelled[1].id, "job-000002");
     EXPECT_EQ(decode_cancellation_query(encode_cancellation_query(7)), 7U);
-    // Cut short or of another kind, it says nothing.
+    // A message that is cut short or of the other kind is refused.
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         EXPECT_FALSE(decode_cancellation_update(std::string_view(bytes).substr(0, n))) << n;
     }
@@ -91,7 +93,7 @@
     EXPECT_FALSE(decode_cancellation_update(encode_cancellation_query(7)));
 }
 
-TEST(Json, JobsSurviveTheStore) {
+TEST(Json, JobDescriptionsRoundTrip) {
     core::JobDescription job;
     job.id = "job-000001";
     job.cls = "c";
@@ -105,29 +107,30 @@
     job.zone = "z";
     job.deadline_s = 30;
     job.submitted_ms = 1'700'000'000'123;
-    const auto back = parse_job_value(job.id, job_value(job));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->types, job.types);
-    EXPECT_EQ(back->zone, job.zone);
-    EXPECT_EQ(back->count, 16U);
-    EXPECT_EQ(back->submitted_ms, job.submitted_ms);
-    const auto over = parse_terminal_state_value(job.id, terminal_state_value(true, &job));
-    ASSERT_TRUE(over && over->job);
-    EXPECT_TRUE(over->aborted);
+    const auto decoded = parse_job_value(job.id, job_value(job));
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->types, job.types);
+    EXPECT_EQ(decoded->zone, job.zone);
+    EXPECT_EQ(decoded->count, 16U);
+    EXPECT_EQ(decoded->submitted_ms, job.submitted_ms);
+    const auto terminal_state =
+        parse_terminal_state_value(job.id, terminal_state_value(true, &job));
+    ASSERT_TRUE(terminal_state && terminal_state->job);
+    EXPECT_TRUE(terminal_state->aborted);
     EXPECT_FALSE(parse_terminal_state_value(job.id, terminal_state_value(false, nullptr))->aborted);
 }
 
-TEST(Json, ReportsOfWorkers) {
+TEST(Json, WorkerReportsAreParsedAndMalformedOnesRefused) {
     const std::string good =
         R"({"banco":"host-000231","endpoint":"10.1.0.232:9000","modello":"g8","sede":"a",)"
         R"("inPrestito":true,"turno":1,"protocollo":88,"delega":41,"preavvisoS":null,)"
         R"("prove":[{"prova":"job-000412/3","tentativo":2,"stato":"running"},)"
         R"({"prova":"job-000398/0","tentativo":1,"stato":"exited","esito":"done"}]})";
-    const auto r = parse_report(good);
-    ASSERT_TRUE(r);
-    EXPECT_EQ(r->tasks[0].job, "job-000412");
-    EXPECT_EQ(r->tasks[0].task, 3U);
-    EXPECT_FALSE(r->notice_s);
+    const auto report = parse_report(good);
+    ASSERT_TRUE(report);
+    EXPECT_EQ(report->tasks[0].job, "job-000412");
+    EXPECT_EQ(report->tasks[0].task, 3U);
+    EXPECT_FALSE(report->notice_s);
     for (const char* bad : {R"("turno":1)", R"("job-000412/3")", R"("running")"}) {
         auto body = good;
         body.replace(body.find(bad), std::string(bad).size(), "\"x\"");
@@ -142,14 +145,14 @@
     R"("inPrestito":true,"durataS":240.0,"salvataggioOgniS":30.0,"salvataggioS":4.0,)"
     R"("scadenzaS":900.0})";
 
-// kSubmission with one piece of it replaced.
+// Returns kSubmission with the first occurrence of `piece` replaced.
 std::string submission_with(const std::string& piece, const std::string& replacement) {
     auto body = kSubmission;
     body.replace(body.find(piece), piece.size(), replacement);
     return body;
 }
 
-TEST(Submission, DescribesTheJob) {
+TEST(Submission, IsParsedIntoAJobDescription) {
     const auto job = parse_submission(kSubmission);
     ASSERT_TRUE(job);
     EXPECT_EQ(job->id, "job-000412");
@@ -165,7 +168,7 @@
     EXPECT_FALSE(parse_submission(submission_with("ensemble", "sweep"))->gang);
 }
 
-TEST(Submission, ErrorsNameTheFaultAndTheField) {
+TEST(Submission, ErrorsContainTheFaultAndTheField) {
     struct Case {
         std::string piece;
         std::string replacement;
@@ -201,7 +204,7 @@
     EXPECT_EQ(error_text(parse_submission("[]").error()), "the body is not an object");
 }
 
-TEST(PeerMessages, DamagedVersionsAreRefused) {
+TEST(PeerMessages, MalformedVersionsAreRefused) {
     EXPECT_EQ(decode_version(encode_version(kProtocolVersion)), kProtocolVersion);
     for (const auto* bytes : {"", "\x80", "\x81\x61x", "\xff", "\x9b\xff\xff\xff\xff"}) {
         EXPECT_FALSE(decode_version(bytes));
