--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,6 @@
-// What the version in production stored and sent, against what this one reads and writes. Both
-// serve together during an upgrade, and either may lead; see tests/fixtures/production/README.md.
+// Compatibility of this version with the stored values and messages of the production version.
+// During an upgrade, controllers of both versions run together and either may lead. How the
+// fixtures were made is described in tests/fixtures/production/README.md.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -12,21 +13,22 @@
 namespace lichendrift {
 namespace {
 
-const std::filesystem::path kFolder = LICHENDRIFT_FIXTURES;
+const std::filesystem::path kFixturesFolder = LICHENDRIFT_FIXTURES;
 
 std::string production_bytes(const std::string& name) {
-    std::ifstream file(kFolder / name, std::ios::binary);
+    std::ifstream file(kFixturesFolder / name, std::ios::binary);
     std::ostringstream bytes;
     bytes << file.rdbuf();
     return bytes.str();
 }
 
-// An added field would be dropped by the older version when it writes the value again, and an added
-// entry of a message between controllers would be refused by it.
-TEST(Compatibility, WritesTheBytesThatProductionWrote) {
+// This version must encode the samples as production did. If it added a field to a stored value,
+// the older version would drop the field when it rewrites the value; if it added an entry to a
+// message between controllers, the older version would refuse the message.
+TEST(Compatibility, EncodesSamplesAsProductionDid) {
     const auto samples = fixtures::encoded_samples();
     std::size_t files = 0;
-    for (const auto& entry : std::filesystem::directory_iterator(kFolder)) {
+    for (const auto& entry : std::filesystem::directory_iterator(kFixturesFolder)) {
         files += entry.path().extension() == ".md" ? 0 : 1;
     }
     EXPECT_EQ(files, samples.size());
@@ -35,7 +37,7 @@
     }
 }
 
-TEST(Compatibility, ReadsStoredValuesOfProduction) {
+TEST(Compatibility, ParsesStoredValuesOfProduction) {
     const auto gang = wire::parse_job_value("job-000412", production_bytes("open-gang.json"));
     ASSERT_TRUE(gang);
     EXPECT_TRUE(gang->gang);
@@ -67,7 +69,7 @@
     EXPECT_EQ(hints->size(), 2U);
 }
 
-TEST(Compatibility, ReadsMessagesOfProduction) {
+TEST(Compatibility, DecodesMessagesOfProduction) {
     for (const auto* name : {"peer-beat.cbor", "peer-beat-quiet.cbor"}) {
         const auto report = wire::decode_report(production_bytes(name));
         ASSERT_TRUE(report) << name;
@@ -82,25 +84,28 @@
     const auto request = wire::decode_forwarded_request(production_bytes("peer-user.cbor"));
     ASSERT_TRUE(request);
     EXPECT_EQ(request->target, "/v2/runs/job-000412/cancel");
-    const auto passed = wire::decode_forwarded_answer(production_bytes("peer-user-answer.cbor"));
-    ASSERT_TRUE(passed);
-    EXPECT_EQ(passed->status, 503);
-    const auto news = wire::decode_cancellation_update(production_bytes("peer-cancelled.cbor"));
-    ASSERT_TRUE(news);
-    EXPECT_EQ(news->cancelled.size(), 2U);
+    const auto forwarded_answer =
+        wire::decode_forwarded_answer(production_bytes("peer-user-answer.cbor"));
+    ASSERT_TRUE(forwarded_answer);
+    EXPECT_EQ(forwarded_answer->status, 503);
+    const auto update = wire::decode_cancellation_update(production_bytes("peer-cancelled.cbor"));
+    ASSERT_TRUE(update);
+    EXPECT_EQ(update->cancelled.size(), 2U);
     EXPECT_EQ(wire::decode_cancellation_query(production_bytes("peer-cancellations.cbor")), 431U);
 }
 
-// The division of tasks into records is a part of the format: with another one, a record would
-// leave out tasks that the other version had there.
-TEST(Compatibility, NumbersOfRecordsStayAsTheyAre) {
+// The assignment of tasks to placement records is part of the stored format. If the versions
+// assigned them differently, one that rewrites a record would leave out tasks that the other had
+// stored there.
+TEST(Compatibility, RecordNumbersAreUnchanged) {
     EXPECT_EQ(core::record_number(0, 0, 102), 0U);
     EXPECT_EQ(core::record_number(0, 101, 102), 0U);
     EXPECT_EQ(core::record_number(0, 102, 102), 1U);
     EXPECT_EQ(core::record_number(1, 99'999, 102), 1'004'166U);
     EXPECT_EQ(core::record_number(2, 17, 102), 2'000'002U);
     EXPECT_EQ(core::record_number(3, 17, 102), 3'000'017U);
-    // Those of layout 0 never reach those of the finer ones: at least 8 tasks are in each.
+    // With at least 8 tasks in each record, the record numbers of layout 0 stay below those of the
+    // finer layouts.
     EXPECT_LT(core::record_number(0, 99'999, 8), core::kRecordNumbersPerLayout);
     for (std::uint32_t layout = 0; layout <= core::kFinestLayout; ++layout) {
         for (std::uint32_t task : {0U, 7U, 8U, 23U, 24U, 500U, 99'999U}) {
@@ -113,19 +118,20 @@
     }
 }
 
-// A terminal state that keeps the description has to fit as well, or its job could never end.
-TEST(Compatibility, TerminalStatesFitSmallerLimits) {
+// A terminal state that contains the job's description must fit into the limit on values, or it
+// could never be stored and the job would never end.
+TEST(Compatibility, TerminalStatesAreReducedToFitTheValueLimit) {
     auto job = fixtures::sample_gang();
     job.types.emplace();
     for (int i = 0; i < 64; ++i) job.types->push_back(std::string(100, 'x') + std::to_string(i));
     ASSERT_GT(wire::terminal_state_value(true, &job).size(), 2048U);
     const auto value = wire::terminal_state_value_within(true, job, 2048);
     EXPECT_LE(value.size(), 2048U);
-    const auto over = wire::parse_terminal_state_value(job.id, value);
-    ASSERT_TRUE(over && over->job);
-    EXPECT_EQ(over->job->count, job.count);
-    EXPECT_EQ(over->job->team, job.team);
-    EXPECT_EQ(over->job->cpus, job.cpus);
+    const auto terminal_state = wire::parse_terminal_state_value(job.id, value);
+    ASSERT_TRUE(terminal_state && terminal_state->job);
+    EXPECT_EQ(terminal_state->job->count, job.count);
+    EXPECT_EQ(terminal_state->job->team, job.team);
+    EXPECT_EQ(terminal_state->job->cpus, job.cpus);
 }
 
 }  // namespace
