--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,6 +1,8 @@
 // Layouts of the messages between controllers. During an upgrade, controllers of two versions
-// exchange these messages, so the layouts must not change: if an entry is added, removed or moved,
-// one of the versions refuses the other's messages.
+// exchange these messages. If an entry is removed or moved, the other version refuses the message
+// or misreads it. Entries added at the end would be ignored by the production version; none are
+// added all the same, so that the encoded bytes stay those of production, as the fixtures in tests
+// check.
 #include "wire/peer_messages.h"
 
 #include "wire/cbor.h"
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -23,8 +23,10 @@
 }
 
 // This version must encode the samples as production did. If it added a field to a stored value,
-// the older version would drop the field when it rewrites the value; if it added an entry to a
-// message between controllers, the older version would refuse the message.
+// the older version would drop the field when it rewrites the value. If it removed or moved an
+// entry of a message between controllers, the older version would refuse or misread the message;
+// entries added at the end would be ignored, but messages keep their length so that the bytes stay
+// equal.
 TEST(Compatibility, EncodesSamplesAsProductionDid) {
     const auto samples = fixtures::encoded_samples();
     std::size_t files = 0;
