--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of the cloud: machine types, provisioning requests and listings.
+// Messages exchanged with the cloud: machine types, provisioning, releases and lists of machines.
 #include "wire/cloud_messages.h"
 
 #include "wire/field_names.h"
@@ -9,14 +9,18 @@
 
 namespace {
 
-constexpr double kThousandths = 1000;
-constexpr double kRounding = 1e-6;  // of a thousandth, for amounts that have no exact binary form
+constexpr double kThousandthsPerUnit = 1000;
+// Thousandths, added to an amount before it is truncated, because a decimal amount may have no
+// exact binary representation.
+constexpr double kRounding = 1e-6;
 
 std::int64_t to_thousandths(double amount) {
-    return static_cast<std::int64_t>(amount * kThousandths + kRounding);
+    return static_cast<std::int64_t>(amount * kThousandthsPerUnit + kRounding);
 }
 
-double from_thousandths(std::int64_t amount) { return static_cast<double>(amount) / kThousandths; }
+double from_thousandths(std::int64_t amount) {
+    return static_cast<double>(amount) / kThousandthsPerUnit;
+}
 
 core::MachineType read_type(json::ObjectReader& in) {
     core::MachineType type;
@@ -28,12 +32,12 @@
     in.required(field::kMemoryGb, memory_gb);
     in.optional(field::kGpus, gpus);
     type.capacity = {to_thousandths(cpus), to_thousandths(gpus), to_thousandths(memory_gb)};
-    in.optional(field::kLocalGb, type.local_gb);
+    in.optional(field::kLocalDiskGb, type.local_gb);
     in.optional(field::kFetchGbPerS, type.fetch_gb_s);
     in.optional(field::kHourlyPrice, type.hourly);
     if (!in.optional(field::kSpotHourlyPrice, type.spot_hourly)) type.spot_hourly = type.hourly;
     in.optional(field::kBootS, type.boot_s);
-    type.zones = in.texts(field::kZones).value_or(std::vector<std::string>{});
+    type.zones = in.strings(field::kZones).value_or(std::vector<std::string>{});
     return type;
 }
 
@@ -52,7 +56,8 @@
     return machine;
 }
 
-// Our addition to the protocol, for a cloud that refuses requests of an earlier epoch.
+// The epoch is an extension of the operators' protocol, for a cloud that refuses requests of an
+// earlier epoch.
 void write_epoch(json::Writer& out, duty::Epoch epoch) {
     if (epoch != 0) out.field(field::kEpoch, epoch);
 }
@@ -67,7 +72,7 @@
 
 }  // namespace
 
-std::optional<std::vector<core::MachineType>> parse_types(std::string_view body) {
+std::optional<std::vector<core::MachineType>> parse_machine_types(std::string_view body) {
     json::Document document(body);
     std::vector<core::MachineType> types;
     document.root().required_objects(field::kMachineTypes, [&](json::ObjectReader& entry) {
@@ -76,7 +81,7 @@
     return document.if_valid(std::move(types));
 }
 
-std::string types_value(const std::vector<core::MachineType>& types) {
+std::string machine_types_value(const std::vector<core::MachineType>& types) {
     return json::object_text([&](json::Writer& out) {
         out.array_field(field::kMachineTypes, [&] {
             for (const auto& type : types) out.object([&] { write_type(out, type); });
@@ -84,13 +89,13 @@
     });
 }
 
-std::string provision_body(const duty::ProvisionRequest& order, duty::Epoch epoch) {
+std::string provision_body(const duty::ProvisionRequest& request, duty::Epoch epoch) {
     return json::object_text([&](json::Writer& out) {
-        out.field(field::kRequestName, order.id);
-        out.field(field::kMachineType, order.type);
-        out.field(field::kZone, order.zone);
-        out.field(field::kSpot, order.spot);
-        out.field(field::kNumber, order.count);
+        out.field(field::kRequestId, request.id);
+        out.field(field::kMachineType, request.type);
+        out.field(field::kZone, request.zone);
+        out.field(field::kSpot, request.spot);
+        out.field(field::kMachineCount, request.count);
         write_epoch(out, epoch);
     });
 }
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,5 +1,8 @@
-// Layouts of the messages between controllers. Versions that serve side by side during an upgrade
-// share them: an entry that is added, dropped or moved makes the other version refuse the message.
+// Layouts of the messages between controllers. During an upgrade, controllers of two versions
+// exchange these messages. If an entry is removed or moved, the other version refuses the message
+// or misreads it. Entries added at the end would be ignored by the production version; none are
+// added all the same, so that the encoded bytes stay those of production, as the fixtures in tests
+// check.
 #include "wire/peer_messages.h"
 
 #include "wire/cbor.h"
@@ -12,7 +15,7 @@
 constexpr int kMaxStatus = 599;
 constexpr int kMaxRetryAfterS = 600;
 
-// A message of one number: versions, features and queries.
+// A message with a single number: a version, a set of features or a cancellation query.
 struct Number {
     std::uint64_t value = 0;
 };
@@ -44,8 +47,8 @@
     }
 };
 template <>
-struct Layout<CancellationNews> {
-    static auto entries(auto& news) { return std::tie(news.complete_after, news.cancelled); }
+struct Layout<CancellationUpdate> {
+    static auto entries(auto& update) { return std::tie(update.complete_after, update.cancelled); }
 };
 template <>
 struct Layout<core::TaskReport> {
@@ -138,9 +141,11 @@
     return answer;
 }
 
-std::string encode_cancellation_news(const CancellationNews& news) { return cbor::encode(news); }
-std::optional<CancellationNews> decode_cancellation_news(std::string_view bytes) {
-    return cbor::decode<CancellationNews>(bytes);
+std::string encode_cancellation_update(const CancellationUpdate& update) {
+    return cbor::encode(update);
+}
+std::optional<CancellationUpdate> decode_cancellation_update(std::string_view bytes) {
+    return cbor::decode<CancellationUpdate>(bytes);
 }
 
 std::string encode_report(const core::Report& report) { return cbor::encode(report); }
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of the state service: transactions, items, changes and leases.
+// Messages exchanged with the state service: transactions, items, changes and leases.
 #include "wire/state_messages.h"
 
 #include "wire/field_names.h"
@@ -27,7 +27,7 @@
     value = json::text_of(*node);
 }
 
-// An item that a watch saw change, or be removed.
+// Reads a change that a watch reports: a key that was written or removed.
 Item read_changed_item(json::ObjectReader& in) {
     Item item;
     in.required(field::kKeyRevision, item.revision);
@@ -47,7 +47,7 @@
     return item;
 }
 
-// A body of which one number is wanted.
+// Parses the required integer `name` of a body.
 std::optional<std::uint64_t> parse_number(std::string_view body, std::string_view name) {
     json::Document document(body);
     std::uint64_t number = 0;
@@ -103,15 +103,15 @@
     auto in = document.root();
     ItemPage page;
     in.required(field::kRevision, page.revision);
-    if (in.find(field::kNews) != nullptr) {
-        in.required_objects(field::kNews, [&](json::ObjectReader& entry) {
+    if (in.find(field::kWatchEvents) != nullptr) {
+        in.required_objects(field::kWatchEvents, [&](json::ObjectReader& entry) {
             page.items.push_back(read_changed_item(entry));
         });
     }
     return document.if_valid(std::move(page));
 }
 
-std::optional<std::vector<std::string>> parse_failed(std::string_view body) {
+std::optional<std::vector<std::string>> parse_failed_keys(std::string_view body) {
     json::Document document(body);
     std::vector<std::string> keys;
     document.root().required(field::kFailedKeys, keys);
@@ -122,7 +122,7 @@
     return json::object_text([&](json::Writer& out) { out.field(field::kLeaseTtlMs, ttl_ms); });
 }
 
-std::optional<std::uint64_t> parse_lease(std::string_view body) {
+std::optional<std::uint64_t> parse_lease_id(std::string_view body) {
     return parse_number(body, field::kLease);
 }
 
--- a/src/wire/stored_values.cpp
+++ b/src/wire/stored_values.cpp
@@ -1,4 +1,4 @@
-// Values of jobs, placement records, terminal states, leader and image hints in the state service.
+// Stored values of jobs, placement records, terminal states, the leader and image hints.
 #include "wire/stored_values.h"
 
 #include "wire/json_reader.h"
@@ -11,9 +11,9 @@
 
 constexpr std::uint64_t kMaxTasks = 100'000;
 constexpr rapidjson::SizeType kPlacedEntries = 4;  // task, attempt, machine, session
-// What a machine or an image takes in a value besides its name, at most.
-constexpr std::size_t kHintMachineBytes = 16;
-constexpr std::size_t kHintImageBytes = 8;
+// Upper bounds on the bytes that a machine or an image takes in the value in addition to its name.
+constexpr std::size_t kHintMachineOverheadBytes = 16;
+constexpr std::size_t kHintImageOverheadBytes = 8;
 
 void write_job(json::Writer& out, const core::JobDescription& job) {
     namespace names = stored::job;
@@ -29,7 +29,7 @@
     if (job.types) out.field(names::kTypes, *job.types);
     if (job.zone) out.field(names::kZone, *job.zone);
     out.field(names::kOneZone, job.one_zone);
-    out.field(names::kApart, job.spread_zones);
+    out.field(names::kSpreadZones, job.spread_zones);
     out.field(names::kSpot, job.spot);
     out.field(names::kDurationsS, std::array{job.estimate_s, job.checkpoint_s, job.save_s});
     if (job.deadline_s) out.field(names::kDeadlineS, *job.deadline_s);
@@ -56,13 +56,13 @@
     in.required(names::kImage, job.image);
     in.required(names::kImageGb, job.image_gb);
     in.required(names::kOneZone, job.one_zone);
-    in.required(names::kApart, job.spread_zones);
+    in.required(names::kSpreadZones, job.spread_zones);
     in.required(names::kSpot, job.spot);
     in.required(names::kDurationsS, durations);
     in.optional(names::kService, job.service);
     job.priority = static_cast<core::Priority>(priority);
     job.count = static_cast<std::uint32_t>(count);
-    job.types = in.texts(names::kTypes);
+    job.types = in.strings(names::kTypes);
     if (!in.optional(names::kZone, job.zone.emplace())) job.zone.reset();
     if (!in.optional(names::kDeadlineS, job.deadline_s.emplace())) job.deadline_s.reset();
     in.optional(names::kSubmittedMs, job.submitted_ms);
@@ -101,7 +101,8 @@
     return true;
 }
 
-// An entry of the image hints: a machine's name, the first that is not empty, and then its images.
+// Reads one entry of the image hints: the first name that is not empty is that of the machine,
+// those after it are its images.
 bool read_hint(const json::Value& entry, ImageHints::value_type& hint) {
     std::vector<std::string> names;
     if (!json::read(entry, names) || names.empty()) return false;
@@ -193,7 +194,7 @@
     TerminalState terminal_state;
     terminal_state.aborted = state == names::kAborted;
     if (const auto* job = in.find(names::kJob)) {
-        // A description that is damaged leaves the state itself as it is.
+        // A damaged description does not make the terminal state invalid.
         std::optional<ParseError> job_error;
         json::ObjectReader job_reader(*job, job_error);
         terminal_state.job = read_job(job_reader, id);
@@ -206,8 +207,8 @@
     return json::object_text([&](json::Writer& out) {
         out.array_field(stored::hints::kMachines, [&] {
             for (const auto& [machine, images] : hints) {
-                std::size_t bytes = machine.size() + kHintMachineBytes;
-                for (const auto& image : images) bytes += image.size() + kHintImageBytes;
+                std::size_t bytes = machine.size() + kHintMachineOverheadBytes;
+                for (const auto& image : images) bytes += image.size() + kHintImageOverheadBytes;
                 if (out.size_bytes() + bytes > max_bytes) break;
                 out.array([&, &machine = machine, &images = images] {
                     out.value(machine);
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of workers: heartbeats and commands.
+// Messages exchanged with workers: heartbeats and commands.
 #include "wire/worker_messages.h"
 
 #include "wire/field_names.h"
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr double kMaxNoticeS = 1e9;
-constexpr std::size_t kMaxTaskDigits = 9;  // of a task's number, so that it fits 32 bits
+constexpr std::size_t kMaxTaskDigits = 9;  // keeps a task's number within 32 bits
 
-// "job-000412/3"
+// Splits a task's name, such as "job-000412/3", into job and number. Returns false if it is
+// invalid.
 bool split_task(std::string_view name, std::string& job, std::uint32_t& task) {
     constexpr std::uint32_t kBase = 10;
     const auto slash = name.rfind('/');
@@ -57,7 +58,7 @@
     in.required(field::kMachineType, report.type, json::is_valid_name);
     in.required(field::kZone, report.zone, json::is_valid_name);
     in.required(field::kSpot, report.spot);
-    in.required(field::kAgentEpoch, report.session);
+    in.required(field::kWorkerSession, report.session);
     in.required(field::kSequence, report.seq);
     in.required(field::kFencingToken, report.token);
     in.nullable(field::kSpotNoticeS, report.notice_s,
@@ -65,7 +66,7 @@
 }
 
 void write_command(json::Writer& out, const core::Command& command) {
-    out.field(field::kCommand, text::of(text::kCommandKinds, command.kind));
+    out.field(field::kCommandKind, text::of(text::kCommandKinds, command.kind));
     out.field(field::kTask, task_name(command.job, command.task));
     out.field(field::kAttempt, command.attempt);
     if (command.kind == core::Command::Kind::Halt) out.field(field::kGraceS, command.grace_s);
@@ -104,11 +105,11 @@
     });
 }
 
-std::string direct_body(std::uint64_t token, std::uint64_t session,
-                        const std::vector<core::Command>& commands) {
+std::string direct_commands_body(std::uint64_t token, std::uint64_t session,
+                                 const std::vector<core::Command>& commands) {
     return json::object_text([&](json::Writer& out) {
         out.field(field::kFencingToken, token);
-        out.field(field::kAgentEpoch, session);
+        out.field(field::kWorkerSession, session);
         write_commands(out, commands);
     });
 }
