--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -27,7 +27,7 @@
         if (services_.host.leading() && !should_campaign()) hand_over();
         return;
     }
-    if (!services_.job_watcher.loaded() || !services_.store.can_write_at_once(1)) return;
+    if (!services_.job_watcher.loaded() || !services_.store.can_write_immediately(1)) return;
     services_.store.get(
         store::RequestPriority::Read, std::string(duty::kCleanupLeaseKey),
         [this](store::Outcome outcome, const wire::Item&) { on_lease_key_read(outcome); });
--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -57,7 +57,8 @@
 
 void CleanupRounds::begin_next_page() {
     const bool must_wait = services_.runtime.now() < next_round_at_ ||
-                           !services_.store.can_write_at_once(kWritesPerPage) || !tenure_->permit();
+                           !services_.store.can_write_immediately(kWritesPerPage) ||
+                           !tenure_->permit();
     if (must_wait) return schedule_next_page();
     if (hints_due_) return read_hints();
     read_placements();
--- a/src/control/image_hint_store.cpp
+++ b/src/control/image_hint_store.cpp
@@ -40,14 +40,14 @@
     if (!term_.host.has_leader_lease()) return;
     // The hints are split into parts, because one value holds no more than a hundred machines. One
     // part is checked and written at a time.
-    const auto value_bytes = term_.store.max_value_bytes_from_now_on() * 3 / 4;
+    const auto value_bytes = term_.store.max_value_bytes_after_reduction() * 3 / 4;
     const auto machines_per_part = std::max<std::size_t>(1, value_bytes / kBytesPerMachine);
     const auto parts = term_.cluster->with_lock(
         [&](core::Cluster& cluster) { return 1 + cluster.machine_count() / machines_per_part; });
     const auto now = term_.runtime.now();
     const auto interval =
         std::max(kMinCheckIntervalMs, kPartCheckIntervalMs / static_cast<Millis>(parts));
-    if (now - part_checked_at_ < interval || !term_.store.can_write_at_once(1)) return;
+    if (now - part_checked_at_ < interval || !term_.store.can_write_immediately(1)) return;
     part_checked_at_ = now;
     part_ = (part_ + 1) % parts;
     const auto hints = term_.cluster->with_lock(
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -57,8 +57,9 @@
     inputs.placement_records_loaded = placement_records_loaded_;
     inputs.not_after = services_.host.leader_lease_valid_until();
     inputs.may_begin_fencing = services_.host.peers_fence_duties();
-    inputs.background_writes_allowed = store.can_write_at_once(store.max_transaction_operations());
-    inputs.limits = {store.max_value_bytes_from_now_on(), store.max_transaction_operations()};
+    inputs.background_writes_allowed =
+        store.can_write_immediately(store.max_transaction_operations());
+    inputs.limits = {store.max_value_bytes_after_reduction(), store.max_transaction_operations()};
     return inputs;
 }
 
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -40,8 +40,8 @@
     const bool may_refine = term_.settings.guards.current_version &&
                             (term_.host.peers_run_current_version() || store.limits_lowered());
     return {store.max_transaction_operations(), kMaxTransactionBytes,
-            may_refine ? store.max_value_bytes_from_now_on() : store.max_value_bytes(), may_refine,
-            placement_writes_in_flight_ >= kMaxPlacementWrites};
+            may_refine ? store.max_value_bytes_after_reduction() : store.max_value_bytes(),
+            may_refine, placement_writes_in_flight_ >= kMaxPlacementWrites};
 }
 
 RecordWriter::Transaction RecordWriter::placement_transaction(const RecordWrites& writes) const {
@@ -65,7 +65,7 @@
 void RecordWriter::write_placement_records() {
     if (placement_writes_in_flight_ >= kMaxPlacementWrites + kMaxUrgentPlacementWrites) return;
     const auto now = term_.runtime.now();
-    const bool lazy = term_.store.can_write_at_once(term_.store.max_transaction_operations());
+    const bool lazy = term_.store.can_write_immediately(term_.store.max_transaction_operations());
     const auto limits = record_limits();
     auto writes = term_.cluster->with_lock(
         [&](core::Cluster& cluster) { return cluster.next_record_writes(limits, lazy, now); });
@@ -161,7 +161,7 @@
     const auto terminal_key = core::keys::terminal_state(write.job_id);
     const auto value = write.with_job
                            ? wire::terminal_state_value_within(
-                                 false, terminal.job, term_.store.max_value_bytes_from_now_on())
+                                 false, terminal.job, term_.store.max_value_bytes_after_reduction())
                            : wire::terminal_state_value(false, nullptr);
     Transaction transaction;
     transaction.conditions = {
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -138,10 +138,10 @@
 // ---- turns ----
 
 void EventLoop::run() {
-    while (!stopped_) turn(kMaxWait);
+    while (!stopped_) run_once(kMaxWait);
 }
 
-void EventLoop::turn(Millis max_wait) {
+void EventLoop::run_once(Millis max_wait) {
     std::array<epoll_event, kMaxEventsOfATurn> events{};
     now_ = clock_();
     auto wait = max_wait;
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -20,7 +20,7 @@
 
 using core::Millis;
 
-/// One thread's epoll loop with timers: the thread that calls `run` or `turn`, the loop thread.
+/// One thread's epoll loop with timers: the thread that calls `run` or `run_once`, the loop thread.
 /// All handlers and callbacks run on it, and every function but `post` and `steady_clock` may be
 /// called on it only (before `run`, on the thread that will call it).
 class EventLoop {
@@ -54,7 +54,7 @@
     /// Takes turns until `stop`.
     void run();
     /// One turn: waits at most `max_wait` for events, then runs what is due.
-    void turn(Millis max_wait);
+    void run_once(Millis max_wait);
     /// Ends `run` after the present turn.
     void stop() { stopped_ = true; }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -248,7 +248,7 @@
     std::optional<std::list<ConnectionId>::iterator> idle_position_;
 };
 
-HttpServer::HttpServer(EventLoop& loop, SocketBudget& budget, Limits limits, Handle handle,
+HttpServer::HttpServer(EventLoop& loop, SocketBudget& budget, Limits limits, Handler handle,
                        CanWait can_wait)
     : loop_(loop),
       budget_(budget),
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -21,7 +21,7 @@
   public:
     /// Handles a request. `respond` is called at most once, at once or later; it does nothing when
     /// the connection has gone.
-    using Handle = std::function<void(const HttpRequest&, Respond respond)>;
+    using Handler = std::function<void(const HttpRequest&, Respond respond)>;
     /// Whether a request may wait until all requests that may not are handled.
     using CanWait = std::function<bool(const HttpRequest&)>;
     /// Bounds of one server.
@@ -32,7 +32,7 @@
 
     /// `loop` and `budget` must outlive the server, and the server the last turn of the loop.
     /// Without `can_wait` no request waits.
-    HttpServer(EventLoop& loop, SocketBudget& budget, Limits limits, Handle handle,
+    HttpServer(EventLoop& loop, SocketBudget& budget, Limits limits, Handler handle,
                CanWait can_wait = {});
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
@@ -53,7 +53,7 @@
     EventLoop& loop_;
     SocketBudget& budget_;
     Limits limits_;
-    Handle handle_;
+    Handler handle_;
     CanWait can_wait_;
     Fd listener_;
     ConnectionId last_id_ = 0;
--- a/src/store/size_limits.cpp
+++ b/src/store/size_limits.cpp
@@ -22,7 +22,7 @@
 void SizeLimits::on_rejected(const RejectedTransaction& rejected, Millis now) {
     lowered_ = true;
     if (rejected.largest_value_bytes > next_max_value_bytes_) {
-        max_value_bytes_ = max_value_bytes_from_now_on();
+        max_value_bytes_ = max_value_bytes_after_reduction();
     } else if (rejected.largest_value_bytes > kMinValueBytes) {
         max_value_bytes_ = std::max(kMinValueBytes, rejected.largest_value_bytes / 2);
     } else if (rejected.operations > kMinOperations) {
--- a/src/store/size_limits.h
+++ b/src/store/size_limits.h
@@ -33,7 +33,7 @@
     /// Size of a value, as far as known.
     [[nodiscard]] std::size_t max_value_bytes() const { return max_value_bytes_; }
     /// Size of a value that stays allowed when an announced reduction comes into force.
-    [[nodiscard]] std::size_t max_value_bytes_from_now_on() const {
+    [[nodiscard]] std::size_t max_value_bytes_after_reduction() const {
         return std::min(max_value_bytes_, next_max_value_bytes_);
     }
     /// Whether the service has ever rejected a transaction that these limits allowed.
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -93,7 +93,7 @@
     }));
 }
 
-bool StoreClient::can_write_at_once(std::size_t writes) {
+bool StoreClient::can_write_immediately(std::size_t writes) {
     limiter_.refill(runtime_.now());
     return queue_.empty() && limiter_.has_spare(writes);
 }
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -68,7 +68,7 @@
     /// For how long all requests have failed; 0: the last one did not.
     [[nodiscard]] Millis failing_for() const { return health_.failing_for(runtime_.now()); }
     /// Whether so many keys could be written now without delaying anything else.
-    [[nodiscard]] bool can_write_at_once(std::size_t writes);
+    [[nodiscard]] bool can_write_immediately(std::size_t writes);
 
     /// How many keys a transaction may write.
     [[nodiscard]] std::size_t max_transaction_operations() const {
@@ -77,8 +77,8 @@
     /// Size of a value, as far as known.
     [[nodiscard]] std::size_t max_value_bytes() const { return limits_.max_value_bytes(); }
     /// Size of a value that stays allowed when an announced reduction comes into force.
-    [[nodiscard]] std::size_t max_value_bytes_from_now_on() const {
-        return limits_.max_value_bytes_from_now_on();
+    [[nodiscard]] std::size_t max_value_bytes_after_reduction() const {
+        return limits_.max_value_bytes_after_reduction();
     }
     /// Whether the service has rejected a transaction for its size: smaller limits are in force.
     [[nodiscard]] bool limits_lowered() const { return limits_.lowered(); }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -52,7 +52,7 @@
     NetTest() : loop_([this] { return now_; }) {}
 
     // Serves on the first port that is free.
-    void serve(std::size_t max_connections, HttpServer::Handle handle,
+    void serve(std::size_t max_connections, HttpServer::Handler handle,
                HttpServer::CanWait can_wait = {}) {
         server_.emplace(loop_, budget_, HttpServer::Limits{kMaxBodyBytes, max_connections},
                         std::move(handle), std::move(can_wait));
@@ -68,13 +68,13 @@
         return fd;
     }
     void run_turns() {
-        for (int i = 0; i < kTurnsUntilQuiet; ++i) loop_.turn(1);
+        for (int i = 0; i < kTurnsUntilQuiet; ++i) loop_.run_once(1);
     }
     void advance(Millis duration) {
         constexpr Millis kStep = 500;
         for (const auto end = now_ + duration; now_ < end;) {
             now_ = std::min(end, now_ + kStep);
-            loop_.turn(0);
+            loop_.run_once(0);
         }
         run_turns();
     }
@@ -117,7 +117,7 @@
     // What waited too long for its turn, as after the process stood still, is refused for now.
     for (std::size_t i = 0; i < 2; ++i) send_bytes(connections[i], user_request);
     loop_.defer([this] { now_ += 3000; });
-    loop_.turn(0);
+    loop_.run_once(0);
     run_turns();
     for (std::size_t i = 0; i < 2; ++i) {
         const auto response = received(connections[i]);
--- a/tests/simulation/loopback_environment.cpp
+++ b/tests/simulation/loopback_environment.cpp
@@ -75,7 +75,7 @@
     const auto until = net::EventLoop::steady_clock() + timeout_ms;
     while (net::EventLoop::steady_clock() < until) {
         if (condition()) return true;
-        loop_.turn(kStep);
+        loop_.run_once(kStep);
     }
     return condition();
 }
@@ -101,7 +101,7 @@
         << "list_lag_s = 2.0\n";
 }
 
-void LoopbackEnvironment::listen(const std::string& address, net::HttpServer::Handle handle) {
+void LoopbackEnvironment::listen(const std::string& address, net::HttpServer::Handler handle) {
     constexpr std::size_t kMaxConnections = 400;
     servers_.push_back(std::make_unique<net::HttpServer>(
         loop_, budget_, net::HttpServer::Limits{kMaxBody, kMaxConnections}, std::move(handle)));
--- a/tests/simulation/loopback_environment.h
+++ b/tests/simulation/loopback_environment.h
@@ -47,7 +47,7 @@
         bool stopped = false;
     };
     void write_settings(std::size_t node, std::size_t nodes) const;
-    void listen(const std::string& address, net::HttpServer::Handle handle);
+    void listen(const std::string& address, net::HttpServer::Handler handle);
     void listen_for_controller(std::size_t node);
     std::string listen_for_machine(const std::string& machine);
     void forward(std::size_t node, const net::HttpRequest& request, net::Respond respond);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -150,13 +150,13 @@
     SizeLimits limits({"state:1", 100, 20, 8, 8192, 4096});
     EXPECT_FALSE(limits.lowered());
     EXPECT_EQ(limits.max_value_bytes(), 8192U);
-    EXPECT_EQ(limits.max_value_bytes_from_now_on(), 4096U);
+    EXPECT_EQ(limits.max_value_bytes_after_reduction(), 4096U);
     limits.on_rejected({.operations = 8, .largest_value_bytes = 8000}, 0);
     EXPECT_TRUE(limits.lowered());
     EXPECT_EQ(limits.max_value_bytes(), 4096U);
     limits.on_rejected({.operations = 8, .largest_value_bytes = 4000}, 0);
     EXPECT_EQ(limits.max_value_bytes(), 2000U);
-    EXPECT_EQ(limits.max_value_bytes_from_now_on(), 2000U);
+    EXPECT_EQ(limits.max_value_bytes_after_reduction(), 2000U);
     EXPECT_EQ(limits.max_transaction_operations(), 8U);
     limits.on_rejected({.operations = 8, .largest_value_bytes = 100}, 0);
     EXPECT_EQ(limits.max_value_bytes(), 2000U);
