--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-// Requests to the cloud and what their answers mean.
+// Requests to the cloud and the interpretation of their replies.
 #include "cloud/cloud_client.h"
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 namespace http_status = net::http_status;
 
 constexpr Millis kTimeout = 4000;
-constexpr double kMinBurst = 2;                // requests that may always leave together
-constexpr double kBurstSeconds = 1.5;          // or as many as the rate allows in this time
-constexpr std::size_t kPageMachines = 500;     // the protocol's limit
-constexpr std::size_t kMaxMachines = 100'000;  // only bounds the memory that a broken list takes
+constexpr double kMinBurst = 2;             // capacity of the token bucket, at least this
+constexpr double kBurstSeconds = 1.5;       // or as many requests as the rate allows in this time
+constexpr std::size_t kPageMachines = 500;  // the largest page size that the protocol allows
+constexpr std::size_t kMaxMachines = 100'000;  // bounds the memory used by a faulty list
 constexpr int kMaxPageRetries = 40;
 constexpr Millis kPageRetryInterval = 250;
 
@@ -28,7 +28,8 @@
     return reply.status == 0 && reply.sent ? Result::NoResponse : Result::Unavailable;
 }
 
-// Refused for the rate, by the cloud or before it was sent.
+// Whether the cloud (429) or the client's own rate limit rejected the request. A request that could
+// not be sent for another reason, such as a failed connection, counts as well.
 bool is_rate_limited(const net::HttpReply& reply) {
     return reply.status == http_status::kTooManyRequests || (reply.status == 0 && !reply.sent);
 }
@@ -110,7 +111,7 @@
 }
 
 void CloudClient::on_page(const std::shared_ptr<Listing>& listing, const net::HttpReply& reply) {
-    // A large fleet has more pages than the rate allows at once.
+    // The list of a large fleet has more pages than the rate limit allows in one burst.
     if (is_rate_limited(reply) && listing->retries_left-- > 0) {
         runtime_.after(kPageRetryInterval,
                        callbacks_.bind([this, listing] { request_page(listing); }));
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The client of the cloud, which provisions and releases machines.
+// Client of the cloud API, which provisions and releases machines.
 
 #include <functional>
 #include <memory>
@@ -19,62 +19,65 @@
 
 using core::Millis;
 
-/// How a request to the cloud ended.
+/// Outcome of a request to the cloud.
 enum class Result : std::uint8_t {
     Ok,           ///< executed
-    NoCapacity,   ///< not executed: the cloud has too few machines of that kind (503)
-    Unavailable,  ///< certainly not executed; may be tried again
-    StaleEpoch,   ///< not executed: the cloud knows of a later holder of the duty (409)
-    NoResponse,   ///< may have been executed, or may still be
+    NoCapacity,   ///< not executed: too few machines of that type are available (503)
+    Unavailable,  ///< certainly not executed; the request may be retried
+    StaleEpoch,   ///< not executed: the cloud has seen a later holder of the duty (409)
+    NoResponse,   ///< no usable reply; the request may have been executed or still be
 };
 
-/// Sends requests to the cloud, at a limited rate and each with a deadline. A request beyond the
-/// rate is not sent and ends as `Unavailable`; the caller's next round tries again. Each callback
-/// is called once and never from inside the call that it was passed to; once the client is
-/// destroyed, none is called any more. Loop thread only.
+/// Sends requests to the cloud at a limited rate, each with a timeout. A request beyond the rate
+/// limit is not sent and ends as `Unavailable`; callers retry it in their next round. Each callback
+/// is called exactly once, and never from inside the call that it was passed to; no callback is
+/// called after the client is destroyed. Loop thread only.
 class CloudClient {
   public:
-    /// `address`: "IP:port"; `max_requests_per_s`: of all controllers together. `runtime` must
-    /// outlive the client.
+    /// `address`: "IP:port"; `max_requests_per_s`: rate limit for all controllers together.
+    /// `runtime` must outlive the client.
     CloudClient(net::Runtime& runtime, std::string address, double max_requests_per_s);
 
-    /// Sets the part of the rate limit that this controller may use, 0 to 1.
+    /// Sets the fraction of the rate limit that this controller may use, 0 to 1.
     void set_share(double share) { share_ = share; }
 
     /// Receives the machine types; empty unless the result is `Ok`.
     using OnTypes = std::function<void(Result, std::vector<core::MachineType>)>;
     /// Receives the names of the new machines; empty unless the result is `Ok`.
     using OnProvisioned = std::function<void(Result, std::vector<std::string>)>;
-    /// Receives the result alone.
+    /// Receives the result of a request that returns no data.
     using OnDone = std::function<void(Result)>;
-    /// Receives the machines that could be read, and with `Ok` the names of all that exist.
+    /// Receives the machines that were read and, with `Ok` only, the names of all existing
+    /// machines.
     using OnListing =
         std::function<void(Result, std::vector<core::ListedMachine>, std::set<std::string>)>;
 
-    /// Reads the machine types on offer.
+    /// Reads the machine types that the cloud offers.
     void types(OnTypes done);
-    /// Provisions machines. Only a holder of the duty can make this request; it is sent before its
-    /// `not_after` or never.
+    /// Provisions machines. A FencedProvision can only be created by the holder of the duty; it is
+    /// not sent after its `not_after` time.
     void provision(const duty::FencedProvision& provision, OnProvisioned done);
-    /// Releases machines, under the same condition.
+    /// Releases machines; fenced and bounded in time in the same way as `provision`.
     void release(const duty::FencedRelease& release, OnDone done);
-    /// Reads all pages of the list of machines; `Ok` only if every page came.
+    /// Reads all pages of the machine list. The result is `Ok` only if every page was received.
     void list(OnListing done);
 
   private:
-    // A list that is being read page by page.
+    // A machine list that is being read page by page.
     struct Listing {
         std::vector<core::ListedMachine> machines;
         OnListing done;
         int retries_left = 0;
 
-        /// Name after which the next page begins; empty: at the first machine.
+        /// Name of the last machine read, after which the next page starts; empty for the first
+        /// page.
         [[nodiscard]] std::string since() const {
             return machines.empty() ? std::string() : machines.back().name;
         }
-        /// Ends it without the pages that lack: it says nothing of machines that it does not name.
+        /// Reports the machines read so far as an incomplete list. A machine missing from it may
+        /// still exist, so no set of names is passed on.
         void end_incomplete() { done(Result::Unavailable, std::move(machines), {}); }
-        /// Ends it with all pages.
+        /// Reports the complete list.
         void end_complete();
     };
     void call(net::HttpRequest request, net::OnReply done);
