--- a/src/net/callback_scope.h
+++ b/src/net/callback_scope.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The one way in which clients of the runtime keep callbacks from reaching a destroyed object.
+// Prevents callbacks from reaching an object that has been destroyed.
 
 #include <memory>
 #include <utility>
@@ -8,13 +8,13 @@
 namespace lichendrift::net {
 
 /// Bounds the lifetime of callbacks that capture `this`: a callback made by `bind` does nothing
-/// once the scope is gone or was ended. Keep it as the last member of the object that the callbacks
-/// use, so that it goes first, or end it when the object stops. Loop thread only, but a callback
-/// may be destroyed on any thread.
+/// once the scope is destroyed or ended. Make it the last member of the object that the callbacks
+/// use, so that it is destroyed first, or end it when the object stops. Loop thread only, but a
+/// callback may be destroyed on any thread.
 ///
-/// Objects with one owner (clients of services, timers of a server, a leader) use a scope; objects
-/// that are shared between callbacks (connections) derive from `std::enable_shared_from_this` and
-/// let each callback hold a pointer to them.
+/// Objects with a single owner (service clients, servers with timers, a leader) use a scope.
+/// Objects that callbacks share ownership of (connections) derive from
+/// `std::enable_shared_from_this` instead, and each callback holds a pointer to them.
 class CallbackScope {
   public:
     CallbackScope() = default;
@@ -22,7 +22,8 @@
     CallbackScope& operator=(const CallbackScope&) = delete;
     ~CallbackScope() = default;
 
-    /// `callback`, as long as this scope is active; afterwards a function that does nothing.
+    /// Wraps `callback` in a function that calls it while this scope is active and does nothing
+    /// afterwards.
     template <typename Callback>
     [[nodiscard]] auto bind(Callback callback) const {
         return [alive = std::weak_ptr<const bool>(alive_),
@@ -31,10 +32,10 @@
         };
     }
 
-    /// From now on no callback of this scope does anything.
+    /// Disables all callbacks made by this scope.
     void end() { alive_.reset(); }
 
-    /// Whether end() was not called yet.
+    /// False after `end` was called.
     [[nodiscard]] bool active() const { return alive_ != nullptr; }
 
   private:
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-// Turns of the event loop.
+// Implementation of the event loop on epoll and eventfd.
 #include "net/event_loop.h"
 
 #include <sys/epoll.h>
@@ -15,10 +15,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxEventsOfATurn = 64;
+constexpr std::size_t kMaxEventsPerIteration = 64;
 constexpr Millis kMaxWait = 1000;
-// Of each turn: about as long as a turn full of events takes on a slow machine.
-constexpr Millis kDeferredTime = 5;
+// Time for deferred work in each iteration: about as long as an iteration with the maximum number
+// of events takes on a slow machine.
+constexpr Millis kMaxDeferredTime = 5;
 constexpr std::int64_t kNanosecondsPerMs = 1'000'000;
 
 }  // namespace
@@ -86,7 +87,8 @@
 }
 
 void EventLoop::run_timers() {
-    // Timers set by these timers wait for the next turn, so that sockets get theirs.
+    // Timers that these callbacks set wait for the next iteration, so that timers can't starve
+    // socket events.
     const auto last = last_timer_;
     while (!timers_.empty()) {
         const auto it = timers_.begin();
@@ -99,7 +101,7 @@
     }
 }
 
-// ---- work without a time of its own ----
+// ---- posted and deferred work ----
 
 void EventLoop::post(std::function<void()> work) {
     {
@@ -127,7 +129,7 @@
 
 void EventLoop::run_deferred() {
     if (deferred_.empty()) return;
-    const auto until = clock_() + kDeferredTime;
+    const auto until = clock_() + kMaxDeferredTime;
     do {
         auto work = std::move(deferred_.front());
         deferred_.pop_front();
@@ -135,14 +137,14 @@
     } while (!deferred_.empty() && clock_() < until);
 }
 
-// ---- turns ----
+// ---- iterations ----
 
 void EventLoop::run() {
     while (!stopped_) run_once(kMaxWait);
 }
 
 void EventLoop::run_once(Millis max_wait) {
-    std::array<epoll_event, kMaxEventsOfATurn> events{};
+    std::array<epoll_event, kMaxEventsPerIteration> events{};
     now_ = clock_();
     auto wait = max_wait;
     if (!timers_.empty()) {
@@ -156,7 +158,7 @@
         const auto& event = events[static_cast<std::size_t>(i)];
         const auto it = handlers_.find(event.data.fd);
         if (it == handlers_.end()) continue;
-        const auto handler = it->second;  // it may remove itself
+        const auto handler = it->second;  // keeps it alive if it removes itself
         (*handler)(event.events);
     }
     run_timers();
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The event loop of the process: sockets, timers and work that other threads hand over.
+// Event loop of the process: sockets, timers and work posted by other threads.
 
 #include <cstdint>
 #include <deque>
@@ -20,47 +20,50 @@
 
 using core::Millis;
 
-/// One thread's epoll loop with timers: the thread that calls `run` or `run_once`, the loop thread.
-/// All handlers and callbacks run on it, and every function but `post` and `steady_clock` may be
-/// called on it only (before `run`, on the thread that will call it).
+/// A single-threaded epoll loop with timers. The thread that calls `run` or `run_once` is the loop
+/// thread: all handlers and callbacks run on it, and every function except `post` and
+/// `steady_clock` may only be called on it (before `run`, on the thread that will call `run`).
 class EventLoop {
   public:
-    /// Receives what epoll reports of a descriptor, as its bit set (`EPOLLIN`, ...).
+    /// Receives the events that epoll reports for a descriptor, as a bit mask (`EPOLLIN`, ...).
     using Handler = std::function<void(std::uint32_t events)>;
 
-    /// `clock`: steady time; tests pass a clock of their own. Throws `std::system_error` if the
-    /// system has no descriptors left.
+    /// `clock`: returns steady time; tests pass their own. Throws `std::system_error` if the
+    /// epoll or event descriptor can't be created.
     explicit EventLoop(std::function<Millis()> clock = steady_clock);
 
-    /// Watches a descriptor for these epoll events. Throws `std::system_error` on failure.
+    /// Watches a descriptor for `events` (an epoll bit mask). Throws `std::system_error` on
+    /// failure. The caller keeps ownership of the descriptor.
     void add(int descriptor, std::uint32_t events, Handler handler);
-    /// Changes the events that a descriptor is watched for.
+    /// Changes the events that an added descriptor is watched for.
     void modify(int descriptor, std::uint32_t events);
-    /// Watches it no longer. To be called before it is closed; a handler may remove itself.
+    /// Stops watching a descriptor. Must be called before the descriptor is closed; a handler may
+    /// remove its own descriptor.
     void remove(int descriptor);
 
-    /// Calls `callback` once after `delay`, in a later turn. Timers of the same moment fire in the
-    /// order in which they were set.
+    /// Calls `callback` once after `delay`, never from inside this call. Timers due at the same
+    /// time fire in the order in which they were set.
     TimerId after(Millis delay, std::function<void()> callback);
     /// Cancels a timer; does nothing if it has fired or was cancelled.
     void cancel(TimerId id);
 
-    /// Has `work` run on the loop thread. May be called on any thread.
+    /// Queues `work` to run on the loop thread. May be called on any thread.
     void post(std::function<void()> work);
-    /// Has `work` run after all that is urgent: after a turn's events and timers, as much as fits
-    /// into a bounded time each turn.
+    /// Queues `work` to run at low priority: after the events and timers of an iteration, for a
+    /// bounded time in each iteration.
     void defer(std::function<void()> work) { deferred_.push_back(std::move(work)); }
 
-    /// Takes turns until `stop`.
+    /// Runs iterations until `stop` is called.
     void run();
-    /// One turn: waits at most `max_wait` for events, then runs what is due.
+    /// Runs one iteration: waits up to `max_wait` for events, then runs their handlers, due timers
+    /// and deferred work.
     void run_once(Millis max_wait);
-    /// Ends `run` after the present turn.
+    /// Makes `run` return after the current iteration.
     void stop() { stopped_ = true; }
 
-    /// Steady time as of the last wait of this turn.
+    /// Steady time, cached at the start of the iteration and after its wait for events.
     [[nodiscard]] Millis now() const { return now_; }
-    /// Steady time, read anew: the process may have stood still since the turn began.
+    /// Steady time, read from the clock: the process may have been paused since `now` was cached.
     [[nodiscard]] Millis read_clock() const { return clock_(); }
     /// The system's steady clock. May be called on any thread.
     static Millis steady_clock();
--- a/src/net/fd.h
+++ b/src/net/fd.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Ownership of a file descriptor.
+// RAII owner of a file descriptor.
 
 #include <unistd.h>
 
@@ -8,16 +8,17 @@
 
 namespace lichendrift::net {
 
-/// Owns a file descriptor and closes it.
+/// Owns a file descriptor and closes it on destruction. Movable, not copyable.
 class Fd {
   public:
-    /// Owns none.
+    /// Owns no descriptor.
     Fd() = default;
-    /// Takes over a descriptor; a negative one, as a failed system call returns, is none.
+    /// Takes ownership of a descriptor. A negative one, as a failed system call returns it, means
+    /// no descriptor.
     explicit Fd(int descriptor) : descriptor_(descriptor) {}
-    /// Takes over the descriptor of another.
+    /// Takes ownership of the descriptor of `other`, which then owns none.
     Fd(Fd&& other) noexcept : descriptor_(std::exchange(other.descriptor_, -1)) {}
-    /// Closes its own and takes over that of another.
+    /// Closes the owned descriptor and takes ownership of that of `other`.
     Fd& operator=(Fd&& other) noexcept {
         if (this != &other) {
             reset();
@@ -29,13 +30,13 @@
     Fd& operator=(const Fd&) = delete;
     ~Fd() { reset(); }
 
-    /// Closes it.
+    /// Closes the owned descriptor, if any.
     void reset() {
         if (descriptor_ >= 0) ::close(std::exchange(descriptor_, -1));
     }
-    /// The descriptor; negative: none.
+    /// The descriptor, still owned by this object; negative if there is none.
     [[nodiscard]] int get() const { return descriptor_; }
-    /// Whether it owns one.
+    /// Whether this object owns a descriptor.
     [[nodiscard]] bool valid() const { return descriptor_ >= 0; }
 
   private:
--- a/src/net/malformed_message_counter.h
+++ b/src/net/malformed_message_counter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Counts messages that could not be parsed, and logs the count at a bounded rate.
+// Counts messages that could not be parsed and logs the count at a limited rate.
 
 #include <cstdint>
 #include <optional>
@@ -10,14 +10,15 @@
 
 namespace lichendrift::net {
 
-/// Counts malformed messages of one source and logs their number every five seconds at most. The
-/// caller treats each of them as no answer. Loop thread only.
+/// Counts malformed messages from one source and logs their number at most every five seconds.
+/// Callers treat a malformed message as if none had arrived. Loop thread only.
 class MalformedMessageCounter {
   public:
-    /// `source`: who sends the messages, as the log names it ("a worker"). Must outlive this.
+    /// `source`: sender of the messages as named in the log ("a worker"); the string must outlive
+    /// the counter.
     explicit MalformedMessageCounter(const char* source) : source_(source) {}
 
-    /// Counts one more. `now`: steady time.
+    /// Counts one malformed message. `now`: steady time.
     void note(core::Millis now) {
         ++count_;
         if (logged_at_ && now - *logged_at_ < kLogInterval) return;
@@ -25,7 +26,7 @@
         events::log(events::MalformedMessages{source_, count_});
     }
 
-    /// How many there were since the start.
+    /// Number of malformed messages since construction.
     [[nodiscard]] std::uint64_t count() const { return count_; }
 
   private:
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// The name of a timer.
+// Identifier of a timer.
 
 #include <cstdint>
 
 namespace lichendrift::net {
 
-/// Names a timer from when it is set until it has fired or was cancelled. 0 names none, and no
-/// name is used twice, so cancelling one that has fired does nothing.
+/// Identifies a timer until it fires or is cancelled. 0 is no timer. IDs are never reused, so
+/// cancelling a timer that has fired does nothing.
 using TimerId = std::uint64_t;
 
 }  // namespace lichendrift::net
--- a/src/net/token_bucket.h
+++ b/src/net/token_bucket.h
@@ -1,25 +1,25 @@
 #pragma once
 
-// The arithmetic of a token bucket, without a clock of its own.
+// Token bucket arithmetic; callers keep the time.
 
 #include <algorithm>
 
 namespace lichendrift::net {
 
-/// A token bucket: what is sent takes tokens, time brings new ones up to a capacity. Any one
-/// thread at a time.
+/// A token bucket for rate limiting: sending takes tokens, and the caller adds new ones as time
+/// passes, up to a capacity. Not thread-safe.
 class TokenBucket {
   public:
-    /// A bucket with so many tokens to begin with.
+    /// `tokens`: initial number of tokens.
     explicit TokenBucket(double tokens) : tokens_(tokens) {}
 
-    /// Adds tokens; what exceeds `capacity` is lost.
+    /// Adds tokens; those beyond `capacity` are discarded.
     void add(double tokens, double capacity) { tokens_ = std::min(tokens_ + tokens, capacity); }
 
-    /// Takes tokens. The bucket may go below zero: the caller decides how far.
+    /// Takes tokens. The balance may become negative; the caller decides how far.
     void take(double tokens) { tokens_ -= tokens; }
 
-    /// Tokens in the bucket; negative while it is in debt.
+    /// Current balance; negative if more tokens were taken than were available.
     [[nodiscard]] double tokens() const { return tokens_; }
 
   private:
