--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -12,9 +12,9 @@
 namespace http_status = net::http_status;
 
 constexpr Millis kTimeout = 4000;
-constexpr double kMinBurst = 2;             // capacity of the token bucket, at least this
-constexpr double kBurstSeconds = 1.5;       // or as many requests as the rate allows in this time
-constexpr std::size_t kPageMachines = 500;  // the largest page size that the protocol allows
+constexpr double kMinBurst = 2;        // minimum capacity of the token bucket, requests
+constexpr double kBurstSeconds = 1.5;  // capacity as time at the permitted rate, if that is more
+constexpr std::size_t kPageMachines = 500;     // the largest page size that the protocol allows
 constexpr std::size_t kMaxMachines = 100'000;  // bounds the memory used by a faulty list
 constexpr int kMaxPageRetries = 40;
 constexpr Millis kPageRetryInterval = 250;
