--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,4 +1,4 @@
-// Connections of the HTTP client and which of them are kept.
+// Connections of the HTTP client and the pool of idle connections.
 #include "net/http_client.h"
 
 #include <sys/epoll.h>
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr std::size_t kMaxPerAddress = 48;
+constexpr std::size_t kMaxOpenPerAddress = 48;
 constexpr std::size_t kMaxIdlePerAddress = 6;
-constexpr std::size_t kSpareSockets = 8;  // for what the process opens besides
+constexpr std::size_t kReservedSockets = 8;  // left free for other sockets of the process
 constexpr Millis kMaxIdleTime = 20'000;
 constexpr Millis kSweepInterval = 5000;
-constexpr std::size_t kReadBytes = 16'384;
+constexpr std::size_t kReadBufferBytes = 16'384;
 
 std::string render(const HttpRequest& request, const std::string& host) {
     std::string text =
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-// One connection: connecting, then idle or with one request. Held by the loop while it is open, and
-// by the client while it is idle.
+// One connection: connecting, idle or in use by one request. The loop's handler owns it while it is
+// open, and the client owns it too while it is idle.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
   public:
     Connection(HttpClient& client, std::string address, Fd descriptor)
         : client_(client),
           address_(std::move(address)),
-          socket_(client.loop_, std::move(descriptor), BufferedSocket::Initially::Connecting) {}
+          socket_(client.loop_, std::move(descriptor), BufferedSocket::InitialState::Connecting) {}
 
     void open() {
         socket_.watch(
@@ -71,7 +71,7 @@
         idle_since_ = client_.loop_.now();
         idle_position_ = position;
     }
-    void set_used() { idle_position_.reset(); }
+    void set_in_use() { idle_position_.reset(); }
 
   private:
     void on_events(std::uint32_t events) {
@@ -93,29 +93,30 @@
     }
 
     void flush() {
-        if (!wrote_ && is_past_bound()) return fail();
+        if (!wrote_ && is_past_not_after()) return fail();
         const auto flushed = socket_.flush();
         wrote_ = wrote_ || flushed.bytes > 0;
         if (flushed.failed) return fail();
         socket_.wait_for_events();
     }
 
-    // Whoever stood still may have lost what gave the right to send this.
-    [[nodiscard]] bool is_past_bound() const {
+    // If the process was paused, the lease that permitted this request may have expired meanwhile.
+    // The cached loop time does not show that, so the clock is read.
+    [[nodiscard]] bool is_past_not_after() const {
         return not_after_ != 0 && client_.loop_.read_clock() > not_after_;
     }
 
     void read() {
-        std::array<char, kReadBytes> buffer;
+        std::array<char, kReadBufferBytes> buffer;
         for (;;) {
             std::size_t bytes = 0;
             const auto received = socket_.receive(buffer, bytes);
-            if (received == BufferedSocket::Received::Nothing) return;
-            if (received == BufferedSocket::Received::Failed) return fail();
-            // Data or an end without a request: the connection is of no use any more.
+            if (received == BufferedSocket::ReceiveResult::Nothing) return;
+            if (received == BufferedSocket::ReceiveResult::Failed) return fail();
+            // Data or an end of stream while no request is pending: the connection is unusable.
             if (!on_reply_) return fail();
             const auto progress = parser_.parse({buffer.data(), bytes});
-            const bool ended = received == BufferedSocket::Received::End;
+            const bool ended = received == BufferedSocket::ReceiveResult::End;
             if (progress == ReplyProgress::Complete) return finish(!ended);
             if (progress == ReplyProgress::Malformed || ended) return fail();
             if (bytes < buffer.size()) return;
@@ -126,7 +127,7 @@
         client_.loop_.cancel(timer_);
         const auto on_reply = std::exchange(on_reply_, nullptr);
         auto reply = parser_.take_reply();
-        if (still_open && parser_.keep_alive() && client_.has_idle_place(address_)) {
+        if (still_open && parser_.keep_alive() && client_.has_idle_capacity(address_)) {
             client_.add_idle(shared_from_this());
         } else {
             close();
@@ -141,7 +142,8 @@
         if (idle_position_) client_.take_idle(*idle_position_);
         close();
         if (!on_reply) return;
-        // Never from inside call(): a kept connection can fail while the request is handed over.
+        // The timer keeps the reply out of call(): an idle connection can fail while the request
+        // is being sent on it.
         client_.loop_.after(0, [on_reply = std::move(on_reply), sent = wrote_] {
             on_reply({.status = 0, .body = {}, .sent = sent});
         });
@@ -151,13 +153,13 @@
     std::string address_;
     BufferedSocket socket_;
     ReplyParser parser_;
-    OnReply on_reply_;  // none: no request
+    OnReply on_reply_;  // empty: no request is pending
     TimerId timer_ = 0;
     Millis idle_since_ = 0;
-    std::optional<IdleList::iterator> idle_position_;  // none: in use
+    std::optional<IdleList::iterator> idle_position_;  // empty: in use
     Millis not_after_ = 0;                             // 0: no bound
     bool connected_ = false;
-    bool wrote_ = false;  // whether any byte of the request has left
+    bool wrote_ = false;  // whether any byte of the request was sent
 };
 
 HttpClient::HttpClient(EventLoop& loop, SocketBudget& budget) : loop_(loop), budget_(budget) {
@@ -173,7 +175,7 @@
         take_idle(pool.idle.back())->start(request, timeout, std::move(on_reply));
         return;
     }
-    if (pool.open >= kMaxPerAddress || !make_room()) return reply_unsent(std::move(on_reply));
+    if (pool.open >= kMaxOpenPerAddress || !make_room()) return reply_unsent(std::move(on_reply));
     auto descriptor = connect_to(address);
     if (!descriptor.valid()) return reply_unsent(std::move(on_reply));
     ++pool.open;
@@ -196,7 +198,7 @@
 
 // ---- idle connections ----
 
-bool HttpClient::has_idle_place(const std::string& address) const {
+bool HttpClient::has_idle_capacity(const std::string& address) const {
     const auto pool = pools_.find(address);
     return pool == pools_.end() || pool->second.idle.size() < kMaxIdlePerAddress;
 }
@@ -211,24 +213,26 @@
     auto connection = std::move(*position);
     std::erase(pools_[connection->address()].idle, position);
     idle_.erase(position);
-    connection->set_used();
+    connection->set_in_use();
     return connection;
 }
 
-// A fleet has more workers than there are sockets to keep open to them: without closing idle ones
-// no request could reach the state service any more.
+// Closes the least recently used idle connections until a new socket fits into the budget, and
+// returns whether it does. A large fleet has more workers than the process may have sockets;
+// without this, idle connections to workers would use up the budget and block requests to the state
+// service.
 bool HttpClient::make_room() {
-    while (budget_.open + kSpareSockets >= budget_.max_sockets && !idle_.empty()) {
+    while (budget_.open + kReservedSockets >= budget_.max_sockets && !idle_.empty()) {
         take_idle(idle_.begin())->close();
     }
-    return budget_.open + kSpareSockets < budget_.max_sockets;
+    return budget_.open + kReservedSockets < budget_.max_sockets;
 }
 
 void HttpClient::schedule_sweep() {
-    loop_.after(kSweepInterval, callbacks_.bind([this] { close_idle_too_long(); }));
+    loop_.after(kSweepInterval, callbacks_.bind([this] { close_expired_idle(); }));
 }
 
-void HttpClient::close_idle_too_long() {
+void HttpClient::close_expired_idle() {
     while (!idle_.empty() && loop_.now() - idle_.front()->idle_since() > kMaxIdleTime) {
         take_idle(idle_.begin())->close();
     }
--- a/src/net/http_parsers.cpp
+++ b/src/net/http_parsers.cpp
@@ -1,5 +1,5 @@
-// The callbacks of the http_parser library. One that returns something else than 0 ends the parsing
-// with an error.
+// Callbacks for the http_parser library. A callback that returns a value other than 0 makes parsing
+// fail.
 #include "net/http_parsers.h"
 
 #include <climits>
@@ -43,26 +43,26 @@
 
 const http_parser_settings& RequestParser::callbacks() {
     static const http_parser_settings settings = [] {
-        http_parser_settings made{};
-        http_parser_settings_init(&made);
-        made.on_message_begin = [](http_parser* parser) {
+        http_parser_settings result{};
+        http_parser_settings_init(&result);
+        result.on_message_begin = [](http_parser* parser) {
             auto& request_parser = self(parser);
             request_parser.request_ = {};
             request_parser.header_bytes_ = 0;
             request_parser.in_request_ = true;
             return 0;
         };
-        made.on_url = [](http_parser* parser, const char* data, std::size_t size) {
+        result.on_url = [](http_parser* parser, const char* data, std::size_t size) {
             auto& target = self(parser).request_.target;
             target.append(data, size);
             return target.size() > kMaxRequestTarget ? 1 : 0;
         };
-        made.on_header_field = on_header;
-        made.on_header_value = on_header;
-        made.on_headers_complete = on_headers_complete;
-        made.on_body = on_body;
-        made.on_message_complete = on_complete;
-        return made;
+        result.on_header_field = on_header;
+        result.on_header_value = on_header;
+        result.on_headers_complete = on_headers_complete;
+        result.on_body = on_body;
+        result.on_message_complete = on_complete;
+        return result;
     }();
     return settings;
 }
@@ -78,7 +78,7 @@
     const bool has_length = parser->content_length != ULLONG_MAX;
     if (!has_length || parser->content_length <= request_parser.max_body_bytes_) return 0;
     request_parser.too_large_ = true;
-    return -1;  // 1 and 2 mean something else here
+    return -1;  // from this callback, the library reads 1 and 2 as "no body", not as errors
 }
 
 int RequestParser::on_body(http_parser* parser, const char* data, std::size_t size) {
@@ -125,11 +125,11 @@
 
 const http_parser_settings& ReplyParser::callbacks() {
     static const http_parser_settings settings = [] {
-        http_parser_settings made{};
-        http_parser_settings_init(&made);
-        made.on_body = on_body;
-        made.on_message_complete = on_complete;
-        return made;
+        http_parser_settings result{};
+        http_parser_settings_init(&result);
+        result.on_body = on_body;
+        result.on_message_complete = on_complete;
+        return result;
     }();
     return settings;
 }
--- a/src/net/http_parsers.h
+++ b/src/net/http_parsers.h
@@ -11,40 +11,40 @@
 
 namespace lichendrift::net {
 
-/// Sizes of the parts of a request, bytes.
+/// Maximum length of a request's target (path and query), bytes.
 inline constexpr std::size_t kMaxRequestTarget = 2048;
-/// Of all header fields together, bytes.
+/// Maximum total length of all header names and values of a request, bytes.
 inline constexpr std::size_t kMaxRequestHeaders = 8192;
 
-/// What a request parser has made of the bytes so far.
+/// State of a request parser after the bytes parsed so far.
 enum class RequestProgress : std::uint8_t {
     Incomplete,  ///< more bytes are needed
     Complete,    ///< `RequestParser::take_request` has a request
-    TooLarge,    ///< its body is longer than allowed
-    Upgrade,     ///< it asks for another protocol
-    Malformed,   ///< it is not HTTP, or its target or headers are too long
+    TooLarge,    ///< the body exceeds the limit
+    Upgrade,     ///< the client asks to switch to another protocol
+    Malformed,   ///< not valid HTTP, or the target or headers are too long
 };
 
-/// Parses the requests of one connection, one after the other. Does not move: the library keeps a
-/// pointer to it.
+/// Parses the requests of one connection one after the other. Neither copyable nor movable, because
+/// the library keeps a pointer to the parser.
 class RequestParser {
   public:
-    /// `max_body_bytes`: the longest body that is taken.
+    /// `max_body_bytes`: maximum body length; a longer one gives `TooLarge`.
     explicit RequestParser(std::size_t max_body_bytes);
     RequestParser(const RequestParser&) = delete;
     RequestParser& operator=(const RequestParser&) = delete;
     ~RequestParser() = default;
 
-    /// Parses up to the end of a request. `consumed` is set to how many bytes that were. After
-    /// anything but `Incomplete` and `Complete` the connection is of no use any more.
+    /// Parses `bytes` up to the end of the current request and sets `consumed` to the number of
+    /// bytes parsed. After any result but `Incomplete` and `Complete` the connection is unusable.
     RequestProgress parse(std::string_view bytes, std::size_t& consumed);
 
-    /// The request that is complete; the next one may begin.
+    /// Returns the complete request and makes the parser ready for the next one.
     HttpRequest take_request();
 
-    /// Whether a request has begun that was not taken yet.
+    /// Whether a request has started that `take_request` has not returned yet.
     [[nodiscard]] bool in_request() const { return in_request_; }
-    /// Whether the connection may be used for more than the last request.
+    /// Whether the last request allows further requests on the connection.
     [[nodiscard]] bool keep_alive() const { return keep_alive_; }
 
   private:
@@ -65,14 +65,15 @@
     bool keep_alive_ = true;
 };
 
-/// What a reply parser has made of the bytes so far.
+/// State of a reply parser after the bytes parsed so far.
 enum class ReplyProgress : std::uint8_t {
     Incomplete,  ///< more bytes are needed
     Complete,    ///< `ReplyParser::take_reply` has a reply
-    Malformed,   ///< it is not HTTP, or its body is too long
+    Malformed,   ///< not valid HTTP, or the body is too long
 };
 
-/// Parses the replies of one connection, one after the other. Does not move.
+/// Parses the replies of one connection one after the other. Neither copyable nor movable, because
+/// the library keeps a pointer to the parser.
 class ReplyParser {
   public:
     ReplyParser() { reset(); }
@@ -80,13 +81,14 @@
     ReplyParser& operator=(const ReplyParser&) = delete;
     ~ReplyParser() = default;
 
-    /// Begins a new reply.
+    /// Prepares the parser for a new reply; discards an incomplete one.
     void reset();
-    /// Parses these bytes; none: the other side sends no more, which ends some replies.
+    /// Parses `bytes`. Pass an empty view at the end of the stream: it completes a reply that has
+    /// no explicit length.
     ReplyProgress parse(std::string_view bytes);
-    /// The reply that is complete.
+    /// Returns the complete reply, which leaves the parser without one.
     HttpReply take_reply();
-    /// Whether the connection may be used for another request.
+    /// Whether the last reply allows another request on the connection.
     [[nodiscard]] bool keep_alive() const { return keep_alive_; }
 
   private:
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-constexpr Millis kMaxRequestTime = 10'000;  // a request that takes longer to arrive is given up
+constexpr Millis kMaxRequestTime = 10'000;  // for receiving a request
 constexpr Millis kMaxIdleTime = 60'000;
 constexpr Millis kMaxWriteTime = 15'000;
-constexpr Millis kMaxDeferral = 1500;  // a request that waited for longer is refused
+constexpr Millis kMaxDeferral = 1500;  // a deferred request that waited longer is refused with 503
 constexpr Millis kSweepInterval = 2000;
 constexpr std::size_t kMaxUnsentBytes = 1 << 20;
-constexpr std::size_t kReadBytes = 16'384;
-constexpr int kMaxReadsOfATurn = 4;
-constexpr int kMaxAcceptsOfATurn = 32;
+constexpr std::size_t kReadBufferBytes = 16'384;
+constexpr int kMaxReadsPerIteration = 4;
+constexpr int kMaxAcceptsPerIteration = 32;
 
 const char* reason_phrase(int status) {
     switch (status) {
@@ -63,7 +63,7 @@
     return head;
 }
 
-// The connection is closed after such a response.
+// An error response after which the connection is closed.
 HttpResponse refusal(int status, std::string body) {
     return {.status = status,
             .body = std::move(body),
@@ -74,15 +74,16 @@
 
 }  // namespace
 
-// One connection, with one request at a time. Held by the server and by the loop while it is open.
+// One connection, with one request at a time. The server and the loop's handler own it while it is
+// open.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
   public:
     Connection(HttpServer& server, ConnectionId id, Fd descriptor)
         : server_(server),
           id_(id),
-          socket_(server.loop_, std::move(descriptor), BufferedSocket::Initially::Connected),
+          socket_(server.loop_, std::move(descriptor), BufferedSocket::InitialState::Connected),
           parser_(server.limits_.max_body_bytes),
-          phase_began_at_(server.loop_.now()) {}
+          phase_started_at_(server.loop_.now()) {}
 
     void open() {
         add_to_idle_users();
@@ -95,7 +96,7 @@
         socket_.close();
     }
     [[nodiscard]] bool is_overdue(Millis now) const {
-        return !responding_ && now - phase_began_at_ > max_phase_time();
+        return !responding_ && now - phase_started_at_ > max_phase_time();
     }
 
   private:
@@ -104,7 +105,8 @@
         return parser_.in_request() || !had_request_ ? kMaxRequestTime : kMaxIdleTime;
     }
 
-    // Users come back on a new connection; workers keep theirs, as their tasks depend on it.
+    // Only user connections are closed to free capacity: users can open a new one, but the tasks of
+    // a worker depend on its connection.
     void add_to_idle_users() {
         if (is_worker_ || idle_position_) return;
         idle_position_ = server_.idle_users_.insert(server_.idle_users_.end(), id_);
@@ -125,14 +127,14 @@
     // ---- requests ----
 
     void read() {
-        // Nobody pipelines; who does anyway may not fill our memory.
+        // No known client pipelines requests. The limit keeps one that does from exhausting memory.
         const auto max_received = server_.limits_.max_body_bytes + 2 * kMaxRequestHeaders;
-        std::array<char, kReadBytes> buffer;
-        for (int reads = 0; reads < kMaxReadsOfATurn; ++reads) {
+        std::array<char, kReadBufferBytes> buffer;
+        for (int reads = 0; reads < kMaxReadsPerIteration; ++reads) {
             std::size_t bytes = 0;
             const auto received = socket_.receive(buffer, bytes);
-            if (received == BufferedSocket::Received::Nothing) return;
-            if (received != BufferedSocket::Received::Data) return server_.close(id_);
+            if (received == BufferedSocket::ReceiveResult::Nothing) return;
+            if (received != BufferedSocket::ReceiveResult::Data) return server_.close(id_);
             received_.append(buffer.data(), bytes);
             if (received_.size() > max_received) return server_.close(id_);
             parse_received();
@@ -145,7 +147,7 @@
         const bool was_in_request = parser_.in_request();
         std::size_t consumed = 0;
         const auto progress = parser_.parse(received_, consumed);
-        if (!was_in_request && parser_.in_request()) on_request_begun();
+        if (!was_in_request && parser_.in_request()) on_request_started();
         switch (progress) {
             case RequestProgress::Incomplete:
                 return received_.clear();
@@ -168,9 +170,9 @@
         respond(response);
     }
 
-    void on_request_begun() {
+    void on_request_started() {
         remove_from_idle_users();
-        phase_began_at_ = server_.loop_.now();
+        phase_started_at_ = server_.loop_.now();
     }
 
     void on_request(HttpRequest request) {
@@ -181,7 +183,8 @@
         server_.handle_(request, responder());
     }
 
-    // Responds to the present request, unless the other side has gone or has its response.
+    // Returns a function that responds to the current request. It does nothing if the connection is
+    // closed or the request already has a response.
     Respond responder() {
         return [weak = weak_from_this(), number = ++request_number_](const HttpResponse& response) {
             const auto self = weak.lock();
@@ -191,14 +194,15 @@
         };
     }
 
-    // Everybody may be back at once: leases depend on heartbeats, so users wait for these. Nothing
-    // waits for longer than a turn or a few; what did is refused at once.
+    // All clients may reconnect at the same time. Leases depend on heartbeats, so heartbeats are
+    // handled before user requests. A deferred request normally waits for a few loop iterations at
+    // most; one that waited for longer than kMaxDeferral is refused.
     void defer(HttpRequest request) {
         server_.loop_.defer([weak = weak_from_this(), request = std::move(request),
-                             respond = responder(), began_at = phase_began_at_] {
+                             respond = responder(), started_at = phase_started_at_] {
             const auto self = weak.lock();
             if (!self || !self->socket_.is_open()) return;
-            if (self->server_.loop_.now() - began_at > kMaxDeferral) {
+            if (self->server_.loop_.now() - started_at > kMaxDeferral) {
                 return respond({.status = http_status::kUnavailable,
                                 .body = R"({"error":"too much at once"})",
                                 .retry_after_s = 1,
@@ -213,13 +217,14 @@
 
     void respond(const HttpResponse& response) {
         responding_ = false;
-        phase_began_at_ = server_.loop_.now();
+        phase_started_at_ = server_.loop_.now();
         if (response.close || !parser_.keep_alive()) closing_ = true;
         socket_.write(render_head(response, closing_));
         socket_.write(response.body);
         flush();
         if (!socket_.is_open() || received_.empty()) return;
-        // Not from inside the response: a chain of requests must not deepen the stack.
+        // Parses the next request from a timer, because a recursive call for each of a series of
+        // buffered requests would grow the stack.
         server_.loop_.after(0, [self = shared_from_this()] {
             if (self->socket_.is_open()) self->parse_received();
         });
@@ -238,12 +243,12 @@
     ConnectionId id_;
     BufferedSocket socket_;
     RequestParser parser_;
-    std::string received_;              // and not parsed yet
-    std::uint64_t request_number_ = 0;  // of the last request on this connection
-    Millis phase_began_at_;             // of being idle, receiving or sending
+    std::string received_;              // received and not parsed yet
+    std::uint64_t request_number_ = 0;  // number of the current or last request
+    Millis phase_started_at_;           // start of the current phase: idle, receiving or sending
     bool had_request_ = false;
-    bool responding_ = false;  // a request is being handled
-    bool closing_ = false;     // once all is sent
+    bool responding_ = false;  // whether a request is being handled
+    bool closing_ = false;     // whether to close the connection once all data is sent
     bool is_worker_ = false;
     std::optional<std::list<ConnectionId>::iterator> idle_position_;
 };
@@ -271,10 +276,11 @@
 }
 
 void HttpServer::accept_all() {
-    for (int accepts = 0; accepts < kMaxAcceptsOfATurn; ++accepts) {
+    for (int accepts = 0; accepts < kMaxAcceptsPerIteration; ++accepts) {
         Fd descriptor(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!descriptor.valid()) return;
-        // The rest of the limit is kept for our own calls to state, cloud, workers, peers.
+        // The rest of the socket budget is reserved for this controller's own requests to the state
+        // service, the cloud, workers and peers.
         if (connections_.size() >= limits_.max_connections && !close_idle_user()) continue;
         send_without_delay(descriptor);
         const auto id = ++last_id_;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The HTTP server of the process.
+// HTTP server with limits on connections, times and sizes.
 
 #include <functional>
 #include <list>
@@ -16,29 +16,30 @@
 
 namespace lichendrift::net {
 
-/// HTTP/1.1 server with bounds on connections, times and sizes. Loop thread only.
+/// HTTP/1.1 server that handles one request at a time per connection. Loop thread only.
 class HttpServer {
   public:
-    /// Handles a request. `respond` is called at most once, at once or later; it does nothing when
-    /// the connection has gone.
+    /// Handles a request. It calls `respond` at most once, immediately or later; `respond` does
+    /// nothing if the connection is closed by then.
     using Handler = std::function<void(const HttpRequest&, Respond respond)>;
-    /// Whether a request may wait until all requests that may not are handled.
+    /// Returns whether a request has low priority and may wait until all others are handled.
     using CanWait = std::function<bool(const HttpRequest&)>;
-    /// Bounds of one server.
+    /// Limits of one server.
     struct Limits {
-        std::size_t max_body_bytes = 0;   ///< of a request; a longer one is refused with 413
-        std::size_t max_connections = 0;  ///< at once; the user idle for longest makes way
+        std::size_t max_body_bytes = 0;   ///< of a request; a longer body is refused with 413
+        std::size_t max_connections = 0;  ///< a further one closes an idle user's or is refused
     };
 
-    /// `loop` and `budget` must outlive the server, and the server the last turn of the loop.
-    /// Without `can_wait` no request waits.
+    /// `loop` and `budget` must outlive the server, and the server must outlive the last iteration
+    /// of the loop. Without `can_wait`, every request is handled immediately.
     HttpServer(EventLoop& loop, SocketBudget& budget, Limits limits, Handler handle,
                CanWait can_wait = {});
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
     ~HttpServer();
 
-    /// Begins to serve on "IP:port", or says why that is not possible. Call it until it succeeds.
+    /// Starts serving on `address` ("IP:port"); on failure returns the reason as text and may be
+    /// called again. Must not be called after it has succeeded.
     tl::expected<void, std::string> listen(const std::string& address);
 
   private:
@@ -58,7 +59,7 @@
     Fd listener_;
     ConnectionId last_id_ = 0;
     std::unordered_map<ConnectionId, std::shared_ptr<Connection>> connections_;
-    std::list<ConnectionId> idle_users_;  // the one idle for longest first
+    std::list<ConnectionId> idle_users_;  // the longest idle connection first
     CallbackScope callbacks_;
 };
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -1,4 +1,4 @@
-// TCP sockets over IPv4.
+// TCP sockets over IPv4; addresses are "IP:port".
 #include "net/socket.h"
 
 #include <arpa/inet.h>
@@ -34,7 +34,7 @@
     return parsed;
 }
 
-const sockaddr* generic(const sockaddr_in& address) {
+const sockaddr* as_sockaddr(const sockaddr_in& address) {
     return reinterpret_cast<const sockaddr*>(&address);
 }
 
@@ -42,8 +42,8 @@
 
 bool is_temporary(int error) { return error == EAGAIN || error == EINTR; }
 
-std::uint32_t epoll_events(bool waits_to_write) {
-    return waits_to_write ? EPOLLIN | EPOLLOUT : EPOLLIN;
+std::uint32_t epoll_events(bool waits_for_writable) {
+    return waits_for_writable ? EPOLLIN | EPOLLOUT : EPOLLIN;
 }
 
 }  // namespace
@@ -54,7 +54,8 @@
     Fd descriptor = open_socket();
     const int one = 1;
     ::setsockopt(descriptor.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-    if (!descriptor.valid() || ::bind(descriptor.get(), generic(*parsed), sizeof *parsed) != 0 ||
+    if (!descriptor.valid() ||
+        ::bind(descriptor.get(), as_sockaddr(*parsed), sizeof *parsed) != 0 ||
         ::listen(descriptor.get(), static_cast<int>(std::min(backlog, kMaxBacklog))) != 0) {
         return tl::unexpected(address + ": " + std::generic_category().message(errno));
     }
@@ -67,7 +68,7 @@
     Fd descriptor = open_socket();
     if (!descriptor.valid()) return Fd();
     send_without_delay(descriptor);
-    if (::connect(descriptor.get(), generic(*parsed), sizeof *parsed) != 0 &&
+    if (::connect(descriptor.get(), as_sockaddr(*parsed), sizeof *parsed) != 0 &&
         errno != EINPROGRESS) {
         return Fd();
     }
@@ -79,13 +80,13 @@
     ::setsockopt(descriptor.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 }
 
-BufferedSocket::BufferedSocket(EventLoop& loop, Fd descriptor, Initially initially)
+BufferedSocket::BufferedSocket(EventLoop& loop, Fd descriptor, InitialState initial_state)
     : loop_(loop),
       fd_(std::move(descriptor)),
-      waits_to_write_(initially == Initially::Connecting) {}
+      waits_for_writable_(initial_state == InitialState::Connecting) {}
 
 void BufferedSocket::watch(EventLoop::Handler handler) {
-    loop_.add(fd_.get(), epoll_events(waits_to_write_), std::move(handler));
+    loop_.add(fd_.get(), epoll_events(waits_for_writable_), std::move(handler));
 }
 
 void BufferedSocket::close() {
@@ -101,8 +102,8 @@
     return error != 0;
 }
 
-BufferedSocket::Flushed BufferedSocket::flush() {
-    Flushed flushed;
+BufferedSocket::FlushResult BufferedSocket::flush() {
+    FlushResult flushed;
     while (!unsent_.empty()) {
         const auto sent = ::send(fd_.get(), unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
         if (sent < 0) {
@@ -115,21 +116,21 @@
     return flushed;
 }
 
-// Each change costs a system call; most messages leave at once and need none.
+// Each change costs a system call. Most messages are sent by the first flush and need none.
 void BufferedSocket::wait_for_events() {
-    const bool wants_to_write = !unsent_.empty();
-    if (wants_to_write == waits_to_write_) return;
-    waits_to_write_ = wants_to_write;
-    loop_.modify(fd_.get(), epoll_events(wants_to_write));
+    const bool has_unsent = !unsent_.empty();
+    if (has_unsent == waits_for_writable_) return;
+    waits_for_writable_ = has_unsent;
+    loop_.modify(fd_.get(), epoll_events(has_unsent));
 }
 
-BufferedSocket::Received BufferedSocket::receive(std::span<char> buffer, std::size_t& bytes) {
+BufferedSocket::ReceiveResult BufferedSocket::receive(std::span<char> buffer, std::size_t& bytes) {
     bytes = 0;
     const auto received = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
-    if (received < 0) return is_temporary(errno) ? Received::Nothing : Received::Failed;
-    if (received == 0) return Received::End;
+    if (received < 0) return is_temporary(errno) ? ReceiveResult::Nothing : ReceiveResult::Failed;
+    if (received == 0) return ReceiveResult::End;
     bytes = static_cast<std::size_t>(received);
-    return Received::Data;
+    return ReceiveResult::Data;
 }
 
 }  // namespace lichendrift::net
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -14,73 +14,80 @@
 
 namespace lichendrift::net {
 
-/// Counts the sockets of the whole process against the machine's limit. Loop thread only.
+/// Number of open sockets of the whole process and its limit, which keeps the process within the
+/// machine's limit. Loop thread only.
 struct SocketBudget {
-    std::size_t open = 0;            ///< sockets that are open
-    std::size_t max_sockets = 1000;  ///< how many may be
+    std::size_t open = 0;            ///< number of open sockets
+    std::size_t max_sockets = 1000;  ///< upper limit on `open`
 };
 
-/// A socket that listens on "10.0.0.1:8080", or why there is none.
+/// Opens a socket that listens on `address`, such as "10.0.0.1:8080"; on failure returns the reason
+/// as text.
 tl::expected<Fd, std::string> listen_on(const std::string& address, std::size_t backlog);
 
-/// A socket that is being connected to such an address; invalid if that fails at once.
+/// Opens a non-blocking socket and starts connecting it to `address` ("IP:port"). The result is
+/// invalid if that fails immediately.
 Fd connect_to(const std::string& address);
 
-/// Has the system send each message at once instead of waiting for more (TCP_NODELAY).
+/// Disables Nagle's algorithm (TCP_NODELAY), so that small messages are sent without delay.
 void send_without_delay(const Fd& descriptor);
 
-/// A connected socket with a buffer of what it still has to send. It never blocks and tells the
-/// event loop when it waits to write. Loop thread only.
+/// A non-blocking TCP socket with a buffer for unsent data. It asks the event loop for writable
+/// events only while it waits to write. Loop thread only.
 class BufferedSocket {
   public:
-    /// Whether the socket waits to be writable before anything is to be sent.
-    enum class Initially : std::uint8_t {
-        Connected,   ///< no
-        Connecting,  ///< yes: that is how the end of connecting shows
+    /// Connection state of the socket that is passed in.
+    enum class InitialState : std::uint8_t {
+        Connected,   ///< connected: writable events are needed only while data is unsent
+        Connecting,  ///< connecting: a writable event shows that connecting has ended
     };
-    /// Takes over a socket that does not block. `loop` must outlive it.
-    BufferedSocket(EventLoop& loop, Fd descriptor, Initially initially);
+    /// Takes ownership of a non-blocking socket. `loop` must outlive this object.
+    BufferedSocket(EventLoop& loop, Fd descriptor, InitialState initial_state);
 
-    /// Has the loop call `handler` for its events until `close`.
+    /// Calls `handler` on the loop thread for events of the socket until `close`. Throws
+    /// `std::system_error` if the event loop can't watch the socket.
     void watch(EventLoop::Handler handler);
-    /// Closes the socket; what is unsent is lost.
+    /// Closes the socket; unsent data is lost. Does nothing if the socket is already closed.
     void close();
-    /// Whether it has not been closed.
+    /// False once the socket was closed.
     [[nodiscard]] bool is_open() const { return fd_.valid(); }
-    /// Whether connecting has failed.
+    /// Whether the socket has a pending error (SO_ERROR), such as a failed connection attempt.
+    /// Reading the error clears it.
     [[nodiscard]] bool has_error() const;
 
-    /// Appends bytes to what is to be sent by `flush`.
+    /// Appends bytes to the buffer of unsent data; `flush` sends them.
     void write(std::string_view bytes) { unsent_ += bytes; }
-    /// Drops what is still to be sent.
+    /// Empties the buffer of unsent data.
     void discard_unsent() { unsent_.clear(); }
-    /// Bytes that the system has not taken yet.
+    /// Number of bytes that `flush` has not yet passed to the operating system.
     [[nodiscard]] std::size_t unsent_bytes() const { return unsent_.size(); }
-    /// What `flush` has done.
-    struct Flushed {
-        std::size_t bytes = 0;  ///< that the system has taken
+    /// Result of `flush`.
+    struct FlushResult {
+        std::size_t bytes = 0;  ///< bytes passed to the operating system
         bool failed = false;    ///< the connection is broken
     };
-    /// Sends as much as the system takes. Call `wait_for_events` afterwards unless it failed.
-    Flushed flush();
-    /// Has the loop report when more can be sent, if anything is unsent.
+    /// Sends as much unsent data as the operating system accepts. Unless it failed, call
+    /// `wait_for_events` afterwards.
+    FlushResult flush();
+    /// Enables writable events while data is unsent and disables them otherwise.
     void wait_for_events();
 
-    /// What `receive` has found.
-    enum class Received : std::uint8_t {
-        Data,     ///< bytes
-        Nothing,  ///< nothing yet
-        End,      ///< the other side sends no more
+    /// Result of `receive`.
+    enum class ReceiveResult : std::uint8_t {
+        Data,     ///< bytes were read
+        Nothing,  ///< no data is available yet
+        End,      ///< the peer has closed its sending side
         Failed,   ///< the connection is broken
     };
-    /// Reads into `buffer`; `bytes` is set to how many came, 0 without data.
-    Received receive(std::span<char> buffer, std::size_t& bytes);
+    /// Reads into `buffer` and sets `bytes` to the number of bytes read, 0 unless the result is
+    /// `Data`.
+    ReceiveResult receive(std::span<char> buffer, std::size_t& bytes);
 
   private:
     EventLoop& loop_;
     Fd fd_;
     std::string unsent_;
-    bool waits_to_write_;
+    bool waits_for_writable_;
 };
 
 }  // namespace lichendrift::net
