--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr double kBurstSeconds = 0.5;   // what a bucket holds, as time of its rate
-constexpr double kMinRequestBurst = 2;  // tokens that the bucket of requests can always hold
-constexpr double kSpareRequests = 2;    // tokens that are left for requests of others
-constexpr double kLeadershipDebt = 3;   // a late renewal costs more than a 429
+constexpr double kBurstSeconds = 0.5;   // capacity of a bucket as time at its rate
+constexpr double kMinRequestBurst = 2;  // minimum capacity of the request bucket
+constexpr double kSpareRequests = 2;    // tokens needed to send a request and leave one
+constexpr double kLeadershipDebt = 3;   // overdraft; a late lease renewal costs more than a 429
 
 double min_tokens(RequestPriority priority) {
     return priority == RequestPriority::Leadership ? -kLeadershipDebt : 0;
@@ -44,7 +44,7 @@
     return writes == 0 || writes_.tokens() - static_cast<double>(writes) >= min_tokens(priority);
 }
 
-bool RateLimiter::has_spare(std::size_t writes) const {
+bool RateLimiter::has_spare_capacity(std::size_t writes) const {
     return requests_.tokens() >= kSpareRequests && writes_.tokens() >= static_cast<double>(writes);
 }
 
--- a/src/store/rate_limiter.h
+++ b/src/store/rate_limiter.h
@@ -1,43 +1,46 @@
 #pragma once
 
-// Keeps one controller within its share of the state service's rate limits.
+// Client-side rate limiting that keeps one controller within its share of the state service's
+// limits.
 
 #include "net/token_bucket.h"
 #include "store/types.h"
 
 namespace lichendrift::store {
 
-/// Two token buckets, one for requests and one for written keys, and a pause after the service
-/// has refused a request for its rate (429). Loop thread only; all times are steady.
+/// Two token buckets, one for requests and one for written keys, and a pause after the service has
+/// rejected a request because of its rate limit (429). Loop thread only; all times are steady.
 class RateLimiter {
   public:
-    /// Both buckets begin with what half a second brings.
+    /// Both buckets start with the tokens of half a second.
     RateLimiter(const StoreSettings& settings, Millis now);
 
-    /// Sets the part of the limits that this controller may use.
+    /// Sets the fraction of the limits that this controller may use; effective from the next
+    /// refill.
     void set_share(RateShare share) { share_ = share; }
 
-    /// The bucket of writes holds at least this many, or a whole transaction could never be sent.
+    /// Sets the minimum capacity of the write bucket to the size of the largest transaction, which
+    /// could otherwise never be sent.
     void set_max_transaction_operations(std::size_t operations) {
         min_write_capacity_ = operations;
     }
 
-    /// Adds the tokens of the time since the last call.
+    /// Adds the tokens for the time since the last call.
     void refill(Millis now);
 
-    /// No request but those of `RequestPriority::Leadership` is allowed until then.
+    /// Allows only requests with `RequestPriority::Leadership` until that time.
     void pause_until(Millis until) { paused_until_ = until; }
 
-    /// Whether a request of this priority is allowed, whatever it writes.
+    /// Whether a request of this priority is allowed, not counting its writes.
     [[nodiscard]] bool allows_request(RequestPriority priority, Millis now) const;
 
-    /// Whether a request of this priority may write so many keys.
+    /// Whether a request of this priority may write this many keys.
     [[nodiscard]] bool allows_writes(RequestPriority priority, std::size_t writes) const;
 
-    /// Whether a request with so many writes would leave something for others.
-    [[nodiscard]] bool has_spare(std::size_t writes) const;
+    /// Whether a request with this many writes leaves capacity for another request.
+    [[nodiscard]] bool has_spare_capacity(std::size_t writes) const;
 
-    /// Counts a request that is sent.
+    /// Takes the tokens of a request that is being sent.
     void take(std::size_t writes);
 
   private:
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -1,4 +1,4 @@
-// The queues in front of the state service.
+// Priority queues for requests to the state service.
 #include "store/request_queue.h"
 
 #include <algorithm>
@@ -22,12 +22,12 @@
 
 void RequestQueue::push(RequestPriority priority, QueuedRequest request) {
     auto& queue = queues_[static_cast<std::size_t>(priority)];
-    if (queue.size() >= kMaxQueued) return end_unsent(std::move(request.done));
+    if (queue.size() >= kMaxQueued) return fail_unsent(std::move(request.done));
     queue.push_back(std::move(request));
     send_allowed();
 }
 
-void RequestQueue::end_unsent(net::OnReply done) {
+void RequestQueue::fail_unsent(net::OnReply done) {
     runtime_.after(0, [done = std::move(done)] { done({.status = 0, .body = {}, .sent = false}); });
 }
 
@@ -38,7 +38,7 @@
          ++priority) {
         send_allowed(static_cast<RequestPriority>(priority), pass);
     }
-    if (pass.requests_exhausted || pass.writes_exhausted) retry_later();
+    if (pass.requests_exhausted || pass.writes_exhausted) schedule_retry();
 }
 
 void RequestQueue::send_allowed(RequestPriority priority, Pass& pass) {
@@ -47,15 +47,15 @@
         if (next->expires_at <= pass.now) {
             auto done = std::move(next->done);
             next = queue.erase(next);
-            end_unsent(std::move(done));
+            fail_unsent(std::move(done));
             continue;
         }
         if (!limiter_.allows_request(priority, pass.now)) {
             pass.requests_exhausted = true;
             return;
         }
-        // Writes that are held back hold back later writes, but no reads: a leader with more to
-        // write than the limits allow would refuse every question of its users.
+        // A write that has to wait makes later writes wait, but not reads. If reads waited too, a
+        // leader with more writes than the limits allow could not answer any user's lookup.
         if (next->writes > 0 &&
             (pass.writes_exhausted || !limiter_.allows_writes(priority, next->writes))) {
             pass.writes_exhausted = true;
@@ -69,7 +69,7 @@
     }
 }
 
-void RequestQueue::retry_later() {
+void RequestQueue::schedule_retry() {
     if (retry_scheduled_) return;
     retry_scheduled_ = true;
     runtime_.after(kRetryInterval, callbacks_.bind([this] {
--- a/src/store/request_queue.h
+++ b/src/store/request_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Holds requests to the state service back until the rate limits allow them.
+// Queues requests to the state service until the rate limits allow them.
 
 #include <array>
 #include <deque>
@@ -12,33 +12,33 @@
 
 namespace lichendrift::store {
 
-/// A request with what the queue has to know of it.
+/// A request with its cost and time limits.
 struct QueuedRequest {
-    net::HttpRequest request;  ///< as it is sent
-    std::size_t writes = 0;    ///< keys that it writes
-    Millis timeout = 0;        ///< for its answer, from the moment it is sent
-    Millis expires_at = 0;     ///< steady time after which it is not sent any more
+    net::HttpRequest request;  ///< the HTTP request to send
+    std::size_t writes = 0;    ///< number of keys that it writes
+    Millis timeout = 0;        ///< time to wait for the reply once sent
+    Millis expires_at = 0;     ///< steady time from which it is no longer sent
     net::OnReply done;         ///< called exactly once, never from inside `push`
 };
 
-/// Bounded queues, one for each priority. A request that finds its queue full, or that waits for
-/// longer than it may, ends as one that was never sent. Loop thread only.
+/// Bounded queues, one for each priority. A request that arrives at a full queue or expires while
+/// queued fails as not sent (status 0, `sent` false). Loop thread only.
 class RequestQueue {
   public:
-    /// Sends a request; its `done` is the callee's to call.
+    /// Sends a request and is then responsible for calling its `done`.
     using Send = std::function<void(QueuedRequest)>;
 
     /// `runtime` and `limiter` must outlive the queue.
     RequestQueue(net::Runtime& runtime, RateLimiter& limiter, Send send);
 
-    /// Sends the request at once if the limits allow it, or else as soon as they do.
+    /// Sends the request immediately if the limits allow it, otherwise as soon as they do.
     void push(RequestPriority priority, QueuedRequest request);
 
-    /// Whether nothing is held back.
+    /// Whether no request is queued.
     [[nodiscard]] bool empty() const;
 
   private:
-    /// What one pass over the queues has found so far.
+    /// State of one pass over the queues.
     struct Pass {
         Millis now = 0;
         bool requests_exhausted = false;
@@ -46,8 +46,8 @@
     };
     void send_allowed();
     void send_allowed(RequestPriority priority, Pass& pass);
-    void retry_later();
-    void end_unsent(net::OnReply done);
+    void schedule_retry();
+    void fail_unsent(net::OnReply done);
 
     net::Runtime& runtime_;
     RateLimiter& limiter_;
--- a/src/store/service_health.cpp
+++ b/src/store/service_health.cpp
@@ -1,4 +1,4 @@
-// The estimate of the state service's health.
+// Health estimate of the state service.
 #include "store/service_health.h"
 
 #include "net/http_status.h"
@@ -7,19 +7,19 @@
 
 namespace {
 
-constexpr Millis kMaxFailingTime = 300;  // longer, and the service counts as not responsive
-constexpr Millis kMaxAnswerTime = 700;
+constexpr Millis kMaxFailingTime = 300;  // the service is unresponsive after failing for longer
+constexpr Millis kMaxResponseTime = 700;
 
 }  // namespace
 
-ServiceHealth::RequestNumber ServiceHealth::on_sent(Millis now) {
-    open_requests_.push_back({.number = ++last_number_, .sent_at = now});
-    return last_number_;
+ServiceHealth::RequestId ServiceHealth::on_sent(Millis now) {
+    pending_requests_.push_back({.id = ++last_id_, .sent_at = now});
+    return last_id_;
 }
 
-void ServiceHealth::on_ended(RequestNumber number) {
-    std::erase_if(open_requests_,
-                  [number](const OpenRequest& request) { return request.number == number; });
+void ServiceHealth::on_ended(RequestId id) {
+    std::erase_if(pending_requests_,
+                  [id](const PendingRequest& request) { return request.id == id; });
 }
 
 void ServiceHealth::on_status(int status, Millis now) {
@@ -36,7 +36,7 @@
 
 bool ServiceHealth::is_responsive(Millis now) const {
     if (failing_for(now) > kMaxFailingTime) return false;
-    return open_requests_.empty() || now - open_requests_.front().sent_at < kMaxAnswerTime;
+    return pending_requests_.empty() || now - pending_requests_.front().sent_at < kMaxResponseTime;
 }
 
 }  // namespace lichendrift::store
--- a/src/store/service_health.h
+++ b/src/store/service_health.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// An estimate of whether the state service answers, from the requests to it.
+// Estimates from the outcome of requests whether the state service is responsive.
 
 #include <cstdint>
 #include <deque>
@@ -10,38 +10,41 @@
 
 namespace lichendrift::store {
 
-/// Follows requests and their answers. Loop thread only; all times are steady.
+/// Tracks pending requests and the status of completed ones. Loop thread only; all times are
+/// steady.
 class ServiceHealth {
   public:
-    /// Names a request from `on_sent` to `on_ended`.
-    using RequestNumber = std::uint64_t;
+    /// Identifies a request from `on_sent` to `on_ended`.
+    using RequestId = std::uint64_t;
 
-    /// A request was sent whose answer should come at once.
-    RequestNumber on_sent(Millis now);
+    /// Records that a request was sent that the service should answer immediately (not a watch).
+    RequestId on_sent(Millis now);
 
-    /// That request has ended, answered or not.
-    void on_ended(RequestNumber number);
+    /// Records that a request has ended, with or without a reply.
+    void on_ended(RequestId id);
 
-    /// Any request has ended with this HTTP status; 0: without an answer. Failures are 0 and 503.
+    /// Records the HTTP status of any ended request, including watches; 0: no reply. 0 and 503
+    /// count as failures.
     void on_status(int status, Millis now);
 
-    /// Whether the last request that ended has failed.
+    /// Whether the request that ended last has failed.
     [[nodiscard]] bool is_failing() const { return failing_since_.has_value(); }
 
-    /// For how long all requests have failed; 0: the last one did not.
+    /// Time since the current series of failures began; 0 if the request that ended last did not
+    /// fail.
     [[nodiscard]] Millis failing_for(Millis now) const;
 
-    /// False while requests fail or go unanswered.
+    /// False while requests have been failing, or a request has been pending, for too long.
     [[nodiscard]] bool is_responsive(Millis now) const;
 
   private:
-    struct OpenRequest {
-        RequestNumber number = 0;
+    struct PendingRequest {
+        RequestId id = 0;
         Millis sent_at = 0;
     };
     std::optional<Millis> failing_since_;
-    std::deque<OpenRequest> open_requests_;  // the oldest first
-    RequestNumber last_number_ = 0;
+    std::deque<PendingRequest> pending_requests_;  // oldest first
+    RequestId last_id_ = 0;
 };
 
 }  // namespace lichendrift::store
--- a/src/store/size_limits.cpp
+++ b/src/store/size_limits.cpp
@@ -1,4 +1,4 @@
-// How the limits on sizes are lowered.
+// Lowers the size limits after rejected transactions.
 #include "store/size_limits.h"
 
 #include "events/format.h"
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Below these the size was hardly the reason.
+// Limits are not lowered further than this; smaller transactions are unlikely to be rejected
+// because of their size.
 constexpr std::size_t kMinValueBytes = 512;
 constexpr std::size_t kMinOperations = 2;
 constexpr Millis kLogInterval = 3000;
--- a/src/store/size_limits.h
+++ b/src/store/size_limits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The limits on the size of values and transactions that are in force at the state service.
+// Tracks the state service's current limits on the sizes of values and transactions.
 
 #include <algorithm>
 #include <optional>
@@ -9,34 +9,37 @@
 
 namespace lichendrift::store {
 
-/// Begins with the limits of the settings and lowers them when the service rejects a transaction
-/// that they allow: an announced reduction comes into force without notice. Loop thread only.
+/// Starts with the limits from the settings and lowers them when the service rejects a transaction
+/// within them, because the service applies an announced reduction without further notice. Loop
+/// thread only.
 class SizeLimits {
   public:
-    /// The limits as the settings name them.
+    /// Copies the current and the announced limits from the settings.
     explicit SizeLimits(const StoreSettings& settings);
 
     /// A transaction that the service has rejected (400).
     struct RejectedTransaction {
-        std::size_t operations = 0;           ///< keys that it writes
+        std::size_t operations = 0;           ///< number of keys that it writes
         std::size_t largest_value_bytes = 0;  ///< size of its largest value
     };
 
-    /// Lowers the limits: values first to the announced limit, then by half each time, so that
-    /// nothing is sent unchanged for ever. Logs that at a bounded rate.
+    /// Lowers a limit so that the rejected transaction is not sent unchanged for ever: the value
+    /// size first to the announced limit, then to half of the rejected size; if all values are
+    /// small, the number of operations. Logs the new limits at a limited rate. `now`: steady time.
     void on_rejected(const RejectedTransaction& rejected, Millis now);
 
-    /// How many keys a transaction may write.
+    /// Maximum number of keys that a transaction may write.
     [[nodiscard]] std::size_t max_transaction_operations() const {
         return max_transaction_operations_;
     }
-    /// Size of a value, as far as known.
+    /// Current maximum size of a value in bytes, as far as known.
     [[nodiscard]] std::size_t max_value_bytes() const { return max_value_bytes_; }
-    /// Size of a value that stays allowed when an announced reduction comes into force.
+    /// Maximum size of a value in bytes that is still allowed once the announced reduction is in
+    /// force.
     [[nodiscard]] std::size_t max_value_bytes_after_reduction() const {
         return std::min(max_value_bytes_, next_max_value_bytes_);
     }
-    /// Whether the service has ever rejected a transaction that these limits allowed.
+    /// Whether the service has ever rejected a transaction because of its size.
     [[nodiscard]] bool lowered() const { return lowered_; }
 
   private:
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -1,4 +1,4 @@
-// Requests to the state service and what their answers mean.
+// Requests to the state service and the interpretation of their replies.
 #include "store/store_client.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 constexpr Millis kRequestTimeout = 1500;
 constexpr Millis kLeaseTimeout = 1000;
-constexpr Millis kWatchMargin = 3000;  // for the answer, after the time that a watch may block
+constexpr Millis kWatchMargin = 3000;  // time for the reply after the time that a watch may block
 constexpr Millis kRateLimitPause = 150;
 constexpr Millis kProbeInterval = 400;
 constexpr std::size_t kPageItems = 200;
@@ -62,28 +62,28 @@
 }
 
 void StoreClient::send(QueuedRequest request) {
-    // Watches may stay unanswered for long and say nothing of the service's health.
+    // A watch may remain unanswered for long, which says nothing about the service's health.
     const bool is_watch = request.timeout > kRequestTimeout;
-    const auto number = is_watch ? 0 : health_.on_sent(runtime_.now());
-    runtime_.call(address_, std::move(request.request), request.timeout,
-                  callbacks_.bind([this, number, is_watch,
-                                   done = std::move(request.done)](net::HttpReply reply) {
-                      if (!is_watch) health_.on_ended(number);
-                      on_reply_status(reply.status);
-                      done(std::move(reply));
-                  }));
+    const auto id = is_watch ? 0 : health_.on_sent(runtime_.now());
+    runtime_.call(
+        address_, std::move(request.request), request.timeout,
+        callbacks_.bind([this, id, is_watch, done = std::move(request.done)](net::HttpReply reply) {
+            if (!is_watch) health_.on_ended(id);
+            on_reply_status(reply.status);
+            done(std::move(reply));
+        }));
 }
 
 void StoreClient::on_reply_status(int status) {
     const auto now = runtime_.now();
     if (status == http_status::kTooManyRequests) limiter_.pause_until(now + kRateLimitPause);
     health_.on_status(status, now);
-    if (health_.is_failing()) probe_later();
+    if (health_.is_failing()) schedule_probe();
 }
 
-// While the service fails, users are refused without asking it, and watches stay open: without
-// requests of its own the controller would learn late that the service answers again.
-void StoreClient::probe_later() {
+// While the service fails, users' requests are refused without contacting it, and watches remain
+// pending. Without these probes the controller would notice the recovery of the service late.
+void StoreClient::schedule_probe() {
     if (probe_scheduled_) return;
     probe_scheduled_ = true;
     runtime_.after(kProbeInterval, callbacks_.bind([this] {
@@ -95,14 +95,15 @@
 
 bool StoreClient::can_write_immediately(std::size_t writes) {
     limiter_.refill(runtime_.now());
-    return queue_.empty() && limiter_.has_spare(writes);
+    return queue_.empty() && limiter_.has_spare_capacity(writes);
 }
 
 // ---- reading ----
 
-// Passes the body on, parsed; a malformed one is no answer.
+// Returns a reply handler that parses the body and passes it to `done`. A malformed body counts as
+// no reply (Outcome::Unknown).
 template <typename Parse, typename Done>
-net::OnReply StoreClient::parse_reply(Parse parse, Done done) {
+net::OnReply StoreClient::make_reply_handler(Parse parse, Done done) {
     return [this, parse, done = std::move(done)](const net::HttpReply& reply) {
         const auto outcome = outcome_of(reply);
         if (outcome != Outcome::Ok) return done(outcome, {});
@@ -117,7 +118,7 @@
 
 void StoreClient::get(RequestPriority priority, const std::string& key, OnItem done) {
     enqueue(priority, {"GET", "/store/" + key, ""}, kRequestTimeout,
-            parse_reply(wire::parse_item, std::move(done)));
+            make_reply_handler(wire::parse_item, std::move(done)));
 }
 
 void StoreClient::list(RequestPriority priority, const std::string& prefix,
@@ -126,7 +127,7 @@
     if (!since.empty()) target += "&since=" + since;
     target += "&limit=" + std::to_string(kPageItems);
     enqueue(priority, {"GET", std::move(target), ""}, kRequestTimeout,
-            parse_reply(wire::parse_items, std::move(done)));
+            make_reply_handler(wire::parse_items, std::move(done)));
 }
 
 void StoreClient::watch(RequestPriority priority, const std::string& prefix, std::uint64_t since,
@@ -137,7 +138,7 @@
                  "&blockMs=" + std::to_string(block),
              ""},
             block == 0 ? kRequestTimeout : block + kWatchMargin,
-            parse_reply(wire::parse_changes, std::move(done)));
+            make_reply_handler(wire::parse_changes, std::move(done)));
 }
 
 // ---- transactions ----
@@ -157,7 +158,8 @@
                            .done = [this, done = std::move(done), size,
                                     has_lease](const net::HttpReply& reply) {
                                auto result = transaction_result(reply);
-                               // With a lease it mostly means that the lease has expired.
+                               // A rejected transaction with a lease usually means that
+                               // the lease has expired, not that a size limit is exceeded.
                                if (result.outcome == Outcome::Rejected && !has_lease) {
                                    on_rejected(size);
                                }
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The client of the state service (a consensus-backed key-value store).
+// Client of the state service, a consensus-backed key-value store.
 
 #include <functional>
 #include <string>
@@ -18,69 +18,73 @@
 
 namespace lichendrift::store {
 
-/// Sends requests to the state service. Rates are limited so that all controllers together stay
-/// below the service's limits, every request has a deadline and every queue a bound. Each callback
-/// is called once and never from inside the call that it was passed to; once the client is
-/// destroyed, no answer calls it any more. Loop thread only; all times are steady.
+/// Sends requests to the state service. The request rate is limited so that all controllers
+/// together stay below the service's limits; every request has a deadline and every queue a maximum
+/// length. Each callback is called once and never from inside the call that it was passed to; no
+/// reply calls it after the client is destroyed. Loop thread only; all times are steady.
 class StoreClient {
   public:
     /// `runtime` must outlive the client.
     StoreClient(net::Runtime& runtime, const StoreSettings& settings);
 
-    /// Sets the part of the service's rate limits that this controller may use.
+    /// Sets the fractions of the service's rate limits that this controller may use.
     void set_share(RateShare share) { limiter_.set_share(share); }
 
-    /// Receives a value; the item is empty unless the outcome is `Ok`.
+    /// Receives the item of a key; it is empty unless the outcome is `Ok`.
     using OnItem = std::function<void(Outcome, wire::Item)>;
-    /// Receives a page of values or changes; empty unless the outcome is `Ok`.
+    /// Receives a page of items or changes; it is empty unless the outcome is `Ok`.
     using OnPage = std::function<void(Outcome, wire::ItemPage)>;
-    /// Receives the result of a transaction.
+    /// Receives the result of a transaction, with the keys whose condition failed.
     using OnTransaction = std::function<void(TransactionResult)>;
-    /// Receives a lease. `sent_at`: when it was asked for; the lease lasts at least its duration
-    /// from then on.
+    /// Receives a lease ID. `sent_at`: time of the call that requested the lease or its renewal;
+    /// the lease is valid for at least its duration from then on.
     using OnLease = std::function<void(Outcome, std::uint64_t lease, Millis sent_at)>;
 
     /// Reads the value of a key.
     void get(RequestPriority priority, const std::string& key, OnItem done);
 
-    /// Reads a page of the keys with a prefix, beginning after the key `since` ("": at the first).
+    /// Reads a page of the keys with a prefix, starting after the key `since` ("": from the first).
     void list(RequestPriority priority, const std::string& prefix, const std::string& since,
               OnPage done);
 
-    /// Compare-and-swap: writes `changes` in one step if all of `conditions` hold.
+    /// Compare-and-swap: applies `changes` atomically if all of `conditions` hold.
     void transact(RequestPriority priority, const std::vector<wire::Condition>& conditions,
                   const std::vector<wire::Change>& changes, OnTransaction done);
 
-    /// Creates a lease that lasts for `duration` unless it is renewed.
+    /// Creates a lease that expires after `duration` unless it is renewed.
     void create_lease(Millis duration, OnLease done);
-    /// Renews a lease for its duration; `Missing`: it has expired.
+    /// Extends a lease by its duration from now on; `Missing`: the lease has expired.
     void renew_lease(std::uint64_t lease, OnLease done);
-    /// Ends a lease and removes its keys; nothing says whether that succeeded.
+    /// Ends a lease, which removes its keys. Best effort: the result is not reported.
     void release_lease(std::uint64_t lease);
 
-    /// Reads the changes of keys with a prefix after a revision, waiting up to `block` for the
-    /// first. `Missing`: the service has forgotten that revision.
+    /// Reads the changes after revision `since` of keys with a prefix, waiting up to `block` for
+    /// the first change. `Missing`: the service no longer has that revision.
     void watch(RequestPriority priority, const std::string& prefix, std::uint64_t since,
                Millis block, OnPage done);
 
-    /// False while requests go unanswered or fail: new work is better refused at once.
+    /// False while requests fail or remain unanswered. Callers should then refuse new work
+    /// immediately.
     [[nodiscard]] bool responsive() const { return health_.is_responsive(runtime_.now()); }
-    /// For how long all requests have failed; 0: the last one did not.
+    /// Time since the current series of failures began; 0 if the request that ended last did not
+    /// fail.
     [[nodiscard]] Millis failing_for() const { return health_.failing_for(runtime_.now()); }
-    /// Whether so many keys could be written now without delaying anything else.
+    /// Whether this many keys can be written now without delaying other requests.
     [[nodiscard]] bool can_write_immediately(std::size_t writes);
 
-    /// How many keys a transaction may write.
+    /// Maximum number of keys that a transaction may write.
     [[nodiscard]] std::size_t max_transaction_operations() const {
         return limits_.max_transaction_operations();
     }
-    /// Size of a value, as far as known.
+    /// Current maximum size of a value in bytes, as far as known.
     [[nodiscard]] std::size_t max_value_bytes() const { return limits_.max_value_bytes(); }
-    /// Size of a value that stays allowed when an announced reduction comes into force.
+    /// Maximum size of a value in bytes that is still allowed once the announced reduction is in
+    /// force.
     [[nodiscard]] std::size_t max_value_bytes_after_reduction() const {
         return limits_.max_value_bytes_after_reduction();
     }
-    /// Whether the service has rejected a transaction for its size: smaller limits are in force.
+    /// Whether the service has rejected a transaction because of its size, which shows that smaller
+    /// limits are in force.
     [[nodiscard]] bool limits_lowered() const { return limits_.lowered(); }
 
   private:
@@ -88,9 +92,9 @@
                  net::OnReply done);
     void send(QueuedRequest request);
     void on_reply_status(int status);
-    void probe_later();
+    void schedule_probe();
     template <typename Parse, typename Done>
-    net::OnReply parse_reply(Parse parse, Done done);
+    net::OnReply make_reply_handler(Parse parse, Done done);
     TransactionResult transaction_result(const net::HttpReply& reply);
     void on_rejected(const SizeLimits::RejectedTransaction& rejected);
 
