--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and client on real sockets of the loopback, with a clock of the test's own.
+// Tests of the HTTP server and client on real loopback sockets, with a simulated clock.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -19,7 +19,7 @@
 constexpr int kFirstPort = 20'000;
 constexpr int kEndOfPorts = 60'000;
 constexpr int kPortStep = 97;
-constexpr int kTurnsUntilQuiet = 20;
+constexpr int kIterationsUntilIdle = 20;
 constexpr Millis kTimeout = 5000;
 
 const std::string kHealthRequest = "GET /healthz HTTP/1.1\r\n\r\n";
@@ -34,7 +34,7 @@
               static_cast<ssize_t>(bytes.size()));
 }
 
-// What has come; "closed" if the other side has ended it.
+// The bytes received so far, without waiting; "closed" if the peer has closed the connection.
 std::string received(const Fd& fd) {
     std::array<char, 4096> buffer{};
     const auto bytes = ::recv(fd.get(), buffer.data(), buffer.size(), MSG_DONTWAIT);
@@ -42,7 +42,7 @@
     return bytes < 0 ? "" : std::string(buffer.data(), static_cast<std::size_t>(bytes));
 }
 
-// "HTTP/1.1 200" of a response that has come.
+// Start of the status line of a received response, such as "HTTP/1.1 200".
 std::string received_status(const Fd& fd) {
     return received(fd).substr(0, std::string("HTTP/1.1 200").size());
 }
@@ -51,7 +51,7 @@
   protected:
     NetTest() : loop_([this] { return now_; }) {}
 
-    // Serves on the first port that is free.
+    // Serves on the first free port.
     void serve(std::size_t max_connections, HttpServer::Handler handle,
                HttpServer::CanWait can_wait = {}) {
         server_.emplace(loop_, budget_, HttpServer::Limits{kMaxBodyBytes, max_connections},
@@ -64,11 +64,11 @@
     [[nodiscard]] std::string server_address() const { return local_address(port_); }
     Fd connect() {
         Fd fd = connect_to(server_address());
-        run_turns();
+        run_iterations();
         return fd;
     }
-    void run_turns() {
-        for (int i = 0; i < kTurnsUntilQuiet; ++i) loop_.run_once(1);
+    void run_iterations() {
+        for (int i = 0; i < kIterationsUntilIdle; ++i) loop_.run_once(1);
     }
     void advance(Millis duration) {
         constexpr Millis kStep = 500;
@@ -76,11 +76,11 @@
             now_ = std::min(end, now_ + kStep);
             loop_.run_once(0);
         }
-        run_turns();
+        run_iterations();
     }
     void send(const Fd& fd, const std::string& bytes) {
         send_bytes(fd, bytes);
-        run_turns();
+        run_iterations();
     }
 
     Millis now_ = 0;
@@ -90,9 +90,10 @@
     int port_ = 0;
 };
 
-// All are back at once: what leases depend on goes before users, whoever came first, and nobody is
-// left without a response.
-TEST_F(NetTest, HeartbeatsGoBeforeUsersAndAllGetResponses) {
+// Guards against heartbeats that wait behind user requests when all clients reconnect at the same
+// time. Leases depend on heartbeats, so these are handled first, whatever the order of arrival, and
+// every request still gets a response.
+TEST_F(NetTest, HeartbeatsAreHandledBeforeUserRequestsAndAllGetResponses) {
     constexpr std::size_t kConnections = 60;
     const std::string user_request = "GET /v2/runs/x HTTP/1.1\r\n\r\n";
     const std::string worker_request = "GET /agent/beat HTTP/1.1\r\n\r\n";
@@ -110,15 +111,16 @@
     for (std::size_t i = 0; i < kConnections; ++i) {
         send_bytes(connections[i], i % 2 == 0 ? user_request : worker_request);
     }
-    run_turns();
+    run_iterations();
     ASSERT_EQ(order.size(), kConnections);
     for (std::size_t i = 0; i < kConnections / 2; ++i) EXPECT_EQ(order[i], "/agent/beat") << i;
     for (const auto& fd : connections) EXPECT_EQ(received_status(fd), "HTTP/1.1 200");
-    // What waited too long for its turn, as after the process stood still, is refused for now.
+    // A request that was deferred for too long, for example because the process was paused, is
+    // refused with 503 and Retry-After.
     for (std::size_t i = 0; i < 2; ++i) send_bytes(connections[i], user_request);
     loop_.defer([this] { now_ += 3000; });
     loop_.run_once(0);
-    run_turns();
+    run_iterations();
     for (std::size_t i = 0; i < 2; ++i) {
         const auto response = received(connections[i]);
         EXPECT_EQ(response.substr(0, 12), "HTTP/1.1 503");
@@ -126,7 +128,7 @@
     }
 }
 
-TEST_F(NetTest, RequestThatArrivesByTheByteIsGivenUp) {
+TEST_F(NetTest, SlowAndSilentConnectionsAreClosed) {
     serve(20, respond_ok);
     const auto slow = connect();
     const auto silent = connect();
@@ -149,7 +151,7 @@
     EXPECT_EQ(received(idle), "closed");
 }
 
-TEST_F(NetTest, RequestThatTheServiceIsAtWorkOnIsNotTimedOut) {
+TEST_F(NetTest, RequestBeingHandledIsNotTimedOut) {
     Respond respond_later;
     serve(20, [&](const HttpRequest&, Respond respond) { respond_later = std::move(respond); });
     const auto waiting = connect();
@@ -157,12 +159,13 @@
     advance(30'000);
     EXPECT_EQ(received(waiting), "");
     respond_later({200, "{}"});
-    run_turns();
+    run_iterations();
     EXPECT_EQ(received_status(waiting), "HTTP/1.1 200");
 }
 
-// With all places taken idle users make way; workers keep theirs, as their tasks depend on it.
-TEST_F(NetTest, FullServerLetsIdleUsersGoAndKeepsWorkers) {
+// At the connection limit the server closes idle user connections. Workers keep theirs, because
+// their tasks depend on them.
+TEST_F(NetTest, FullServerClosesIdleUserConnectionsAndKeepsWorkers) {
     serve(6, respond_ok);
     std::vector<Fd> workers;
     std::vector<Fd> users;
@@ -179,16 +182,17 @@
     }
     for (const auto& worker : workers) EXPECT_EQ(received(worker), "");
     EXPECT_EQ(received(users.front()), "closed");
-    // A worker that is new finds a place as well.
+    // A new worker is accepted as well.
     const auto new_worker = connect();
     send(new_worker, kHeartbeatRequest);
     EXPECT_EQ(received_status(new_worker), "HTTP/1.1 200");
     EXPECT_LE(budget_.open, 7U);
 }
 
-// The process may stand still between the check that it leads and the moment at which the
-// connection is there: no token guards what goes to the cloud.
-TEST_F(NetTest, RequestWithABoundNeverLeavesAfterIt) {
+// Guards against sending a request after the process was paused and its leadership may have ended.
+// The pause may fall between the leadership check and the end of connecting, and the cloud need not
+// check a fencing token and reject the request.
+TEST_F(NetTest, RequestIsNotSentAfterItsNotAfterTime) {
     int served = 0;
     serve(20, [&](const HttpRequest&, const Respond& respond) {
         ++served;
@@ -196,42 +200,43 @@
     });
     HttpClient client(loop_, budget_);
     std::vector<HttpReply> replies;
-    const auto call_until = [&](Millis not_after) {
+    const auto call_with_not_after = [&](Millis not_after) {
         client.call(server_address(), {"POST", "/x", "{}", not_after}, kTimeout,
                     [&](HttpReply reply) { replies.push_back(std::move(reply)); });
     };
-    const auto call_and_stand_still = [&](Millis duration) {
-        call_until(now_ + 100);
+    const auto call_and_pause = [&](Millis duration) {
+        call_with_not_after(now_ + 100);
         now_ += duration;
-        run_turns();
+        run_iterations();
     };
-    call_and_stand_still(3000);
-    call_and_stand_still(50);
+    call_and_pause(3000);
+    call_and_pause(50);
     ASSERT_EQ(replies.size(), 2U);
     EXPECT_EQ(replies[0].status, 0);
     EXPECT_FALSE(replies[0].sent);
     EXPECT_EQ(replies[1].status, 200);
     EXPECT_EQ(served, 1);
-    // On a kept connection as well, and the caller gets the reply after its call.
+    // The same holds on an idle connection, and the reply arrives only after call() has returned.
     now_ += 500;
-    call_until(now_ - 100);
+    call_with_not_after(now_ - 100);
     EXPECT_EQ(replies.size(), 2U);
-    run_turns();
+    run_iterations();
     ASSERT_EQ(replies.size(), 3U);
     EXPECT_FALSE(replies[2].sent);
     EXPECT_EQ(served, 1);
 }
 
-// Idle connections to workers used up the limit, and then no other address could be called.
-TEST_F(NetTest, IdleConnectionsMakeRoomForOtherAddresses) {
+// Guards against idle connections to workers that use up the socket limit, so that no other address
+// can be called.
+TEST_F(NetTest, IdleConnectionsAreClosedToConnectToOtherAddresses) {
     constexpr std::size_t kWorkers = 30;
     serve(1, respond_ok);
     std::vector<std::unique_ptr<HttpServer>> workers;
     std::vector<std::string> addresses;
-    SocketBudget budget_of_workers;
+    SocketBudget worker_budget;
     for (int port = port_ + 1; workers.size() < kWorkers && port < port_ + 900; ++port) {
         auto worker = std::make_unique<HttpServer>(
-            loop_, budget_of_workers, HttpServer::Limits{kMaxBodyBytes, 20}, respond_ok);
+            loop_, worker_budget, HttpServer::Limits{kMaxBodyBytes, 20}, respond_ok);
         if (!worker->listen(local_address(port))) continue;
         workers.push_back(std::move(worker));
         addresses.push_back(local_address(port));
@@ -244,14 +249,14 @@
         for (const auto& address : addresses) {
             client.call(address, {"POST", "/do", "{}"}, kTimeout,
                         [&](const HttpReply& reply) { replies += reply.status == 200 ? 1 : 0; });
-            run_turns();
+            run_iterations();
             EXPECT_LE(budget_.open, 28U);
         }
     }
     EXPECT_EQ(replies, 2 * kWorkers);
 }
 
-TEST_F(NetTest, ClientKeepsToTheLimitOfSocketsAndSaysWhatNeverLeft) {
+TEST_F(NetTest, ClientKeepsSocketLimitAndReportsUnsentRequests) {
     std::vector<Respond> responds;
     serve(60, [&](const HttpRequest&, Respond respond) { responds.push_back(std::move(respond)); });
     budget_.max_sockets = 30;
@@ -263,11 +268,11 @@
             if (reply.status == 200) ++replies;
             if (reply.status == 0 && !reply.sent) ++unsent;
         });
-        run_turns();
+        run_iterations();
         EXPECT_LE(budget_.open, 30U);
     }
     for (auto& respond : responds) respond({200, "{}"});
-    run_turns();
+    run_iterations();
     EXPECT_GT(unsent, 0);
     EXPECT_EQ(unsent + replies, 40);
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,4 @@
-// The clients of the state service and of the cloud: rate limits, health and limits on sizes.
+// Tests of the clients of the state service and the cloud: rate limits, health and size limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace lichendrift::store {
 namespace {
 
-// Virtual time in which each request is answered with what `respond` returns.
+// Runtime in virtual time that replies to each request with the body that `respond` returns.
 class VirtualRuntime : public net::Runtime {
   public:
     core::Millis now() override { return now_; }
@@ -54,7 +54,7 @@
 };
 
 // A state service that has every key and executes every transaction.
-class PromptStateService : public VirtualRuntime {
+class RespondingStateService : public VirtualRuntime {
     core::Millis response_time() override { return 5; }
     std::string respond(const net::HttpRequest& request) override {
         if (request.target == "/txn") return R"({"registro":7})";
@@ -94,9 +94,10 @@
     std::size_t machines_;
 };
 
-// A large fleet has more pages than the rate allows at once. The list ended at the first page that
-// was refused for the rate, and so never was complete, and no machine was provisioned.
-TEST(Cloud, ListOfFourThousandMachinesWaitsForTheRateLimit) {
+// Guards against giving up a machine list when a page is rejected by the rate limit. The list of a
+// large fleet has more pages than one burst allows; it was never complete, and no machine was
+// provisioned.
+TEST(Cloud, ListOfFourThousandMachinesRetriesRateLimitedPages) {
     ListingCloud runtime(4000);
     cloud::CloudClient client(runtime, "cloud:1", 5);
     client.set_share(0.3);
@@ -111,10 +112,11 @@
     EXPECT_EQ(runtime.requests(), 8U);
 }
 
-// Thousands of short tasks use up all writes that a leader may make. Its reads waited behind the
-// writes and expired, and each lookup of a user was refused for more than a minute.
-TEST(Store, ReadsGoOnWhileWritesWaitForTheRateLimit) {
-    PromptStateService runtime;
+// Guards against reads that wait behind rate-limited writes. Thousands of short tasks use up a
+// leader's write rate; its reads expired in the queue, and all user lookups were refused for more
+// than a minute.
+TEST(Store, ReadsAreSentWhileWritesWaitForTheRateLimit) {
+    RespondingStateService runtime;
     StoreClient client(runtime, {"state:1", 100, 20, 8, 8192});
     client.set_share({0.5, 0.5});
     std::size_t written = 0;
@@ -139,13 +141,14 @@
     }
     runtime.advance(23'000);
     EXPECT_EQ(read, requested);
-    // And the rate is kept: ten writes a second and a transaction to begin with.
+    // The write rate limit holds: ten writes per second after an initial burst.
     EXPECT_GT(written, 150U);
     EXPECT_LE(written, 20U * 22 / 2 + 16);
 }
 
-// An announced limit comes into force without notice: values shrink to it, then by half each time,
-// and at last transactions do.
+// The service applies an announced limit without further notice. Rejections lower the value size to
+// the announced limit, then by half each time; with small values, they lower the number of
+// operations.
 TEST(Store, RejectedTransactionsLowerTheLimits) {
     SizeLimits limits({"state:1", 100, 20, 8, 8192, 4096});
     EXPECT_FALSE(limits.lowered());
@@ -163,13 +166,13 @@
     EXPECT_EQ(limits.max_transaction_operations(), 4U);
 }
 
-TEST(Store, ServiceIsResponsiveUnlessRequestsFailOrStayOpen) {
+TEST(Store, ServiceIsResponsiveUnlessRequestsFailOrStayPending) {
     ServiceHealth health;
     EXPECT_TRUE(health.is_responsive(1000));
-    const auto open = health.on_sent(1000);
+    const auto pending = health.on_sent(1000);
     EXPECT_TRUE(health.is_responsive(1699));
     EXPECT_FALSE(health.is_responsive(1700));
-    health.on_ended(open);
+    health.on_ended(pending);
     health.on_status(503, 2000);
     health.on_status(0, 2200);
     EXPECT_TRUE(health.is_failing());
