--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -141,7 +141,7 @@
     }
     runtime.advance(23'000);
     EXPECT_EQ(read, requested);
-    // The write rate limit holds: ten writes per second after an initial burst.
+    // The write rate limit holds: ten writes per second, plus an initial transaction.
     EXPECT_GT(written, 150U);
     EXPECT_LE(written, 20U * 22 / 2 + 16);
 }
