--- a/src/control/policy_settings.cpp
+++ b/src/control/policy_settings.cpp
@@ -44,7 +44,7 @@
 silent_patience = fleet.report * 1.25 + 6.5s
 )";
 
-Value text(std::string_view value) { return {Type::Text, 0, value}; }
+Value text(std::string_view value) { return {Type::String, 0, value}; }
 Value flag(bool value) { return {Type::Boolean, value ? 1.0 : 0.0, {}}; }
 Value number(double value) { return {Type::Number, value, {}}; }
 Value seconds(double value) { return {Type::Duration, value, {}}; }
@@ -75,11 +75,11 @@
 using core::MachineFacts;
 
 constexpr std::array kJobVariables = {
-    FactVariable<JobFacts>{{"job.class", Type::Text, "its class"},
+    FactVariable<JobFacts>{{"job.class", Type::String, "its class"},
                            [](const JobFacts& job) { return text(job.cls); }},
-    FactVariable<JobFacts>{{"job.team", Type::Text, "its team"},
+    FactVariable<JobFacts>{{"job.team", Type::String, "its team"},
                            [](const JobFacts& job) { return text(job.team); }},
-    FactVariable<JobFacts>{{"job.priority", Type::Text, "low, normal, high or critical"},
+    FactVariable<JobFacts>{{"job.priority", Type::String, "low, normal, high or critical"},
                            [](const JobFacts& job) { return text(priority_name(job.priority)); }},
     FactVariable<JobFacts>{{"job.gang", Type::Boolean, "all its tasks run at once"},
                            [](const JobFacts& job) { return flag(job.gang); }},
@@ -131,9 +131,9 @@
 };
 
 constexpr std::array kMachineVariables = {
-    FactVariable<MachineFacts>{{"machine.type", Type::Text, "its type"},
+    FactVariable<MachineFacts>{{"machine.type", Type::String, "its type"},
                                [](const MachineFacts& machine) { return text(machine.type); }},
-    FactVariable<MachineFacts>{{"machine.zone", Type::Text, "its zone"},
+    FactVariable<MachineFacts>{{"machine.zone", Type::String, "its zone"},
                                [](const MachineFacts& machine) { return text(machine.zone); }},
     FactVariable<MachineFacts>{{"machine.spot", Type::Boolean, "the cloud may take it back"},
                                [](const MachineFacts& machine) { return flag(machine.spot); }},
--- a/src/policy/expression_compiler.cpp
+++ b/src/policy/expression_compiler.cpp
@@ -242,7 +242,7 @@
             case TokenKind::Text:
                 input_.advance();
                 check(program_.push_text(token.text.substr(1, token.text.size() - 2)));
-                return Type::Text;
+                return Type::String;
             case TokenKind::Name:
                 return name();
             default:
--- a/src/policy/program.cpp
+++ b/src/policy/program.cpp
@@ -64,7 +64,7 @@
             break;
         case Op::Equal:
             number =
-                truth(left.type == Type::Text ? left.text == right.text : number == right.number);
+                truth(left.type == Type::String ? left.text == right.text : number == right.number);
             left.type = Type::Boolean;
             break;
         case Op::Min:
--- a/src/policy/program_builder.cpp
+++ b/src/policy/program_builder.cpp
@@ -26,7 +26,7 @@
 
 ProgramBuilder::Emitted ProgramBuilder::push_text(std::string_view text) {
     program_.texts_.emplace_back(text);
-    return push_number(Type::Text, 0);
+    return push_number(Type::String, 0);
 }
 
 void ProgramBuilder::set_jump_target(std::size_t jump) {
@@ -37,7 +37,7 @@
     // Only now the texts stay where they are.
     auto text = program_.texts_.begin();
     for (auto& constant : program_.constants_) {
-        if (constant.type == Type::Text) constant.text = *text++;
+        if (constant.type == Type::String) constant.text = *text++;
     }
     program_.type_ = type;
     program_.source_ = source;
--- a/src/policy/value.cpp
+++ b/src/policy/value.cpp
@@ -9,7 +9,7 @@
             return "number";
         case Type::Boolean:
             return "boolean";
-        case Type::Text:
+        case Type::String:
             return "string";
         case Type::Duration:
             return "duration";
--- a/src/policy/value.h
+++ b/src/policy/value.h
@@ -10,7 +10,7 @@
 enum class Type : std::uint8_t {
     Number,    ///< a finite or infinite number
     Boolean,   ///< true or false
-    Text,      ///< a string
+    String,    ///< a string
     Duration,  ///< a span of time
 };
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -14,7 +14,7 @@
 
 const std::vector<policy::Setting> kSettings = {
     {"n", Type::Number, {{"x", Type::Number, ""}, {"d", Type::Duration, ""}}},
-    {"b", Type::Boolean, {{"x", Type::Number, ""}, {"t", Type::Text, ""}}},
+    {"b", Type::Boolean, {{"x", Type::Number, ""}, {"t", Type::String, ""}}},
     {"d", Type::Duration, {{"d", Type::Duration, ""}}}};
 
 double value(const std::string& source) {
@@ -26,7 +26,7 @@
     const auto& assignment = compiled->front();
     std::vector<policy::Value> values;
     for (const auto& variable : kSettings[assignment.setting].variables) {
-        if (variable.type == Type::Text) {
+        if (variable.type == Type::String) {
             values.push_back({variable.type, 0, "vision"});
         } else {
             values.push_back({variable.type, variable.type == Type::Duration ? 90.0 : 7.0, {}});
