--- a/src/policy/expression_compiler.cpp
+++ b/src/policy/expression_compiler.cpp
@@ -1,4 +1,4 @@
-// The compiler of one expression: one pass that parses, checks types and emits steps.
+// Compiles one expression in a single pass: parses it, checks its types and emits instructions.
 #include "policy/expression_compiler.h"
 
 #include <string>
@@ -12,7 +12,8 @@
 
 constexpr int kMaxNesting = 32;
 
-// After a problem nothing that follows is reported, and what is emitted does not count.
+// Recursive-descent parser. After the first problem of a statement no other one is reported, and
+// the instructions emitted so far are discarded by the caller.
 class ExpressionCompiler {
   public:
     ExpressionCompiler(TokenReader& input, const Setting& setting)
@@ -24,27 +25,27 @@
     }
 
   private:
-    // ---- steps ----
+    // ---- instructions ----
 
-    void check(const ProgramBuilder::Emitted& emitted) {
-        if (emitted) return;
-        switch (emitted.error()) {
-            case ProgramLimit::Steps:
+    void check(const ProgramBuilder::EmitResult& result) {
+        if (result) return;
+        switch (result.error()) {
+            case ProgramLimit::Instructions:
                 return input_.report(
-                    input_.peek(), "a longer expression",
-                    "at most " + std::to_string(ProgramBuilder::kMaxSteps) + " steps");
+                    input_.peek(), "an expression that is too long",
+                    "at most " + std::to_string(ProgramBuilder::kMaxInstructions) + " operations");
             case ProgramLimit::StackDepth:
                 return input_.report(
-                    input_.peek(), "too many open operations",
+                    input_.peek(), "too many pending operands",
                     "at most " + std::to_string(Program::kMaxStackDepth) + " at once");
         }
     }
 
     void emit(Op operation) { check(program_.emit(operation)); }
 
-    // Returns the jump, for set_jump_target().
+    // Returns the index of the jump, to be passed to set_jump_target().
     std::size_t emit_jump(Op operation) {
-        const auto jump = program_.next_step();
+        const auto jump = program_.next_instruction();
         emit(operation);
         return jump;
     }
@@ -53,12 +54,12 @@
         if (!input_.failed()) program_.set_jump_target(jump);
     }
 
-    // One level of nesting while it exists.
+    // Counts one level of nesting for the lifetime of the object, and reports too deep nesting.
     class Nesting {
       public:
         explicit Nesting(ExpressionCompiler& compiler) : compiler_(compiler) {
             if (++compiler_.nesting_ > kMaxNesting) {
-                compiler_.input_.report(compiler_.input_.peek(), "deeper nesting",
+                compiler_.input_.report(compiler_.input_.peek(), "nesting that is too deep",
                                         "at most " + std::to_string(kMaxNesting) + " levels");
             }
         }
@@ -70,7 +71,8 @@
         ExpressionCompiler& compiler_;
     };
 
-    // ---- expressions, from the weakest operator to the strongest; each gives its type ----
+    // ---- expressions, from the lowest operator precedence to the highest; each function returns
+    // the type of what it parsed ----
 
     Type expression() {
         const Nesting nesting(*this);
@@ -144,19 +146,20 @@
 
     Type comparison() {
         const auto left = sum();
-        const Token sign = input_.peek();
-        if (input_.failed() || sign.kind != TokenKind::Sign) return left;
-        const auto text = sign.text;
+        const Token op = input_.peek();
+        if (input_.failed() || op.kind != TokenKind::Symbol) return left;
+        const auto text = op.text;
         const bool equality = text == "==" || text == "!=";
         if (!equality && text != "<" && text != "<=" && text != ">" && text != ">=") return left;
         input_.advance();
         const Token right = input_.peek();
         input_.require_type(sum(), left, right);
-        if (!equality && !is_measure(left)) {
-            input_.report(sign, quoted(sign) + " between " + std::string(type_name(left)) + "s",
+        if (!equality && !is_numeric(left)) {
+            input_.report(op, quoted(op) + " between " + std::string(type_name(left)) + "s",
                           "'==' or '!='");
         }
-        // a > b is not (a <= b); only finite values count in the end.
+        // `a > b` compiles to `not (a <= b)`, and `a >= b` to `not (a < b)`. For NaN operands this
+        // differs, which is accepted because only finite results are used.
         emit(equality ? Op::Equal : text == "<" || text == ">=" ? Op::Less : Op::LessEqual);
         if (text == "!=" || text == ">" || text == ">=") emit(Op::Not);
         return Type::Boolean;
@@ -165,15 +168,15 @@
     Type sum() {
         auto type = product();
         while (!input_.failed() && (input_.next_is("+") || input_.next_is("-"))) {
-            const Token sign = input_.peek();
+            const Token op = input_.peek();
             input_.advance();
             const Token right = input_.peek();
-            if (!is_measure(type)) {
-                input_.report(sign, quoted(sign) + " after " + with_article(type),
+            if (!is_numeric(type)) {
+                input_.report(op, quoted(op) + " after " + with_article(type),
                               "a number or a duration before it");
             }
             input_.require_type(product(), type, right);
-            emit(sign.text == "+" ? Op::Add : Op::Subtract);
+            emit(op.text == "+" ? Op::Add : Op::Subtract);
         }
         return type;
     }
@@ -181,16 +184,16 @@
     Type product() {
         auto type = power();
         while (!input_.failed() && (input_.next_is("*") || input_.next_is("/"))) {
-            const Token sign = input_.peek();
+            const Token op = input_.peek();
             input_.advance();
             const auto right = power();
             if (input_.failed()) return type;
-            const bool multiplies = sign.text == "*";
+            const bool multiplies = op.text == "*";
             const auto result = multiplies ? product_type(type, right) : quotient_type(type, right);
             if (!result) {
                 input_.report(
-                    sign,
-                    quoted(sign) + " between " + with_article(type) + " and " + with_article(right),
+                    op,
+                    quoted(op) + " between " + with_article(type) + " and " + with_article(right),
                     multiplies ? "numbers, or a number and a duration"
                                : "numbers, or a duration divided by a number or a duration");
             }
@@ -203,14 +206,14 @@
     Type power() {
         const auto type = unary();
         if (input_.failed() || !input_.next_is("^")) return type;
-        const Token sign = input_.peek();
+        const Token op = input_.peek();
         input_.advance();
         const Nesting nesting(*this);
         if (input_.failed()) return type;
         const auto exponent = power();
         if (type != Type::Number || exponent != Type::Number) {
-            const auto wrong = type == Type::Number ? exponent : type;
-            input_.report(sign, quoted(sign) + " with " + with_article(wrong), "numbers");
+            const auto not_number = type == Type::Number ? exponent : type;
+            input_.report(op, quoted(op) + " with " + with_article(not_number), "numbers");
         }
         emit(Op::Power);
         return Type::Number;
@@ -220,11 +223,11 @@
         if (!input_.next_is("-")) return primary();
         const Nesting nesting(*this);
         if (input_.failed()) return Type::Number;
-        const Token sign = input_.peek();
+        const Token op = input_.peek();
         input_.advance();
         const auto type = unary();
-        if (!is_measure(type)) {
-            input_.report(sign, "'-' before " + with_article(type),
+        if (!is_numeric(type)) {
+            input_.report(op, "'-' before " + with_article(type),
                           "a number or a duration after it");
         }
         emit(Op::Negate);
@@ -239,9 +242,9 @@
                 return literal(Type::Number);
             case TokenKind::Duration:
                 return literal(Type::Duration);
-            case TokenKind::Text:
+            case TokenKind::String:
                 input_.advance();
-                check(program_.push_text(token.text.substr(1, token.text.size() - 2)));
+                check(program_.push_string(token.text.substr(1, token.text.size() - 2)));
                 return Type::String;
             case TokenKind::Name:
                 return name();
@@ -293,7 +296,7 @@
     // ---- calls of functions ----
 
     struct Arguments {
-        Type type = Type::Number;  // of the first one, and so of all
+        Type type = Type::Number;  // of the first argument; the others must have the same
         int count = 0;
     };
 
@@ -307,12 +310,13 @@
         input_.require("(");
         const auto given = arguments(*function);
         input_.require(")");
-        if (!function->takes(given.count)) {
-            input_.report(name, quoted(name) + " with " + std::to_string(given.count) + " values",
-                          (function->any_number ? "at least " : "exactly ") +
-                              std::to_string(function->arguments));
+        if (!function->accepts_count(given.count)) {
+            input_.report(name,
+                          quoted(name) + " with " + std::to_string(given.count) + " argument(s)",
+                          (function->variadic ? "at least " : "exactly ") +
+                              std::to_string(function->argument_count));
         }
-        if (function->last) emit(*function->last);
+        if (function->final_op) emit(*function->final_op);
         return function->result.value_or(given.type);
     }
 
@@ -326,12 +330,12 @@
             if (given.count == 1) {
                 given.type = type;
                 if (!accepts(function.argument, type)) {
-                    input_.report_type(argument, type, std::string(text(function.argument)));
+                    input_.report_type(argument, type, std::string(describe(function.argument)));
                 }
             } else {
                 input_.require_type(type, given.type, argument);
             }
-            if (const auto combine = function.combining(given.count)) emit(*combine);
+            if (const auto combine = function.combining_op(given.count)) emit(*combine);
         } while (!input_.failed() && input_.accept(","));
         return given;
     }
--- a/src/policy/expression_compiler.h
+++ b/src/policy/expression_compiler.h
@@ -1,4 +1,4 @@
-// The compiler of one expression.
+// Compiles one expression of the policy language.
 #pragma once
 
 #include "policy/language.h"
@@ -7,14 +7,14 @@
 
 namespace lichendrift::policy {
 
-/// An expression whose steps are complete.
+/// The type and the instructions of one expression.
 struct CompiledExpression {
-    Type type = Type::Number;  ///< of its value
-    ProgramBuilder program;    ///< its steps
+    Type type = Type::Number;  ///< type of the expression's value
+    ProgramBuilder program;    ///< holds its instructions; finish() makes the program of them
 };
 
-/// Reads an expression and compiles it with the variables of a setting. If the reader says that
-/// the statement has failed afterwards, the result is of no use.
+/// Parses and compiles one expression, in which the variables of `setting` may be used. The result
+/// is only valid if `input.failed()` is false afterwards.
 [[nodiscard]] CompiledExpression compile_expression(TokenReader& input, const Setting& setting);
 
 }  // namespace lichendrift::policy
--- a/src/policy/language.cpp
+++ b/src/policy/language.cpp
@@ -1,4 +1,4 @@
-// The compiler of a source text, statement by statement.
+// Compiles a source text statement by statement.
 #include "policy/language.h"
 
 #include <set>
@@ -14,8 +14,8 @@
 constexpr std::size_t kMaxSourceBytes = std::size_t{64} << 10;
 constexpr std::size_t kMaxProblems = 50;
 
-// After a problem the rest of the statement is skipped, so that each statement reports its first
-// problem and all statements are looked at.
+// After a problem the rest of the statement is skipped and compilation goes on with the next one,
+// so that the first problem of every statement is reported.
 class Compiler {
   public:
     Compiler(std::string_view source, const std::vector<Setting>& settings)
@@ -40,10 +40,11 @@
   private:
     void statement(std::vector<Assignment>& assignments) {
         const Token name = input_.peek();
-        const auto* setting = setting_named_next();
+        const auto* setting = find_setting();
         if (setting == nullptr) return;
         if (!assigned_.insert(name.text).second) {
-            return input_.report(name, quoted(name) + " a second time", "each setting once");
+            return input_.report(name, quoted(name) + " assigned a second time",
+                                 "at most one assignment per setting");
         }
         input_.advance();
         input_.require("=");
@@ -64,7 +65,8 @@
              std::move(program).finish(type, std::string_view(first.text.data(), length))});
     }
 
-    const Setting* setting_named_next() {
+    // The setting named by the next token, or nullptr after reporting a problem.
+    const Setting* find_setting() {
         if (input_.peek().kind != TokenKind::Name) {
             input_.report_next("the name of a setting");
             return nullptr;
@@ -80,7 +82,7 @@
 
     const std::vector<Setting>& settings_;
     TokenReader input_;
-    std::set<std::string_view> assigned_;  // settings
+    std::set<std::string_view> assigned_;  // names of the settings assigned so far
 };
 
 }  // namespace
--- a/src/policy/lexer.cpp
+++ b/src/policy/lexer.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::string_view kSigns = "+-*/^<>=(),!";
-constexpr std::array<std::string_view, 4> kLongSigns = {"<=", ">=", "==", "!="};
+constexpr std::string_view kSymbols = "+-*/^<>=(),!";
+constexpr std::array<std::string_view, 4> kTwoByteSymbols = {"<=", ">=", "==", "!="};
 constexpr std::size_t kMaxQuotedBytes = 60;
 
 bool is_letter(char byte) {
@@ -21,14 +21,14 @@
 bool is_in_name(char byte) { return is_letter(byte) || is_digit(byte) || byte == '.'; }
 bool is_blank(char byte) { return byte == ' ' || byte == '\t'; }
 
-// A byte after the first one of a character in UTF-8.
+// Whether this is a continuation byte of a multi-byte UTF-8 character.
 bool continues_character(char byte) {
     constexpr unsigned kMask = 0xC0;
     constexpr unsigned kContinuation = 0x80;
     return (static_cast<unsigned char>(byte) & kMask) == kContinuation;
 }
 
-// The seconds of a unit of time; 0: there is no such unit.
+// The length of a unit of time in seconds; 0 if the unit is unknown.
 double unit_seconds(std::string_view unit) {
     constexpr double kMillisecond = 0.001;
     constexpr double kMinute = 60;
@@ -73,9 +73,9 @@
         } else if (is_digit(first)) {
             read_number(token);
         } else if (first == '"') {
-            token.kind = read_text();
+            token.kind = read_string();
         } else {
-            token.kind = read_sign();
+            token.kind = read_symbol();
         }
         token.text = source_.substr(start, at_ - start);
         return token;
@@ -84,8 +84,8 @@
     void skip_blanks() {
         while (!at_end()) {
             const char byte = source_[at_];
-            // An assignment is a new statement, even if the one before never closed its
-            // parentheses; so that is all that goes wrong.
+            // A line that begins with `name =` starts a new statement even if the one before has
+            // unclosed parentheses, so that these cause a problem in one statement only.
             if (byte == '\n' && parentheses_ > 0 && assignment_at(at_ + 1)) parentheses_ = 0;
             if (byte == '#') {
                 skip_while([](char comment) { return comment != '\n'; });
@@ -113,28 +113,31 @@
         }
     }
 
-    TokenKind read_text() {
+    TokenKind read_string() {
         ++at_;
         skip_while([](char byte) { return byte != '"' && byte != '\n'; });
         if (at_end() || source_[at_] != '"') return TokenKind::Invalid;
         ++at_;
-        return TokenKind::Text;
+        return TokenKind::String;
     }
 
-    TokenKind read_sign() {
+    TokenKind read_symbol() {
         const char first = source_[at_];
         const auto two = source_.substr(at_, 2);
-        at_ += std::find(kLongSigns.begin(), kLongSigns.end(), two) != kLongSigns.end() ? 2 : 1;
-        if (kSigns.find(first) == std::string_view::npos) {
+        at_ +=
+            std::find(kTwoByteSymbols.begin(), kTwoByteSymbols.end(), two) != kTwoByteSymbols.end()
+                ? 2
+                : 1;
+        if (kSymbols.find(first) == std::string_view::npos) {
             skip_while(continues_character);
             return TokenKind::Invalid;
         }
         if (first == '(') ++parentheses_;
         if (first == ')' && parentheses_ > 0) --parentheses_;
-        return TokenKind::Sign;
+        return TokenKind::Symbol;
     }
 
-    // Whether `name =` stands there.
+    // Whether the source at this offset begins with `name =`.
     [[nodiscard]] bool assignment_at(std::size_t at) const {
         const auto end_of = [&](std::size_t from, bool (*belongs)(char)) {
             while (from < source_.size() && belongs(source_[from])) ++from;
@@ -143,13 +146,13 @@
         const auto name = end_of(at, is_blank);
         const auto name_end = end_of(name, is_in_name);
         if (name_end == name) return false;
-        const auto sign = end_of(name_end, is_blank);
-        return source_.substr(sign, 1) == "=" && source_.substr(sign, 2) != "==";
+        const auto symbol = end_of(name_end, is_blank);
+        return source_.substr(symbol, 1) == "=" && source_.substr(symbol, 2) != "==";
     }
 
     [[nodiscard]] bool at_end() const { return at_ >= source_.size(); }
 
-    // Over bytes other than line ends.
+    // Must not skip line ends, because it doesn't count lines.
     template <typename Predicate>
     void skip_while(Predicate belongs) {
         while (!at_end() && belongs(source_[at_])) ++at_;
@@ -167,12 +170,12 @@
     std::size_t at_ = 0;
     std::size_t line_start_ = 0;
     int line_ = 1;
-    int parentheses_ = 0;  // open ones
+    int parentheses_ = 0;  // number of unclosed ones
 };
 
 }  // namespace
 
-std::vector<Token> tokens_of(std::string_view source) { return Lexer(source).run(); }
+std::vector<Token> tokenize(std::string_view source) { return Lexer(source).run(); }
 
 std::string quoted(const Token& token) {
     if (token.kind == TokenKind::EndOfFile) return "the end of the file";
--- a/src/policy/program.cpp
+++ b/src/policy/program.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-double truth(bool value) { return value ? 1 : 0; }
+double to_number(bool value) { return value ? 1 : 0; }
 
 void apply_unary(Op operation, Value& operand) {
     double& number = operand.number;
@@ -18,7 +18,7 @@
             number = -number;
             break;
         case Op::Not:
-            number = truth(number == 0);
+            number = to_number(number == 0);
             break;
         case Op::Abs:
             number = std::abs(number);
@@ -37,7 +37,7 @@
     }
 }
 
-// The result replaces the left operand.
+// Stores the result in `left`.
 void apply_binary(Op operation, Value& left, const Value& right) {
     double& number = left.number;
     switch (operation) {
@@ -57,14 +57,14 @@
             number = std::pow(number, right.number);
             break;
         case Op::Less:
-            number = truth(number < right.number);
+            number = to_number(number < right.number);
             break;
         case Op::LessEqual:
-            number = truth(number <= right.number);
+            number = to_number(number <= right.number);
             break;
         case Op::Equal:
-            number =
-                truth(left.type == Type::String ? left.text == right.text : number == right.number);
+            number = to_number(left.type == Type::String ? left.text == right.text
+                                                         : number == right.number);
             left.type = Type::Boolean;
             break;
         case Op::Min:
@@ -83,16 +83,16 @@
 Value Program::evaluate(const std::vector<Value>& variables) const {
     std::array<Value, kMaxStackDepth> stack;
     std::size_t size = 0;
-    for (std::size_t at = 0; at < steps_.size(); ++at) {
-        const auto [operation, index] = steps_[at];
+    for (std::size_t pc = 0; pc < instructions_.size(); ++pc) {
+        const auto [operation, index] = instructions_[pc];
         if (operation == Op::Push) {
             stack[size++] = constants_[index];
         } else if (operation == Op::Load) {
             stack[size++] = variables[index];
         } else if (operation == Op::Jump) {
-            at = index - 1;
+            pc = index - 1;
         } else if (operation == Op::JumpIfFalse) {
-            if (stack[--size].number == 0) at = index - 1;
+            if (stack[--size].number == 0) pc = index - 1;
         } else if (is_unary(operation)) {
             apply_unary(operation, stack[size - 1]);
         } else {
--- a/src/policy/program.h
+++ b/src/policy/program.h
@@ -14,16 +14,16 @@
 enum class Op : std::uint8_t {
     Push,         ///< pushes a constant
     Load,         ///< pushes a variable
-    Jump,         ///< goes on at a step
-    JumpIfFalse,  ///< takes a boolean; goes on at a step if it is false
-    Negate,       ///< the number with the other sign
-    Not,          ///< the other boolean
-    Abs,          ///< the number without its sign
-    Floor,        ///< the next smaller whole number
-    Ceil,         ///< the next larger whole number
-    Seconds,      ///< a duration as a number of seconds
+    Jump,         ///< continues at an instruction
+    JumpIfFalse,  ///< pops a boolean; continues at an instruction if it is false
+    Negate,       ///< changes the sign of a number
+    Not,          ///< inverts a boolean
+    Abs,          ///< the absolute value
+    Floor,        ///< rounds down to a whole number
+    Ceil,         ///< rounds up to a whole number
+    Seconds,      ///< converts a duration to a number of seconds
     Add,          ///< the sum of two
-    Subtract,     ///< the second taken off the first
+    Subtract,     ///< the first minus the second
     Multiply,     ///< the product of two
     Divide,       ///< the first divided by the second
     Power,        ///< the first to the power of the second
@@ -34,42 +34,42 @@
     Max,          ///< the larger of two
 };
 
-/// Whether an operation replaces one value on the stack by another one.
+/// Whether an operation replaces the topmost value of the stack by its result.
 [[nodiscard]] constexpr bool is_unary(Op operation) {
     return operation >= Op::Negate && operation <= Op::Seconds;
 }
 
-/// A checked expression, compiled to the steps of a stack machine. Movable only, as constants
-/// refer to the texts.
+/// An expression that was type-checked and compiled to instructions of a stack machine. It can be
+/// moved but not copied, because string constants refer to storage owned by the program.
 class Program {
   public:
-    /// The largest number of values on the stack; the compiler refuses what needs more.
+    /// The maximum number of values on the stack; the compiler rejects expressions that need more.
     static constexpr std::size_t kMaxStackDepth = 24;
 
     Program() = default;
     ~Program() = default;
-    Program(Program&&) = default;                 ///< texts keep their place in memory
-    Program& operator=(Program&&) = default;      ///< texts keep their place in memory
-    Program(const Program&) = delete;             ///< constants would refer to the other's texts
-    Program& operator=(const Program&) = delete;  ///< constants would refer to the other's texts
+    Program(Program&&) = default;                 ///< the strings keep their addresses
+    Program& operator=(Program&&) = default;      ///< the strings keep their addresses
+    Program(const Program&) = delete;             ///< constants would refer to the other's strings
+    Program& operator=(const Program&) = delete;  ///< constants would refer to the other's strings
 
     /// The type of the result.
     [[nodiscard]] Type type() const { return type_; }
-    /// Evaluates with variables in the order of the list that the program was compiled with. A
-    /// text in the result lives as long as the program and the variables.
+    /// Evaluates the expression. `variables` holds the values in the order of Setting::variables
+    /// at compilation. A string in the result is a view into the program or the variables.
     [[nodiscard]] Value evaluate(const std::vector<Value>& variables) const;
     /// The source text of the expression.
     [[nodiscard]] const std::string& source() const { return source_; }
 
   private:
     friend class ProgramBuilder;
-    struct Step {
+    struct Instruction {
         Op operation = Op::Push;
-        std::uint32_t index = 0;  // of a constant, a variable or a step
+        std::uint32_t index = 0;  // of a constant, a variable or a jump's target instruction
     };
-    std::vector<Step> steps_;
+    std::vector<Instruction> instructions_;
     std::vector<Value> constants_;
-    std::vector<std::string> texts_;  // what text constants refer to
+    std::vector<std::string> strings_;  // storage of the string constants
     std::string source_;
     Type type_ = Type::Number;
 };
--- a/src/policy/token_reader.cpp
+++ b/src/policy/token_reader.cpp
@@ -1,4 +1,4 @@
-// Reading of tokens by the compiler, with the problems that it finds.
+// Token stream of the compiler, which also collects the problems found.
 #include "policy/token_reader.h"
 
 #include <utility>
@@ -8,8 +8,9 @@
 std::string with_article(Type type) { return "a " + std::string(type_name(type)); }
 
 bool TokenReader::next_is(std::string_view text) const {
-    const bool may_be = peek().kind == TokenKind::Sign || peek().kind == TokenKind::Name;
-    return may_be && peek().text == text;
+    const bool is_word_or_symbol =
+        peek().kind == TokenKind::Symbol || peek().kind == TokenKind::Name;
+    return is_word_or_symbol && peek().text == text;
 }
 
 bool TokenReader::accept(std::string_view text) {
--- a/src/policy/token_reader.h
+++ b/src/policy/token_reader.h
@@ -1,4 +1,4 @@
-// Reading of tokens by the compiler, with the problems that it finds.
+// Token stream of the compiler, which also collects the problems found.
 #pragma once
 
 #include <cstddef>
@@ -11,41 +11,41 @@
 
 namespace lichendrift::policy {
 
-/// Walks through the tokens of a source and collects the problems found there: only the first one
-/// of each statement, as the others may follow from it.
+/// Reads the tokens of a source one by one and collects the problems found. Only the first problem
+/// of each statement is kept, because later ones are often consequences of it.
 class TokenReader {
   public:
-    /// The source has to outlive the reader.
-    explicit TokenReader(std::string_view source) : tokens_(tokens_of(source)) {}
+    /// The source must outlive the reader.
+    explicit TokenReader(std::string_view source) : tokens_(tokenize(source)) {}
 
     /// The next token.
     [[nodiscard]] const Token& peek() const { return tokens_[at_]; }
-    /// The token before the next one; there has to be one.
+    /// The token that was consumed last. Must not be called before the first advance().
     [[nodiscard]] const Token& previous() const { return tokens_[at_ - 1]; }
-    /// Goes on to the token after the next one.
+    /// Consumes the next token.
     void advance() { ++at_; }
-    /// Whether the next token is this sign or keyword.
+    /// Whether the next token is this symbol or keyword.
     [[nodiscard]] bool next_is(std::string_view text) const;
-    /// Goes on if the next token is this sign or keyword; returns whether it was.
+    /// Consumes the next token if it is this symbol or keyword; returns whether it was.
     bool accept(std::string_view text);
-    /// Goes on beyond this sign or keyword, or reports that it is missing.
+    /// Consumes this symbol or keyword, or reports that it is missing.
     void require(std::string_view text);
     /// Whether the next token ends the statement.
     [[nodiscard]] bool at_statement_end() const;
-    /// Goes on to the end of the statement.
+    /// Skips all tokens up to the end of the statement, which is not consumed.
     void skip_statement();
 
-    /// A new statement begins, without problems so far.
+    /// Starts a new statement: failed() is false until a problem of it is reported.
     void begin_statement() { failed_ = false; }
-    /// Whether the statement has a problem.
+    /// Whether a problem of the current statement was reported.
     [[nodiscard]] bool failed() const { return failed_; }
-    /// Reports a problem at a token.
+    /// Reports a problem at the position of `token`, unless the statement has one already.
     void report(const Token& token, std::string found, std::string expected);
     /// Reports that the next token is not what is expected.
     void report_next(std::string expected);
-    /// Reports that what begins at a token has a type that is not expected.
+    /// Reports that the expression that begins at `token` has the wrong type.
     void report_type(const Token& token, Type type, std::string expected);
-    /// Reports a problem if the types differ.
+    /// Reports a problem of the expression that begins at `token` if the types differ.
     void require_type(Type type, Type expected, const Token& token);
     /// The problems of all statements so far.
     [[nodiscard]] const std::vector<Problem>& problems() const { return problems_; }
@@ -57,7 +57,7 @@
     bool failed_ = false;
 };
 
-/// The name of a type with its article, for messages.
+/// The name of a type with the indefinite article, for messages: `a number`.
 [[nodiscard]] std::string with_article(Type type);
 
 }  // namespace lichendrift::policy
--- a/src/policy/type_rules.cpp
+++ b/src/policy/type_rules.cpp
@@ -1,4 +1,4 @@
-// The types that operators and functions take and give.
+// Type rules of operators and functions, and the table of functions.
 #include "policy/type_rules.h"
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr std::array kFunctions = {
-    Function{"min", ArgumentKind::Measure, 2, true, Op::Min, Op::Min, {}, {}},
-    Function{"max", ArgumentKind::Measure, 2, true, Op::Max, Op::Max, {}, {}},
+    Function{"min", ArgumentKind::Numeric, 2, true, Op::Min, Op::Min, {}, {}},
+    Function{"max", ArgumentKind::Numeric, 2, true, Op::Max, Op::Max, {}, {}},
     // clamp(x, low, high) is min(max(x, low), high).
-    Function{"clamp", ArgumentKind::Measure, 3, false, Op::Max, Op::Min, {}, {}},
-    Function{"abs", ArgumentKind::Measure, 1, false, {}, {}, Op::Abs, {}},
+    Function{"clamp", ArgumentKind::Numeric, 3, false, Op::Max, Op::Min, {}, {}},
+    Function{"abs", ArgumentKind::Numeric, 1, false, {}, {}, Op::Abs, {}},
     Function{"floor", ArgumentKind::Number, 1, false, {}, {}, Op::Floor, {}},
     Function{"ceil", ArgumentKind::Number, 1, false, {}, {}, Op::Ceil, {}},
     Function{"seconds", ArgumentKind::Duration, 1, false, {}, {}, Op::Seconds, Type::Number},
@@ -21,17 +21,17 @@
 
 }  // namespace
 
-bool is_measure(Type type) { return type == Type::Number || type == Type::Duration; }
+bool is_numeric(Type type) { return type == Type::Number || type == Type::Duration; }
 
 std::optional<Type> product_type(Type left, Type right) {
-    if (!is_measure(left) || !is_measure(right)) return std::nullopt;
+    if (!is_numeric(left) || !is_numeric(right)) return std::nullopt;
     if (left == Type::Number) return right;
     if (right == Type::Number) return left;
     return std::nullopt;
 }
 
 std::optional<Type> quotient_type(Type left, Type right) {
-    if (!is_measure(left) || !is_measure(right)) return std::nullopt;
+    if (!is_numeric(left) || !is_numeric(right)) return std::nullopt;
     if (left == right) return Type::Number;
     if (right == Type::Number) return left;
     return std::nullopt;
@@ -39,8 +39,8 @@
 
 bool accepts(ArgumentKind kind, Type type) {
     switch (kind) {
-        case ArgumentKind::Measure:
-            return is_measure(type);
+        case ArgumentKind::Numeric:
+            return is_numeric(type);
         case ArgumentKind::Number:
             return type == Type::Number;
         case ArgumentKind::Duration:
@@ -49,9 +49,9 @@
     return false;
 }
 
-std::string_view text(ArgumentKind kind) {
+std::string_view describe(ArgumentKind kind) {
     switch (kind) {
-        case ArgumentKind::Measure:
+        case ArgumentKind::Numeric:
             return "a number or a duration";
         case ArgumentKind::Number:
             return "a number";
@@ -61,9 +61,9 @@
     return "";
 }
 
-std::optional<Op> Function::combining(int position) const {
-    if (position < 2 || (position > arguments && !any_number)) return std::nullopt;
-    return position == 2 ? with_second : with_further;
+std::optional<Op> Function::combining_op(int position) const {
+    if (position < 2 || (position > argument_count && !variadic)) return std::nullopt;
+    return position == 2 ? combine_second : combine_further;
 }
 
 const Function* find_function(std::string_view name) {
--- a/src/policy/type_rules.h
+++ b/src/policy/type_rules.h
@@ -1,4 +1,4 @@
-// The types that operators and functions take and give.
+// Type rules of operators and functions, and the table of functions.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace lichendrift::policy {
 
-/// Whether values of the type can be added and ordered.
-[[nodiscard]] bool is_measure(Type type);
+/// Whether values of the type can be added and ordered: numbers and durations.
+[[nodiscard]] bool is_numeric(Type type);
 
-/// The type of a product, or nothing if these two cannot be multiplied.
+/// The type of a product, or nullopt if these two types cannot be multiplied.
 [[nodiscard]] std::optional<Type> product_type(Type left, Type right);
 
-/// The type of a quotient, or nothing if the first cannot be divided by the second.
+/// The type of a quotient, or nullopt if `left` cannot be divided by `right`.
 [[nodiscard]] std::optional<Type> quotient_type(Type left, Type right);
 
-/// What the first argument of a function may be; the others have the same type.
+/// The types allowed for the first argument of a function; the others must have the same type.
 enum class ArgumentKind : std::uint8_t {
-    Measure,   ///< a number or a duration
+    Numeric,   ///< a number or a duration
     Number,    ///< a number
     Duration,  ///< a duration
 };
@@ -30,26 +30,27 @@
 /// Whether an argument of this type is allowed.
 [[nodiscard]] bool accepts(ArgumentKind kind, Type type);
 
-/// What is expected, for messages.
-[[nodiscard]] std::string_view text(ArgumentKind kind);
+/// The allowed types, for messages.
+[[nodiscard]] std::string_view describe(ArgumentKind kind);
 
-/// A function of the language. Its arguments are combined one after the other as they come, then
-/// its last operation is applied.
+/// A function of the language. Its arguments are combined from left to right as they are parsed,
+/// then its final operation is applied.
 struct Function {
-    std::string_view name;           ///< as written in an expression
-    ArgumentKind argument;           ///< what it takes
-    int arguments;                   ///< how many; the fewest if it takes any number
-    bool any_number;                 ///< whether it takes more
-    std::optional<Op> with_second;   ///< combines the second argument with the first
-    std::optional<Op> with_further;  ///< combines each further one with the result so far
-    std::optional<Op> last;          ///< applied to the result
-    std::optional<Type> result;      ///< type of the result; none: that of the arguments
-
-    /// The operation that combines the argument at this position, from 1, with those before it.
-    [[nodiscard]] std::optional<Op> combining(int position) const;
-    /// Whether it can be called with so many arguments.
-    [[nodiscard]] bool takes(int count) const {
-        return any_number ? count >= arguments : count == arguments;
+    std::string_view name;              ///< as written in an expression
+    ArgumentKind argument;              ///< allowed types of its arguments
+    int argument_count;                 ///< number of arguments; the minimum if it is variadic
+    bool variadic;                      ///< whether it takes more than argument_count
+    std::optional<Op> combine_second;   ///< combines the second argument with the first
+    std::optional<Op> combine_further;  ///< combines each later argument with the result so far
+    std::optional<Op> final_op;         ///< applied to the combined arguments
+    std::optional<Type> result;         ///< type of the result; nullopt: that of the arguments
+
+    /// The operation that combines the argument at this position (from 1) with those before it;
+    /// nullopt for the first argument and for a position beyond the last one.
+    [[nodiscard]] std::optional<Op> combining_op(int position) const;
+    /// Whether the function can be called with `count` arguments.
+    [[nodiscard]] bool accepts_count(int count) const {
+        return variadic ? count >= argument_count : count == argument_count;
     }
 };
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The operators' expression language and what it decides.
+// The policy language, and planning with policies of operators.
 #include "control/policy.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
     return assignment.program.evaluate(values).number;
 }
 
-TEST(PolicyLanguage, Evaluates) {
+TEST(PolicyLanguage, EvaluatesExpressions) {
     const std::vector<std::pair<std::string, double>> cases = {
         {"n = 2 + 3 * 4", 14},
         {"n = (2 + 3) * 4", 20},
@@ -62,7 +62,7 @@
         EXPECT_DOUBLE_EQ(value(source), expected) << source;
 }
 
-struct Wrong {
+struct InvalidSource {
     std::string source;
     int line;
     int column;
@@ -70,8 +70,8 @@
     std::string expected;
 };
 
-TEST(PolicyLanguage, SaysWhereAndWhatIsWrong) {
-    const std::vector<Wrong> cases = {
+TEST(PolicyLanguage, ReportsPositionAndCauseOfAProblem) {
+    const std::vector<InvalidSource> cases = {
         {"speed = 1", 1, 1, "'speed'", "one of n, b, d"},
         {"n 1", 1, 3, "'1'", "'='"},
         {"n == 1", 1, 3, "'=='", "'='"},
@@ -95,33 +95,34 @@
         {"n = \"open", 1, 5, "'\"open'", "a value"},
         {"n = 1 \xc3\xa9", 1, 7, "'\xc3\xa9'", "an operator"},
         {"n = sqrt(2)", 1, 5, "'sqrt'", "one of the functions"},
-        {"n = min(2)", 1, 5, "'min' with 1 values", "at least 2"},
-        {"n = clamp(1, 2)", 1, 5, "'clamp' with 2 values", "exactly 3"},
+        {"n = min(2)", 1, 5, "'min' with 1 argument(s)", "at least 2"},
+        {"n = clamp(1, 2)", 1, 5, "'clamp' with 2 argument(s)", "exactly 3"},
         {"n = floor(1s)", 1, 11, "a duration", "a number"},
         {"n = (1 + 2\nd = 1s", 1, 11, "the end of the line", "')'"},
-        {"n = 1\n\nn = 2", 3, 1, "'n' a second time", "each setting once"},
+        {"n = 1\n\nn = 2", 3, 1, "'n' assigned a second time",
+         "at most one assignment per setting"},
         {"n = 1e999", 1, 5, "'1e999'", "a value"},
     };
-    for (const auto& wrong : cases) {
-        const auto compiled = policy::compile(wrong.source, kSettings);
-        ASSERT_FALSE(compiled) << wrong.source;
-        ASSERT_EQ(compiled.error().size(), 1U) << wrong.source;
+    for (const auto& invalid : cases) {
+        const auto compiled = policy::compile(invalid.source, kSettings);
+        ASSERT_FALSE(compiled) << invalid.source;
+        ASSERT_EQ(compiled.error().size(), 1U) << invalid.source;
         const auto& problem = compiled.error().front();
-        const auto message = wrong.source + ": " + problem.text();
-        EXPECT_EQ(problem.line, wrong.line) << message;
-        EXPECT_EQ(problem.column, wrong.column) << message;
-        EXPECT_NE(problem.found.find(wrong.found), std::string::npos) << message;
-        EXPECT_NE(problem.expected.find(wrong.expected), std::string::npos) << message;
+        const auto message = invalid.source + ": " + problem.text();
+        EXPECT_EQ(problem.line, invalid.line) << message;
+        EXPECT_EQ(problem.column, invalid.column) << message;
+        EXPECT_NE(problem.found.find(invalid.found), std::string::npos) << message;
+        EXPECT_NE(problem.expected.find(invalid.expected), std::string::npos) << message;
     }
 }
 
-TEST(PolicyLanguage, ReportsEveryStatementThatIsWrong) {
+TEST(PolicyLanguage, ReportsAProblemOfEveryInvalidStatement) {
     const auto compiled = policy::compile("n = d\nb = 1\nd = 3s\nwhat = 1\n", kSettings);
     ASSERT_FALSE(compiled);
     EXPECT_EQ(compiled.error().size(), 3U);
 }
 
-TEST(PolicyLanguage, IsBoundedInSizeAndDepth) {
+TEST(PolicyLanguage, LimitsSizeAndNestingDepth) {
     const auto refused = [](const std::string& source) {
         return !policy::compile(source, kSettings).has_value();
     };
@@ -140,7 +141,7 @@
     for (int i = 0; i < 30; ++i) open.insert(0, "1 + (").append(")");
     EXPECT_TRUE(refused("n = " + open));
     EXPECT_TRUE(refused("n = 1 #" + std::string(70'000, ' ')));
-    // Whatever bytes come, it ends and says something.
+    // For random input the compiler terminates with a program or at least one problem.
     std::mt19937_64 rng(7);
     for (int round = 0; round < 3000; ++round) {
         std::string bytes = "n = ";
@@ -153,8 +154,9 @@
     }
 }
 
-// The core's own constants serve its unit tests, the language serves the daemon: they must agree.
-TEST(OperatorPolicyTest, BuiltInPolicyIsWhatTheCoreDoesWithoutOne) {
+// The core has default constants, which its unit tests use; the daemon uses the built-in policy.
+// Both must give the same values.
+TEST(OperatorPolicyTest, BuiltInPolicyMatchesTheDefaultsOfTheCore) {
     ASSERT_TRUE(OperatorPolicy::check(OperatorPolicy::defaults()).empty());
     OperatorPolicy built_in;
     core::JobFacts job;
@@ -185,7 +187,7 @@
     EXPECT_TRUE(built_in.take_rejected_values().empty());
 }
 
-TEST(OperatorPolicyTest, OwnLinesReplaceBuiltInOnesAndBadValuesFallBackReportedOnce) {
+TEST(OperatorPolicyTest, OperatorSettingsOverrideBuiltInOnesAndRejectedValuesAreReportedOnce) {
     OperatorPolicy own(
         "score_fit = if job.class == \"train\" then 9 else 1 / 0\n"
         "idle_keep = 1s * machine.hourly\n"
@@ -206,8 +208,9 @@
     EXPECT_DOUBLE_EQ(own.idle_retention_s(machine, {}), 12);
 }
 
-// No policy can break a rule: the gate asks none.
-TEST(OperatorPolicyTest, HostilePoliciesBreakNoRule) {
+// Safety rules are checked independently of the policy, so no policy can make the leader violate
+// one.
+TEST(OperatorPolicyTest, HostilePoliciesViolateNoSafetyRule) {
     const std::vector<std::string> hostile = {
         "order = -job.slack\nscore_image = 0\nscore_fit = 1000\nscore_price = 0\n"
         "starving_after = 5s\nretry_after = 0.5s\n",
@@ -225,10 +228,11 @@
             options.jobs = 20;
             options.policy = text;
             simulation::Simulation simulation(options);
-            const auto broken = simulation.run();
-            // A bad policy may serve badly; it must not break a rule.
-            if (!broken.starts_with("unfinished") && !broken.starts_with("unserved")) {
-                EXPECT_EQ(broken, "") << text << seed;
+            const auto violation = simulation.run();
+            // A bad policy may delay jobs ("unfinished", "unserved"); any other violation is a
+            // failure.
+            if (!violation.starts_with("unfinished") && !violation.starts_with("unserved")) {
+                EXPECT_EQ(violation, "") << text << seed;
             }
         }
     }
