--- a/src/events/event.h
+++ b/src/events/event.h
@@ -6,99 +6,100 @@
 #include <variant>
 #include <vector>
 
-/// Everything that a controller logs, as typed events: plain values without behaviour. The pure
-/// core returns them, src/events/format.h renders them as `event=NAME field=value ...`.
-/// docs/operations.md lists them with what to do about each.
+/// The events that a controller logs, as plain structs without behaviour. The core, which does no
+/// I/O, returns them; src/events/format.h renders them as `event=NAME field=value ...`.
+/// docs/operations.md describes each event and the action to take.
 namespace lichendrift::events {
 
 // ---- the controller and its peers ----
 
-/// The process has begun to serve.
+/// The process has started to serve requests.
 struct ControllerStarted {
     static constexpr std::string_view kName = "controller_started";  ///< name in the log
 };
 
-/// The settings leave no time between the end of a worker's lease and the bound on cancellations,
-/// so a leader that is cut off can keep work that was cancelled elsewhere for longer than
-/// `cancel_s`.
+/// The settings leave no time between the expiry of a worker's lease and the bound on
+/// cancellations, so a partitioned leader can keep tasks of a job that was cancelled elsewhere
+/// running for longer than `cancel_s`.
 struct LeaseMarginTooSmall {
     static constexpr std::string_view kName = "lease_margin_too_small";  ///< name in the log
     double lease_s = 0;                                                  ///< worker lease, seconds
-    double cancel_s = 0;  ///< bound on cancelled tasks, seconds
+    double cancel_s = 0;  ///< time within which cancelled tasks must end, seconds
 };
 
-/// Every peer has answered that it is of this version or a later one.
+/// Every peer has reported that it runs this version or a later one.
 struct AllControllersCurrent {
     static constexpr std::string_view kName = "all_controllers_current";  ///< name in the log
 };
 
-/// Every peer has answered that its duties are fenced.
+/// Every peer has reported that its duties are fenced.
 struct AllControllersFenceDuties {
     static constexpr std::string_view kName = "all_controllers_fence_duties";  ///< name in the log
 };
 
-/// Messages that could not be parsed were treated as no answer. Logged at a bounded rate.
+/// Messages that could not be parsed were treated like missing responses. Logged at a bounded rate.
 struct MalformedMessages {
     static constexpr std::string_view kName = "malformed_messages";  ///< name in the log
-    std::string_view source;                                         ///< who sent them
-    std::uint64_t count = 0;                                         ///< since the start
+    std::string_view source;                                         ///< sender of the messages
+    std::uint64_t count = 0;                                         ///< since the process started
 };
 
 // ---- election ----
 
-/// A follower has read who leads.
+/// A follower has learned which controller is the leader.
 struct LeaderObserved {
     static constexpr std::string_view kName = "leader_observed";  ///< name in the log
     std::string leader;              ///< name of the leading controller
-    std::uint64_t leader_token = 0;  ///< its fencing token
+    std::uint64_t leader_token = 0;  ///< fencing token of the leader
 };
 
-/// This controller has won the election; the failover begins.
+/// This controller has won the election and starts the failover.
 struct LeaderElected {
     static constexpr std::string_view kName = "leader_elected";  ///< name in the log
 };
 
-/// The records of earlier leaders are read: planning begins.
+/// The records of earlier leaders have been read; planning starts.
 struct FailoverComplete {
     static constexpr std::string_view kName = "failover_complete";  ///< name in the log
     std::size_t open_jobs = 0;          ///< jobs that are neither done nor cancelled
-    std::size_t placement_records = 0;  ///< records read
+    std::size_t placement_records = 0;  ///< number of placement records read
 };
 
-/// The leader lease could not be renewed in time and now is renewed again: starts go on.
+/// The leader lease, which could not be renewed in time, has been renewed; tasks are started again.
 struct LeaderLeaseRecovered {
     static constexpr std::string_view kName = "leader_lease_recovered";  ///< name in the log
 };
 
 /// Why a leader stepped down.
 enum class StepDownReason : std::uint8_t {
-    HigherTokenAnnounced,  ///< by a peer
+    HigherTokenAnnounced,  ///< a peer has announced a higher fencing token
     HigherTokenAtWorker,   ///< a worker has accepted commands of a later leader
-    LeaderLeaseExpired,    ///< it could not be renewed in time
-    AnotherLeaderElected,  ///< a conditional write failed on the leader record
-    Shutdown,              ///< the process ends
+    LeaderLeaseExpired,    ///< the leader lease could not be renewed in time
+    AnotherLeaderElected,  ///< a conditional write to the leader record failed
+    Shutdown,              ///< the process is shutting down
 };
 
-/// This controller leads no longer.
+/// This controller is no longer the leader.
 struct LeaderSteppedDown {
     static constexpr std::string_view kName = "leader_stepped_down";  ///< name in the log
     StepDownReason reason = StepDownReason::LeaderLeaseExpired;       ///< why
-    std::uint64_t seen_token = 0;                                     ///< 0: not known
+    std::uint64_t seen_token = 0;  ///< the higher fencing token that was seen; 0: unknown
 };
 
-/// No worker's lease is renewed: jobs may have been cancelled that are not known here.
+/// The leader stops renewing the leases of workers, because it may not know of recent
+/// cancellations.
 struct LeaseRenewalsSuspended {
     static constexpr std::string_view kName = "lease_renewals_suspended";  ///< name in the log
 };
 
-/// Cancellations are known up to date again, and leases are renewed.
+/// This controller's knowledge of cancellations is up to date again, and worker leases are renewed.
 struct LeaseRenewalsResumed {
     static constexpr std::string_view kName = "lease_renewals_resumed";  ///< name in the log
 };
 
 // ---- jobs ----
 
-/// A job was accepted and is known to the leader.
+/// A job was accepted and has reached the leader.
 struct JobOpened {
     static constexpr std::string_view kName = "job_opened";  ///< name in the log
     std::string job;                                         ///< id of the job
@@ -106,31 +107,32 @@
     std::uint32_t tasks = 0;                                 ///< number of tasks
 };
 
-/// Tasks of a job got machines. Their start commands follow once the placement record is durable.
+/// Tasks of a job were assigned to machines. Start commands are sent once the placement record is
+/// durable.
 struct JobPlaced {
     static constexpr std::string_view kName = "job_placed";  ///< name in the log
-    static constexpr std::size_t kMaxMachines = 10;          ///< how many machines are named
+    static constexpr std::size_t kMaxMachines = 10;          ///< maximum length of `machines`
     std::string job;                                         ///< id of the job
     std::string job_class;                                   ///< its class
     std::uint64_t attempt = 0;                               ///< number of the attempt
-    std::int64_t waited_s = 0;                ///< time since it began to wait, seconds
-    bool image_present = false;               ///< on the first machine
+    std::int64_t waited_s = 0;                ///< time that the job has waited, seconds
+    bool image_present = false;               ///< whether the first machine has the image
     long score_percent = 0;                   ///< score of the chosen candidate
-    std::vector<std::string> rejected_zones;  ///< candidates without room for the whole
+    std::vector<std::string> rejected_zones;  ///< candidate zones without room for all tasks
     std::size_t tasks = 0;                    ///< number of tasks
-    std::vector<std::string> machines;        ///< kMaxMachines at most
+    std::vector<std::string> machines;        ///< names of the first kMaxMachines machines
 };
 
-/// A task is stopped for work of higher rank.
+/// A task is stopped to make room for a job of higher rank.
 struct TaskPreempted {
     static constexpr std::string_view kName = "task_preempted";  ///< name in the log
     std::string job;                                             ///< id of the job
     std::uint32_t task = 0;                                      ///< number of the task
     std::string machine;                                         ///< name of the machine
-    std::string preempted_by;  ///< a job; empty: not known any more
+    std::string preempted_by;  ///< id of the preempting job; empty: no longer known
 };
 
-/// The terminal state is durable.
+/// The terminal state of a job is durable.
 struct JobCompleted {
     static constexpr std::string_view kName = "job_completed";  ///< name in the log
     std::string job;                                            ///< id of the job
@@ -141,59 +143,59 @@
 /// Requests were answered with 503. Logged at a bounded rate.
 struct RequestsRefused {
     static constexpr std::string_view kName = "requests_refused";  ///< name in the log
-    std::uint64_t count = 0;                                       ///< since the start
-    std::string_view last_reason;                                  ///< of the last one
+    std::uint64_t count = 0;                                       ///< since the process started
+    std::string_view last_reason;  ///< reason of the most recent refusal
 };
 
 /// A submission was malformed (400). Logged at debug level.
 struct SubmissionMalformed {
     static constexpr std::string_view kName = "submission_malformed";  ///< name in the log
     std::string reason;                                                ///< why
-    std::string body;  ///< the beginning of the message
+    std::string body;  ///< the beginning of the request body
 };
 
 // ---- machines ----
 
 /// Why a machine is released.
 enum class ReleaseReason : std::uint8_t {
-    Idle,             ///< nothing is on it and nothing is expected
-    Silent,           ///< no heartbeat for longer than the patience
-    Unreachable,      ///< its heartbeats come, and nothing that is sent to it has an effect
-    LeasesLost,       ///< it loses one lease after the other
-    NoticeExpired,    ///< the cloud's notice has run out
-    UnconfirmedRun,   ///< a cancelled task may still be started there by a late command
-    NeverRegistered,  ///< no heartbeat came since it was provisioned or listed
+    Idle,             ///< it runs nothing and is not expected to be needed
+    Silent,           ///< no heartbeat for longer than the heartbeat timeout
+    Unreachable,      ///< its heartbeats arrive, but commands sent to it have no effect
+    LeasesLost,       ///< it has lost its lease repeatedly
+    NoticeExpired,    ///< the notice period given by the cloud has ended
+    UnconfirmedRun,   ///< a delayed command may still start a cancelled task on it
+    NeverRegistered,  ///< no heartbeat since it was provisioned or listed by the cloud
 };
 
-/// The machine gets no new work and the cloud will be asked to release it.
+/// A machine gets no new tasks and the cloud will be asked to release it.
 struct MachineReleaseStarted {
     static constexpr std::string_view kName = "machine_release_started";  ///< name in the log
     std::string machine;                                                  ///< name of the machine
     ReleaseReason reason = ReleaseReason::Idle;                           ///< why
     std::int64_t for_ms = 0;  ///< how long it was silent or unreachable; 0: does not apply
-    std::string job;          ///< of the unconfirmed run
+    std::string job;          ///< id of the job for ReleaseReason::UnconfirmedRun
 };
 
-/// The machine is drained, so that it can be released when it is empty.
+/// A machine is being drained, so that it can be released when it is empty.
 struct MachineDrainStarted {
     static constexpr std::string_view kName = "machine_drain_started";  ///< name in the log
     std::string machine;                                                ///< name of the machine
 };
 
-/// Resources have become short, and a machine that was being drained is kept.
+/// The drain of a machine was cancelled because resources have become scarce.
 struct MachineDrainCancelled {
     static constexpr std::string_view kName = "machine_drain_cancelled";  ///< name in the log
     std::string machine;                                                  ///< name of the machine
 };
 
-/// The cloud has confirmed a release.
+/// The cloud has confirmed the release of machines.
 struct MachinesReleased {
     static constexpr std::string_view kName = "machines_released";  ///< name in the log
     std::size_t count = 0;                                          ///< how many
     std::string first_machine;                                      ///< the first of them
 };
 
-/// An earlier leader meant to release these machines; this one finishes it.
+/// This leader completes releases that an earlier leader had decided.
 struct ReleasesInherited {
     static constexpr std::string_view kName = "releases_inherited";  ///< name in the log
     std::size_t count = 0;                                           ///< how many
@@ -210,57 +212,58 @@
     bool spot = false;                                                ///< whether spot machines
 };
 
-/// The cloud has responded to such a request.
+/// The cloud has responded to a provisioning request.
 struct ProvisionCompleted {
     static constexpr std::string_view kName = "provision_completed";  ///< name in the log
     std::string request;                                              ///< name of the request
-    std::size_t machines = 0;                                         ///< that came
-    bool no_capacity = false;  ///< whether the cloud had too few
+    std::size_t machines = 0;  ///< number of machines provisioned
+    bool no_capacity = false;  ///< whether the cloud had fewer machines than requested
 };
 
 // ---- stored state ----
 
-/// A stored value could not be parsed. It is left in place, and nothing is done on its account.
+/// A stored value could not be parsed. It is left in place and otherwise ignored.
 struct RecordUnreadable {
     static constexpr std::string_view kName = "record_unreadable";  ///< name in the log
     std::string key;                                                ///< key in the state service
 };
 
-/// The state service rejects what was allowed before: its limits have fallen.
+/// The state service rejected a transaction within its known limits, so the limits must have been
+/// lowered.
 struct StateLimitsLowered {
     static constexpr std::string_view kName = "state_limits_lowered";  ///< name in the log
     std::size_t rejected_operations = 0;   ///< operations of the rejected transaction
     std::size_t rejected_value_bytes = 0;  ///< size of its largest value
-    std::size_t max_operations = 0;        ///< from now on
-    std::size_t max_value_bytes = 0;       ///< from now on, bytes
+    std::size_t max_operations = 0;        ///< new limit on operations per transaction
+    std::size_t max_value_bytes = 0;       ///< new limit on the size of a value, bytes
 };
 
 // ---- duties ----
 
-/// This controller holds a duty.
+/// This controller has become the holder of a duty.
 struct DutyAcquired {
     static constexpr std::string_view kName = "duty_acquired";  ///< name in the log
     std::string_view duty;                                      ///< name of the duty
     std::uint64_t epoch = 0;                                    ///< epoch of the holder
 };
 
-/// How the tenure of a duty ended.
+/// How a controller stopped holding a duty.
 enum class DutyEnd : std::uint8_t {
-    Lost,        ///< to another controller
-    HandedOver,  ///< so that another controller can take it at once
-    GivenUp,     ///< its record cannot be understood
+    Lost,        ///< another controller holds it
+    HandedOver,  ///< released early, so that another controller can acquire it at once
+    GivenUp,     ///< its record cannot be parsed
 };
 
-/// This controller holds a duty no longer.
+/// This controller no longer holds a duty.
 struct DutyEnded {
     static constexpr std::string_view kName = "duty_ended";  ///< name in the log
     std::string_view duty;                                   ///< name of the duty
     DutyEnd how = DutyEnd::Lost;                             ///< what ended it
-    std::uint64_t epoch = 0;                                 ///< 0: it was lost before
-    std::uint64_t removed_records = 0;  ///< by the cleanup duty, since the start
+    std::uint64_t epoch = 0;            ///< epoch of the holder; 0: it was lost before
+    std::uint64_t removed_records = 0;  ///< removed by the cleanup duty since the process started
 };
 
-/// The cloud knows a later epoch of the duty and has refused a request.
+/// The cloud refused a request because it has seen a later epoch of the duty.
 struct StaleEpochRefused {
     static constexpr std::string_view kName = "stale_epoch_refused";  ///< name in the log
     std::string request;  ///< "release", or the name of a provisioning request
@@ -270,21 +273,21 @@
 struct IntentOverdue {
     static constexpr std::string_view kName = "intent_overdue";  ///< name in the log
     std::string key;                                             ///< key in the state service
-    std::int64_t open_s = 0;                                     ///< since when, seconds
+    std::int64_t open_s = 0;        ///< how long it has been open, seconds
     std::size_t releases = 0;       ///< machines that are still to be released
     std::string first_machine;      ///< the first of them
-    std::string provision_request;  ///< name of the request that is still to be made
+    std::string provision_request;  ///< name of the provisioning request that is still to be made
 };
 
-/// Counts of intents, once a minute.
+/// Counts of intents, logged once a minute.
 struct IntentsReport {
     static constexpr std::string_view kName = "intents_report";  ///< name in the log
     std::size_t open = 0;                                        ///< not settled yet
-    std::uint64_t written = 0;                                   ///< became durable
-    std::uint64_t settled = 0;                                   ///< carried out
-    std::uint64_t inherited = 0;                                 ///< left by earlier holders
-    std::uint64_t withdrawn_provisions = 0;  ///< given up before they were requested
-    std::uint64_t damaged = 0;               ///< not readable
+    std::uint64_t written = 0;                                   ///< number that became durable
+    std::uint64_t settled = 0;                                   ///< number carried out
+    std::uint64_t inherited = 0;             ///< number taken over from earlier holders of the duty
+    std::uint64_t withdrawn_provisions = 0;  ///< provisions given up before they were requested
+    std::uint64_t damaged = 0;               ///< number that could not be parsed
     std::uint64_t stale_refused = 0;         ///< requests refused for a stale epoch
 };
 
@@ -294,13 +297,13 @@
     std::string key;                                                 ///< key in the state service
 };
 
-/// In report mode: what would be removed.
+/// In report mode: a record that would be removed in remove mode.
 struct CleanupWouldRemove {
     static constexpr std::string_view kName = "cleanup_would_remove";  ///< name in the log
     std::string key;                                                   ///< key in the state service
 };
 
-/// Records of no use were removed.
+/// Records that are no longer needed were removed.
 struct CleanupRemoved {
     static constexpr std::string_view kName = "cleanup_removed";  ///< name in the log
     std::size_t count = 0;                                        ///< how many
@@ -309,18 +312,18 @@
 
 // ---- policy ----
 
-/// An expression of the operators' policy gave a value that is not finite or out of range; the
-/// built-in value is used. Logged once for each setting.
+/// An expression of the operators' policy evaluated to a value that is not finite or out of range;
+/// the built-in expression is used instead. Logged once for each setting.
 struct PolicyValueRejected {
     static constexpr std::string_view kName = "policy_value_rejected";  ///< name in the log
     std::string setting;                                                ///< name of the setting
     std::string expression;                                             ///< its source text
-    double value = 0;                                                   ///< what it gave
+    double value = 0;                                                   ///< the rejected value
     double minimum = 0;                                                 ///< smallest allowed value
     double maximum = 0;                                                 ///< largest allowed value
 };
 
-/// Any event.
+/// Any of the events above.
 using Event =
     std::variant<ControllerStarted, LeaseMarginTooSmall, AllControllersCurrent,
                  AllControllersFenceDuties, MalformedMessages, LeaderObserved, LeaderElected,
--- a/src/events/format.cpp
+++ b/src/events/format.cpp
@@ -41,7 +41,7 @@
     return out;
 }
 
-// Collects the fields of one event.
+// Builds the log line of one event.
 class Line {
   public:
     explicit Line(std::string_view name) : text_("event=") { text_ += name; }
@@ -59,11 +59,11 @@
     Line& field(std::string_view name, const std::vector<std::string>& values) {
         return field(name, fmt::format("{}", fmt::join(values, ",")));
     }
-    // Left out if it is empty.
+    // Omits the field if the value is empty.
     Line& optional(std::string_view name, std::string_view value) {
         return value.empty() ? *this : field(name, value);
     }
-    // Left out if it is zero.
+    // Omits the field if the value is zero.
     template <typename Number>
     requires std::is_arithmetic_v<Number> Line& optional(std::string_view name, Number value) {
         return value == Number{} ? *this : field(name, value);
--- a/tests/events_test.cpp
+++ b/tests/events_test.cpp
@@ -1,4 +1,4 @@
-// How events become log lines.
+// Formatting of events as log lines.
 #include <gtest/gtest.h>
 
 #include "events/format.h"
@@ -15,7 +15,7 @@
               "event=lease_margin_too_small lease_s=10 cancel_s=12.5");
 }
 
-TEST(Events, QuoteValuesThatWouldNotSurviveASplitAtSpaces) {
+TEST(Events, QuoteValuesWithSpacesQuotesOrControlCharacters) {
     EXPECT_EQ(format(RequestsRefused{2, "the state service does not answer"}),
               "event=requests_refused count=2 last_reason=\"the state service does not answer\"");
     EXPECT_EQ(format(RecordUnreadable{"a\"b\\c\nd=e\x01"}),
@@ -45,7 +45,7 @@
               "score_percent=0 rejected_zones=a,b tasks=2 machines=host-1,host-2");
 }
 
-TEST(Events, OnlyMalformedSubmissionsAreOfDebugLevel) {
+TEST(Events, OnlyMalformedSubmissionsAreLoggedAtDebugLevel) {
     EXPECT_EQ(level_of(SubmissionMalformed{"no id", "{}"}), Level::Debug);
     EXPECT_EQ(level_of(RequestsRefused{1, "x"}), Level::Info);
 }
