--- a/src/cli/daemon_runtime.cpp
+++ b/src/cli/daemon_runtime.cpp
@@ -1,4 +1,4 @@
-// The system's clock, and what the loop and the HTTP client do.
+// net::Runtime on the system's clock, the event loop and the HTTP client.
 #include "cli/daemon_runtime.h"
 
 #include <ctime>
--- a/src/cli/daemon_runtime.h
+++ b/src/cli/daemon_runtime.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The runtime of the real process.
+// The runtime of the daemon; tests use a simulated one instead.
 
 #include <cstdint>
 #include <functional>
@@ -13,11 +13,11 @@
 
 namespace lichendrift::cli {
 
-/// Time and timers of an event loop, requests through an HTTP client, random numbers seeded by the
-/// system. Loop thread only.
+/// Provides time and timers from an event loop, requests through an HTTP client and random numbers
+/// from a generator seeded by the system. Loop thread only.
 class DaemonRuntime : public net::Runtime {
   public:
-    /// `loop` and `client` must outlive it.
+    /// `loop` and `client` must outlive the runtime.
     DaemonRuntime(net::EventLoop& loop, net::HttpClient& client);
 
     net::Millis now() override { return loop_.now(); }
--- a/src/cli/log.cpp
+++ b/src/cli/log.cpp
@@ -1,4 +1,4 @@
-// The layout and the level of the log.
+// Line layout and level of the log.
 #include "cli/log.h"
 
 #include <spdlog/pattern_formatter.h>
@@ -17,13 +17,13 @@
 constexpr char kContextFlag = '*';
 constexpr const char* kPattern = "%Y-%m-%dT%H:%M:%S.%e %l %* %v";
 
-// Set and read on the loop's thread, the only one that logs.
+// The context in each line. Not locked: only the loop thread logs and sets it.
 std::string& log_context() {
     static std::string context = "member=? role=starting token=0";
     return context;
 }
 
-// Writes the context where the pattern has its flag.
+// Replaces kContextFlag in the pattern by the log context.
 class ContextFlag : public spdlog::custom_flag_formatter {
   public:
     void format(const spdlog::details::log_msg& /*message*/, const std::tm& /*time*/,
@@ -55,7 +55,7 @@
     logger->set_formatter(std::move(formatter));
     logger->flush_on(spdlog::level::err);
     spdlog::set_default_logger(std::move(logger));
-    // NOLINTNEXTLINE(concurrency-mt-unsafe): before the threads start
+    // NOLINTNEXTLINE(concurrency-mt-unsafe): called before other threads start
     const char* value = std::getenv("LOG_LEVEL");
     const std::string_view name = value == nullptr ? "info" : value;
     const auto level = parse_level(name);
--- a/src/cli/orderly_shutdown.cpp
+++ b/src/cli/orderly_shutdown.cpp
@@ -1,4 +1,4 @@
-// From the signal handler over an eventfd to the loop thread.
+// The signal handler wakes the loop thread through an eventfd.
 #include "cli/orderly_shutdown.h"
 
 #include <sys/epoll.h>
@@ -12,9 +12,11 @@
 
 namespace {
 
-constexpr net::Millis kHandOverTime = 300;  // for the requests that hand over to be sent
+// Time between the start of the handover and the end of the process, in which the requests of the
+// handover are sent.
+constexpr net::Millis kHandoverDelay = 300;
 
-// For the signal handler, which may do little else than write to it.
+// The eventfd for the signal handler, which may only call async-signal-safe functions like write().
 std::atomic<int> signal_event{-1};
 
 void handle_signal(int /*number*/) {
@@ -40,7 +42,7 @@
 void OrderlyShutdown::on_signal() {
     loop_.remove(signal_event_.get());
     controller_.hand_over();
-    loop_.after(kHandOverTime, [&loop = loop_] { loop.stop(); });
+    loop_.after(kHandoverDelay, [&loop = loop_] { loop.stop(); });
 }
 
 }  // namespace lichendrift::cli
