--- a/src/cli/planner_thread.cpp
+++ b/src/cli/planner_thread.cpp
@@ -1,4 +1,4 @@
-// The loop of the planner's thread.
+// The planner's thread and its loop.
 #include "cli/planner_thread.h"
 
 #include <memory>
@@ -17,29 +17,29 @@
     thread_.join();
 }
 
-void PlannerThread::plan(std::function<core::Snapshot()> take,
-                         std::function<void(core::Plan)> done) {
+void PlannerThread::plan(std::function<core::Snapshot()> take_snapshot,
+                         std::function<void(core::Plan)> on_plan) {
     {
         std::scoped_lock lock(mutex_);
-        take_ = std::move(take);
-        done_ = std::move(done);
+        take_snapshot_ = std::move(take_snapshot);
+        on_plan_ = std::move(on_plan);
     }
     wake_.notify_one();
 }
 
 void PlannerThread::run() {
     for (;;) {
-        std::function<core::Snapshot()> take;
-        std::function<void(core::Plan)> done;
+        std::function<core::Snapshot()> take_snapshot;
+        std::function<void(core::Plan)> on_plan;
         {
             std::unique_lock lock(mutex_);
-            wake_.wait(lock, [this] { return stop_ || take_; });
+            wake_.wait(lock, [this] { return stop_ || take_snapshot_; });
             if (stop_) return;
-            take = std::exchange(take_, nullptr);
-            done = std::exchange(done_, nullptr);
+            take_snapshot = std::exchange(take_snapshot_, nullptr);
+            on_plan = std::exchange(on_plan_, nullptr);
         }
-        auto plan = std::make_shared<core::Plan>(core::make_plan(take()));
-        loop_.post([plan, done = std::move(done)] { done(std::move(*plan)); });
+        auto plan = std::make_shared<core::Plan>(core::make_plan(take_snapshot()));
+        loop_.post([plan, on_plan = std::move(on_plan)] { on_plan(std::move(*plan)); });
     }
 }
 
--- a/src/cli/planner_thread.h
+++ b/src/cli/planner_thread.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The thread on which plans are made.
+// Runs the planner on a separate thread.
 
 #include <condition_variable>
 #include <functional>
@@ -12,20 +12,22 @@
 
 namespace lichendrift::cli {
 
-/// Makes plans on a thread of its own, so that trial placement never delays a response by more than
-/// one turn of the loop. Constructed, used and destroyed on the loop thread.
+/// Runs the planner on a separate thread, so that trial placement never delays a response by more
+/// than one iteration of the event loop. Constructed, used and destroyed on the loop thread.
 class PlannerThread : public control::PlanExecutor {
   public:
     /// Starts the thread. `loop` must outlive it.
     explicit PlannerThread(net::EventLoop& loop);
     PlannerThread(const PlannerThread&) = delete;
     PlannerThread& operator=(const PlannerThread&) = delete;
-    /// Waits for a plan that is being made, and drops it.
+    /// Waits until the planner has finished a plan under way, whose result is discarded, and joins
+    /// the thread.
     ~PlannerThread() override;
 
-    /// Takes a snapshot with `take`, on the planner's thread, and passes the plan made from it to
-    /// `done`, on the loop thread. Replaces a plan that has been asked for and not begun.
-    void plan(std::function<core::Snapshot()> take, std::function<void(core::Plan)> done) override;
+    /// Calls `take_snapshot` on the planner's thread and passes the plan made from the snapshot to
+    /// `on_plan` on the loop thread. Replaces an earlier request that has not been started yet.
+    void plan(std::function<core::Snapshot()> take_snapshot,
+              std::function<void(core::Plan)> on_plan) override;
 
   private:
     void run();
@@ -33,10 +35,10 @@
     net::EventLoop& loop_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    std::function<core::Snapshot()> take_;  // guarded by mutex_; empty: nothing to plan
-    std::function<void(core::Plan)> done_;  // guarded by mutex_
-    bool stop_ = false;                     // guarded by mutex_
-    std::thread thread_;                    // the last member: it uses the others
+    std::function<core::Snapshot()> take_snapshot_;  // guarded by mutex_; empty: no request
+    std::function<void(core::Plan)> on_plan_;        // guarded by mutex_
+    bool stop_ = false;                              // guarded by mutex_
+    std::thread thread_;                             // must be last: it uses the other members
 };
 
 }  // namespace lichendrift::cli
