--- a/src/cli/features.cpp
+++ b/src/cli/features.cpp
@@ -1,4 +1,4 @@
-// The operators' features file.
+// Reads and checks the operators' features file.
 #include "cli/features.h"
 
 #include <cmath>
@@ -15,13 +15,13 @@
 constexpr double kMinCleanupPageS = 1;
 constexpr double kMaxCleanupPageS = 3600;
 
-// Takes the value of a key; an error says what is expected.
+// A function that reads and stores the value of one key; its error says what was expected.
 using Unexpected = tl::unexpected<std::string_view>;
 using ReadResult = tl::expected<void, std::string_view>;
-using ReadKey = std::function<ReadResult(const toml::node&)>;
-using Table = std::map<std::string, ReadKey, std::less<>>;
+using ValueReader = std::function<ReadResult(const toml::node&)>;
+using ValueReaders = std::map<std::string, ValueReader, std::less<>>;  // by key
 
-ReadResult read_switch(const toml::node& node, bool& out) {
+ReadResult read_boolean(const toml::node& node, bool& out) {
     if (!node.is_boolean()) return Unexpected("expected true or false");
     out = *node.value<bool>();
     return {};
@@ -41,7 +41,7 @@
     return {};
 }
 
-ReadResult read_page_time(const toml::node& node, double& out_s) {
+ReadResult read_page_interval(const toml::node& node, double& out_s) {
     const auto value = node.is_number() ? *node.value<double>() : std::nan("");
     if (!(value >= kMinCleanupPageS && value <= kMaxCleanupPageS)) {
         return Unexpected("expected a number from 1 to 3600");
@@ -50,7 +50,7 @@
     return {};
 }
 
-void read_table(const std::string& name, const toml::node& node, const Table& known,
+void read_table(const std::string& name, const toml::node& node, const ValueReaders& readers,
                 Problems& problems) {
     const auto* table = node.as_table();
     if (table == nullptr) {
@@ -60,9 +60,9 @@
     for (const auto& [key, value] : *table) {
         auto path = name + ".";
         path += key.str();
-        const auto entry = known.find(key.str());
-        if (entry == known.end()) {
-            problems.push_back({path, "is not known"});
+        const auto entry = readers.find(key.str());
+        if (entry == readers.end()) {
+            problems.push_back({path, "unknown key"});
         } else if (const auto read = entry->second(value); !read) {
             problems.push_back({path, std::string(read.error())});
         }
@@ -76,23 +76,23 @@
     if (!file) return tl::unexpected(file.error());
     control::Features features;
     Problems problems;
-    const Table duties{
-        {"fenced", [&](const auto& node) { return read_switch(node, features.fenced_duties); }},
+    const ValueReaders duties{
+        {"fenced", [&](const auto& node) { return read_boolean(node, features.fenced_duties); }},
         {"cleanup", [&](const auto& node) { return read_cleanup(node, features.cleanup); }},
         {"cleanup_page_s",
-         [&](const auto& node) { return read_page_time(node, features.cleanup_page_s); }},
+         [&](const auto& node) { return read_page_interval(node, features.cleanup_page_s); }},
     };
     for (const auto& [key, value] : *file) {
         const std::string name(key.str());
         if (name == "duties") {
             read_table(name, value, duties, problems);
         } else {
-            problems.push_back({name, "is not known"});
+            problems.push_back({name, "unknown key"});
         }
     }
     if (problems.empty() && features.cleanup != control::CleanupMode::Off &&
         !features.fenced_duties) {
-        problems.push_back({"duties.cleanup", "expected \"off\" while duties.fenced is not true"});
+        problems.push_back({"duties.cleanup", "expected \"off\" unless duties.fenced is true"});
     }
     if (!problems.empty()) return tl::unexpected(std::move(problems));
     return features;
--- a/src/cli/features.h
+++ b/src/cli/features.h
@@ -1,4 +1,4 @@
-// The operators' features file.
+// Reads and checks the operators' features file.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace lichendrift::cli {
 
-/// Reads a features file. What is left out stays off; unknown tables and keys are problems.
+/// Reads a features file. Features that it doesn't mention stay off. Unknown tables and keys are
+/// reported as problems.
 [[nodiscard]] tl::expected<control::Features, Problems> load_features(const std::string& path);
 
 }  // namespace lichendrift::cli
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file: its sections, each read and checked by a function of its own.
+// Reads and checks the platform's settings file, with one function for each section.
 #include "cli/settings.h"
 
 #include <cmath>
@@ -11,21 +11,27 @@
 
 namespace {
 
-// The leader record and its token change in one transaction, as do a job and its terminal state.
+// Two keys are written in one transaction when the leader record and its token change, and when a
+// job gets its terminal state.
 constexpr std::size_t kMinNextOperations = 2;
+// The transaction in which the version in production records the end of a job writes at least three
+// keys: it removes open/ID, sets over/ID and removes a placement record. The limit may fall to
+// kMinNextOperations later, because the current version can remove placement records separately.
 constexpr std::size_t kMinOperations = 3;
-constexpr std::size_t kMinConnections = 40;  // for the process itself, its peers and region
-constexpr double kMinRate = 1;               // of requests to the state service, a second
-constexpr double kMinCloudRate = 0.1;        // of requests to the cloud, a second
+// Connections to peers, the state service, the cloud, workers and users, and descriptors of the
+// process itself.
+constexpr std::size_t kMinConnections = 40;
+constexpr double kMinRate = 1;         // requests per second to the state service
+constexpr double kMinCloudRate = 0.1;  // requests per second to the cloud
 constexpr double kMinValueKb = 1;
 constexpr double kMinReportS = 0.05;
 constexpr double kMinLeaseS = 0.1;
-constexpr double kMinTimeS = 0.1;  // of the other times of workers
+constexpr double kMinTimeS = 0.1;  // for gang_wait_s, gang_peer_s and cancel_s
 constexpr double kMinMemoryMb = 1;
 constexpr double kThousandths = 1000;
 
-void report_twice(const SettingsTable& table, const char* key, const std::string& name) {
-    table.report(key, "'" + name + "' is there twice");
+void report_duplicate(const SettingsTable& table, const char* key, const std::string& name) {
+    table.report(key, "duplicate value '" + name + "'");
 }
 
 // ---- the top level ----
@@ -44,7 +50,7 @@
         table.text("member", peer.member);
         table.text("location", peer.location);
         table.address("peer_addr", peer.address);
-        if (!members.insert(peer.member).second) report_twice(table, "member", peer.member);
+        if (!members.insert(peer.member).second) report_duplicate(table, "member", peer.member);
         settings.peers.push_back(std::move(peer));
     }
 }
@@ -59,12 +65,12 @@
 // ---- [settings] ----
 
 void read_size(const SettingsTable& table, control::Settings& settings) {
-    const auto known = settings.peers.size() + 1;
-    settings.size = known;
+    const auto listed = settings.peers.size() + 1;  // this controller and its peers
+    settings.size = listed;
     if (table.has("size")) table.count("size", settings.size);
-    if (settings.size < known) {
-        table.report("size", "expected at least " + std::to_string(known) +
-                                 ", this controller and its peers");
+    if (settings.size < listed) {
+        table.report("size", "expected at least " + std::to_string(listed) +
+                                 ", this controller and its siblings");
     }
 }
 
@@ -101,7 +107,7 @@
     std::set<std::string> names;
     for (const auto& entry : table.tables("teams")) {
         auto team = read_team(entry);
-        if (!names.insert(team.name).second) report_twice(entry, "name", team.name);
+        if (!names.insert(team.name).second) report_duplicate(entry, "name", team.name);
         settings.teams.push_back(std::move(team));
     }
 }
@@ -123,7 +129,8 @@
     if (!workers) return;
     workers->number("report_s", kMinReportS, settings.report_s);
     workers->number("lease_s", kMinLeaseS, settings.lease_s);
-    // A worker that reports less often than its lease lasts loses all its tasks each time.
+    // If heartbeats are not more frequent than leases expire, a worker loses its lease and all its
+    // tasks between any two heartbeats.
     if (settings.lease_s >= kMinLeaseS && settings.report_s >= settings.lease_s) {
         workers->report("lease_s", "expected more than report_s");
     }
@@ -132,7 +139,7 @@
     workers->number("cancel_s", kMinTimeS, settings.cancel_s);
 }
 
-// Limits that hold later; each may be left out.
+// Limits that will apply later, without notice; each of them is optional.
 void read_next_limits(const SettingsTable& next, control::NextStateLimits& limits) {
     next.optional_number("rps", kMinRate, limits.rps);
     next.optional_number("write_rps", kMinRate, limits.write_rps);
@@ -207,7 +214,7 @@
     read_peers(file, settings);
     read_external(file, settings);
     if (!settings.listen.empty() && settings.listen == settings.peer_bind) {
-        file.report("peer_bind", "expected another address than listen");
+        file.report("peer_bind", "expected an address different from listen");
     }
     if (const auto table = file.table("settings")) read_settings_table(*table, settings);
     if (!problems.empty()) return tl::unexpected(std::move(problems));
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -1,4 +1,4 @@
-// The platform's settings file.
+// Reads and checks the platform's settings file.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace lichendrift::cli {
 
-/// Reads and checks a settings file. Keys that are not known are ignored.
+/// Reads and checks a settings file. Unknown keys are ignored.
 [[nodiscard]] tl::expected<control::Settings, Problems> load_settings(const std::string& path);
 
 }  // namespace lichendrift::cli
--- a/src/cli/settings_table.cpp
+++ b/src/cli/settings_table.cpp
@@ -1,4 +1,4 @@
-// One table of a settings file, with the path that its problems name.
+// Reads and checks the values of one table of a settings file.
 #include "cli/settings_table.h"
 
 #include <cmath>
@@ -8,12 +8,13 @@
 
 namespace {
 
-constexpr double kMaxAmount = 1e9;  // more can only be a slip, and would overflow later
+// Larger values can only be mistakes, and would overflow in later computations.
+constexpr double kMaxAmount = 1e9;
 constexpr int kMaxPort = 65535;
 constexpr std::size_t kMaxPortDigits = 5;
 
-// Without the zeros that say nothing.
-std::string shortest(double number) {
+// The number in decimal notation without trailing zeros.
+std::string decimal(double number) {
     auto text = std::to_string(number);
     while (text.back() == '0') text.pop_back();
     if (text.back() == '.') text.pop_back();
@@ -34,8 +35,8 @@
     return path_.empty() ? key : path_ + "." + key;
 }
 
-void SettingsTable::report(const std::string& key, std::string what) const {
-    problems_.push_back({path_of(key), std::move(what)});
+void SettingsTable::report(const std::string& key, std::string message) const {
+    problems_.push_back({path_of(key), std::move(message)});
 }
 
 const toml::node* SettingsTable::find(const char* key) const {
@@ -48,7 +49,7 @@
     const auto* node = find(key);
     if (node == nullptr) return;
     auto value = node->value<std::string>();
-    if (!node->is_string() || value->empty()) return report(key, "expected a text");
+    if (!node->is_string() || value->empty()) return report(key, "expected a non-empty string");
     out = std::move(*value);
 }
 
@@ -65,10 +66,10 @@
     const auto value = node->value<double>();
     if (!node->is_number() || !value) return report(key, "expected a number");
     if (!std::isfinite(*value) || *value < minimum) {
-        return report(key, "expected a number of at least " + shortest(minimum));
+        return report(key, "expected a number of at least " + decimal(minimum));
     }
     if (*value > kMaxAmount) {
-        return report(key, "expected a number of at most " + shortest(kMaxAmount));
+        return report(key, "expected a number of at most " + decimal(kMaxAmount));
     }
     out = *value;
 }
@@ -90,13 +91,13 @@
     const auto value = node->is_integer() ? *node->value<std::int64_t>() : 0;
     if (value < 1) return report(key, "expected a whole number of at least 1");
     if (value > static_cast<std::int64_t>(kMaxAmount)) {
-        return report(key, "expected a whole number of at most " + shortest(kMaxAmount));
+        return report(key, "expected a whole number of at most " + decimal(kMaxAmount));
     }
     out = static_cast<std::size_t>(value);
 }
 
 void SettingsTable::names(const char* key, std::vector<std::string>& out) const {
-    constexpr const char* kExpected = "expected a list of names";
+    constexpr const char* kExpected = "expected a non-empty list of strings";
     const auto* list = table_.get_as<toml::array>(key);
     if (list == nullptr || list->empty()) return report(key, kExpected);
     for (const auto& name : *list) {
--- a/src/cli/toml_file.cpp
+++ b/src/cli/toml_file.cpp
@@ -1,4 +1,4 @@
-// Files in TOML.
+// Parses TOML files.
 #include "cli/toml_file.h"
 
 namespace lichendrift::cli {
--- a/src/cli/toml_file.h
+++ b/src/cli/toml_file.h
@@ -1,4 +1,4 @@
-// Files in TOML.
+// Parses TOML files.
 #pragma once
 
 #include <toml++/toml.h>
@@ -10,7 +10,8 @@
 
 namespace lichendrift::cli {
 
-/// Reads a file; on an error says where and why it is not TOML, or that it cannot be read.
+/// Parses a TOML file. If it cannot be read or is not valid TOML, returns a single problem with the
+/// path and, for a syntax error, line and column.
 [[nodiscard]] tl::expected<toml::table, Problems> parse_toml_file(const std::string& path);
 
 }  // namespace lichendrift::cli
--- a/tests/features_test.cpp
+++ b/tests/features_test.cpp
@@ -1,4 +1,4 @@
-// The operators' features file: what is read, and what is reported.
+// Reading of features files, and the problems reported for invalid ones.
 #include "cli/features.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
     return loaded;
 }
 
-TEST(FeaturesFile, WhatIsLeftOutIsOff) {
+TEST(FeaturesFile, OmittedFeaturesAreOff) {
     for (const auto* text : {"", "[duties]\n"}) {
         const auto features = load(text);
         ASSERT_TRUE(features) << text;
@@ -31,22 +31,22 @@
     }
 }
 
-TEST(FeaturesFile, TheOneThatIsDeployedIsGood) {
+TEST(FeaturesFile, DeployedFileIsValid) {
     const auto features = load_features(LICHENDRIFT_DEPLOYED_FEATURES);
     ASSERT_TRUE(features);
     EXPECT_TRUE(features->fenced_duties);
     EXPECT_EQ(features->cleanup, control::CleanupMode::Remove);
 }
 
-TEST(FeaturesFile, ProblemsNameTheKey) {
+TEST(FeaturesFile, ProblemsContainThePathOfTheKey) {
     const std::pair<const char*, const char*> cases[] = {
-        {"[dutys]\n", "dutys: is not known"},
+        {"[dutys]\n", "dutys: unknown key"},
         {"duties = 3\n", "duties: expected a table"},
-        {"[duties]\nfence = true\n", "duties.fence: is not known"},
+        {"[duties]\nfence = true\n", "duties.fence: unknown key"},
         {"[duties]\nfenced = \"yes\"\n", "duties.fenced: expected true or false"},
         {"[duties]\nfenced = true\ncleanup = true\n", "duties.cleanup: expected \"off\""},
         {"[duties]\nfenced = true\ncleanup = \"all\"\n", "duties.cleanup: expected \"off\""},
-        {"[duties]\ncleanup = \"remove\"\n", "duties.cleanup: expected \"off\" while"},
+        {"[duties]\ncleanup = \"remove\"\n", "duties.cleanup: expected \"off\" unless"},
         {"[duties]\ncleanup_page_s = 0\n", "duties.cleanup_page_s: expected a number"},
         {"[duties]\ncleanup_page_s = nan\n", "duties.cleanup_page_s: expected a number"},
         {"[duties]\ncleanup_page_s = 1e9\n", "duties.cleanup_page_s: expected a number"},
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file: what is read, and what is reported.
+// Reading of settings files, and the problems reported for invalid ones.
 #include "cli/settings.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace lichendrift::cli {
 namespace {
 
-const char* const kGood = R"(
+const char* const kValidFile = R"(
 member = "m-0"
 location = "a"
 listen = "127.0.0.1:8080"
@@ -58,9 +58,9 @@
         std::filesystem::remove(path_);
         return loaded;
     }
-    // The problems of the good file with one part changed.
+    // The problems of the valid file after replacing `from` by `to`.
     Problems problems_with(const std::string& from, const std::string& to) {
-        std::string text = kGood;
+        std::string text = kValidFile;
         text.replace(text.find(from), from.size(), to);
         auto loaded = load(text);
         return loaded ? Problems{} : loaded.error();
@@ -69,8 +69,8 @@
                                   ("lichendrift-settings-" + std::to_string(::getpid()) + ".toml");
 };
 
-TEST_F(SettingsFile, GoodFileIsRead) {
-    const auto settings = load(kGood);
+TEST_F(SettingsFile, ReadsAValidFile) {
+    const auto settings = load(kValidFile);
     ASSERT_TRUE(settings);
     EXPECT_EQ(settings->peers.at(0).address, "127.0.0.2:8081");
     EXPECT_EQ(settings->teams.at(0).guarantee.cpus, 1500);
@@ -78,26 +78,26 @@
     EXPECT_EQ(settings->state_transaction_operations, 12U);
 }
 
-TEST_F(SettingsFile, SampleThatTheRepositoryShipsIsGood) {
+TEST_F(SettingsFile, SampleInTheRepositoryIsValid) {
     const auto settings = load_settings(LICHENDRIFT_SAMPLE_SETTINGS);
     EXPECT_TRUE(settings) << (settings ? "" : settings.error().front().text());
 }
 
-TEST_F(SettingsFile, ProblemsNameTheKey) {
+TEST_F(SettingsFile, ProblemsContainThePathOfTheKey) {
     const std::tuple<const char*, const char*, const char*> cases[] = {
         {"member = \"m-0\"\n", "", "member: is missing"},
         {"listen = \"127.0.0.1:8080\"", "listen = \"here\"", "listen: expected an address"},
         {"lease_s = 10.0", "lease_s = -1", "settings.workers.lease_s: expected a number"},
         {"rps = 150.0", "rps = \"x\"", "settings.state.rps: expected a number"},
         {"txn_ops = 12", "txn_ops = 0", "settings.state.txn_ops: expected a whole number"},
-        {"\"m-1\"", "\"m-0\"", "siblings[0].member: 'm-0' is there twice"},
-        {"zones = [\"a\", \"b\"]", "zones = []", "settings.zones: expected a list"},
+        {"\"m-1\"", "\"m-0\"", "siblings[0].member: duplicate value 'm-0'"},
+        {"zones = [\"a\", \"b\"]", "zones = []", "settings.zones: expected a non-empty list"},
         {"cpus = 1.5", "cpus = nan", "settings.teams[0].cpus: expected a number"},
         {"rps = 150.0", "rps = 1e300", "settings.state.rps: expected a number of at most"},
         {"lease_s = 10.0", "lease_s = 1.0", "settings.workers.lease_s: expected more than"},
         {"cpus = 1.5", "cpus = 1.5\ncpus_max = 1.0", "settings.teams[0].cpus: expected no more"},
         {"size = 2", "size = 1", "settings.size: expected at least 2"},
-        {"127.0.0.1:8081", "127.0.0.1:8080", "peer_bind: expected another address"},
+        {"127.0.0.1:8081", "127.0.0.1:8080", "peer_bind: expected an address different"},
         {"[settings.cloud]", "[settings.state.next]\ntxn_ops = 1\n[settings.cloud]",
          "settings.state.next.txn_ops: expected a whole number of at least 2"},
         {"[settings.cloud]", "[settings.state.next]\nvalue_kb = 0.5\n[settings.cloud]",
@@ -117,9 +117,9 @@
     }
 }
 
-// Each later limit may be there or not.
-TEST_F(SettingsFile, LaterLimitsMayBeLeftOut) {
-    std::string text = kGood;
+// In [settings.state.next] every limit is optional.
+TEST_F(SettingsFile, LaterLimitsAreOptional) {
+    std::string text = kValidFile;
     text.replace(text.find("[settings.cloud]"), 0, "[settings.state.next]\nvalue_kb = 2.0\n");
     const auto settings = load(text);
     ASSERT_TRUE(settings);
@@ -128,7 +128,7 @@
     EXPECT_FALSE(next.transaction_operations || next.write_rps || next.rps);
 }
 
-TEST_F(SettingsFile, BrokenTomlNamesTheLine) {
+TEST_F(SettingsFile, SyntaxErrorsContainTheLine) {
     const auto settings = load("member = \n");
     ASSERT_FALSE(settings);
     ASSERT_EQ(settings.error().size(), 1U);
