--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// The command line: checks files, shows the built-in policy, or runs a controller.
+// The command line: checks files, prints the built-in policy, or runs a controller.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -21,25 +21,26 @@
 
 constexpr int kSuccess = 0;
 constexpr int kFailure = 1;
-constexpr int kUsage = 2;
+constexpr int kUsageError = 2;
 
 constexpr const char* kDescription =
-    "lichendrift - a cluster scheduler; one of three or five controllers\n\n"
+    "lichendrift - cluster scheduler; runs one of three or five controllers\n\n"
     "Examples:\n"
     "  lichendrift --config /etc/lichendrift/node.toml    run a controller\n"
     "  lichendrift check /etc/lichendrift/node.toml       check a settings file\n"
-    "  lichendrift policy show > my.policy                the built-in policy, to edit\n"
+    "  lichendrift policy show > my.policy                print the built-in policy for editing\n"
     "  lichendrift policy check my.policy                 check a policy file\n"
-    "  lichendrift --policy my.policy --config node.toml  run with it\n"
+    "  lichendrift --policy my.policy --config node.toml  run with this policy\n"
     "  lichendrift --features features.toml --config node.toml\n"
     "                                                     run with these features\n\n"
-    "LOG_LEVEL sets how much is logged on standard error: error, info or debug.\n"
-    "Exit codes: 0, 1 for a failure, 2 for wrong usage or bad input.";
+    "The environment variable LOG_LEVEL sets the log level: error, info (default) or debug.\n"
+    "The log is written to standard error.\n"
+    "Exit codes: 0 for success, 1 for a failure, 2 for wrong usage or invalid input.";
 
-// What the user asks for.
+// The action that the command line selects.
 enum class Command : std::uint8_t { None, Serve, CheckSettings, ShowPolicy, CheckPolicy };
 
-// The options and subcommands, with what was given for them.
+// Defines the options and subcommands, and holds their parsed values.
 class CommandLine {
   public:
     CommandLine() : app_(kDescription, "lichendrift") {
@@ -49,13 +50,13 @@
         add_check_command();
     }
 
-    // Nothing if the command line asks for a command; otherwise the exit code, with the help, the
-    // version or what is wrong written out.
+    // Parses the command line. Returns nullopt if a command is to be run; otherwise the exit code,
+    // after printing the help, the version or an error.
     std::optional<int> parse(int argc, char** argv) {
         try {
             app_.parse(argc, argv);
         } catch (const CLI::ParseError& error) {
-            return app_.exit(error) == 0 ? kSuccess : kUsage;
+            return app_.exit(error) == 0 ? kSuccess : kUsageError;
         }
         return std::nullopt;
     }
@@ -78,15 +79,16 @@
         auto* config = app_.add_option("--config", settings_path_,
                                        "run a controller with this settings file (TOML)");
         app_.add_option("--policy", policy_path_,
-                        "the operators' policy; without it the built-in one")
+                        "policy file; without it the built-in policy is used")
             ->needs(config);
         app_.add_option("--features", features_path_,
-                        "what is switched on beyond the settings; without it nothing is")
+                        "features file (TOML); without it all optional features are off")
             ->needs(config);
     }
 
     void add_policy_commands() {
-        auto* policy = app_.add_subcommand("policy", "show the built-in policy, or check a file");
+        auto* policy =
+            app_.add_subcommand("policy", "print the built-in policy, or check a policy file");
         policy->require_subcommand(1);
         policy_show_ = policy->add_subcommand("show", "print the built-in policy");
         policy_check_ = policy->add_subcommand("check", "check a policy file");
@@ -94,14 +96,14 @@
     }
 
     void add_check_command() {
-        check_ = app_.add_subcommand("check", "check a settings file and say what is wrong");
+        check_ = app_.add_subcommand("check", "check a settings file and report its problems");
         check_->add_option("FILE", checked_settings_path_, "the settings file")->required();
-        check_->add_option("--features", features_path_, "a features file to check with it");
+        check_->add_option("--features", features_path_, "a features file to check as well");
     }
 
     CLI::App app_;
-    CLI::App* policy_show_ = nullptr;   // app_ owns the subcommands
-    CLI::App* policy_check_ = nullptr;  // of policy
+    CLI::App* policy_show_ = nullptr;  // this and the next two are owned by app_
+    CLI::App* policy_check_ = nullptr;
     CLI::App* check_ = nullptr;
     std::string settings_path_;
     std::string policy_path_;
@@ -113,20 +115,22 @@
     std::fprintf(stderr, "lichendrift: %s\n", message.c_str());
 }
 
-// The functions below that give an optional print what is wrong if they give nothing.
+// The functions below that return an optional print the problems before they return nullopt.
 
 template <typename Loaded>
-std::optional<Loaded> value_or_print(tl::expected<Loaded, Problems> loaded) {
+std::optional<Loaded> value_or_print_problems(tl::expected<Loaded, Problems> loaded) {
     if (loaded) return std::move(*loaded);
     for (const auto& problem : loaded.error()) print_error(problem.text());
     return std::nullopt;
 }
 
-// Without a features file there are no features.
+// Loads the settings file and, if one is given, the features file. Without one all features stay
+// off.
 std::optional<Settings> load_settings(const CommandLine& line) {
-    auto settings = value_or_print(lichendrift::cli::load_settings(line.settings_path()));
+    auto settings = value_or_print_problems(lichendrift::cli::load_settings(line.settings_path()));
     if (!settings || line.features_path().empty()) return settings;
-    const auto features = value_or_print(lichendrift::cli::load_features(line.features_path()));
+    const auto features =
+        value_or_print_problems(lichendrift::cli::load_features(line.features_path()));
     if (!features) return std::nullopt;
     settings->features = *features;
     return settings;
@@ -157,13 +161,13 @@
 int serve(const CommandLine& line) {
     if (const auto logging = lichendrift::cli::set_up_log(); !logging) {
         print_error(logging.error());
-        return kUsage;
+        return kUsageError;
     }
     auto settings = load_settings(line);
-    if (!settings) return kUsage;
+    if (!settings) return kUsageError;
     if (!line.policy_path().empty()) {
         auto policy = load_policy(line.policy_path());
-        if (!policy) return kUsage;
+        if (!policy) return kUsageError;
         settings->policy = std::move(*policy);
     }
     return lichendrift::cli::serve(*settings);
@@ -172,18 +176,18 @@
 int run(const CommandLine& line) {
     switch (line.command()) {
         case Command::None:
-            print_error("nothing to do; see --help");
-            return kUsage;
+            print_error("no command given; see --help");
+            return kUsageError;
         case Command::Serve:
             return serve(line);
         case Command::CheckSettings:
-            return load_settings(line) ? kSuccess : kUsage;
+            return load_settings(line) ? kSuccess : kUsageError;
         case Command::ShowPolicy:
             return show_policy();
         case Command::CheckPolicy:
-            return load_policy(line.policy_path()) ? kSuccess : kUsage;
+            return load_policy(line.policy_path()) ? kSuccess : kUsageError;
     }
-    return kUsage;
+    return kUsageError;
 }
 
 }  // namespace
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -1,4 +1,4 @@
-// Joins the event loop, the HTTP servers and the controller.
+// Connects the event loop, the HTTP servers and the controller, and runs them.
 #include "cli/serve.h"
 
 #include <malloc.h>
@@ -24,7 +24,7 @@
 constexpr std::size_t kMaxUserBodyBytes = std::size_t{64} << 10;
 constexpr std::size_t kMaxPeerBodyBytes = std::size_t{1} << 20;
 
-// Of the machine's limit on connections: what the process keeps for other descriptors.
+// File descriptors of the machine's connection limit that are reserved for other uses than sockets.
 constexpr std::size_t kReservedDescriptors = 20;
 
 net::SocketBudget socket_budget(const control::Settings& settings) {
@@ -35,8 +35,9 @@
     return budget;
 }
 
-// Parts of the sockets: those of users and workers, and of peers; the rest is for requests of our
-// own (docs/design.md, "Everybody at once").
+// Shares of the socket budget in tenths: 7 for connections of users and workers, 1 for those of
+// peers. The rest is left for the process's own outgoing requests, so that they get sockets even
+// when all users connect at once (docs/design.md, "Everybody at once").
 constexpr std::size_t kUserTenths = 7;
 constexpr std::size_t kPeerTenths = 1;
 constexpr std::size_t kMinPeerConnections = 4;
@@ -59,8 +60,8 @@
 }  // namespace
 
 int serve(const control::Settings& settings) {
-    // One arena: two threads need no more, and memory is short.
-    ::mallopt(M_ARENA_MAX, 1);  // NOLINT(concurrency-mt-unsafe): before the threads start
+    // One malloc arena is enough for two threads and saves memory, which is scarce.
+    ::mallopt(M_ARENA_MAX, 1);  // NOLINT(concurrency-mt-unsafe): called before other threads start
     set_log_context("member=" + settings.member + " role=starting token=0");
     net::EventLoop loop;
     auto budget = socket_budget(settings);
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -1,5 +1,5 @@
-// The real program over loopback: its command line, and its responses to users while neither the
-// state service nor the cloud can be reached.
+// Runs the real program over the loopback network: its command line, and its responses to users
+// while neither the state service nor the cloud is reachable.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -22,10 +22,11 @@
 namespace lichendrift {
 namespace {
 
-constexpr unsigned kController = 240;  // host of the test's own network
+constexpr unsigned kController = 240;  // host number within the test's loopback network
 constexpr unsigned kUserPort = 7001;
 
-// What comes back for these bytes, until the other side closes or two seconds pass.
+// Sends `bytes` to the controller's user port and returns the response: all that arrives until the
+// connection is closed or no data arrives for two seconds. Returns "refused" if it cannot connect.
 std::string send_raw(const std::string& bytes) {
     const net::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     const auto address = simulation::own_address(kController, kUserPort);
@@ -56,8 +57,8 @@
 
 class Loopback : public ::testing::Test {
   protected:
-    // Runs the program to its end, with LOG_LEVEL and its standard error in a file; returns its
-    // exit code, -1 if a signal ended it.
+    // Runs the program until it exits, with this LOG_LEVEL and with standard error redirected to
+    // the file `log`. Returns its exit code, or -1 if it was ended by a signal.
     static int run(const std::vector<std::string>& arguments, const std::string& log_level,
                    const std::string& log) {
         const pid_t pid = simulation::spawn_program(arguments, log_level, log);
@@ -90,7 +91,7 @@
     std::string settings_;
 };
 
-TEST_F(Loopback, CommandLineHasTheExitCodesOfItsHelp) {
+TEST_F(Loopback, CommandLineReturnsTheDocumentedExitCodes) {
     EXPECT_EQ(run({"--help"}, "info", log()), 0);
     EXPECT_EQ(run({"--version"}, "info", log()), 0);
     EXPECT_EQ(run({}, "info", log()), 2);
@@ -124,7 +125,7 @@
     EXPECT_EQ(refused.substr(0, 12), "HTTP/1.1 503");
     EXPECT_NE(refused.find("Retry-After: 1"), std::string::npos);
     int status = 0;
-    EXPECT_EQ(::waitpid(pid, &status, WNOHANG), 0) << "the program ended by itself";
+    EXPECT_EQ(::waitpid(pid, &status, WNOHANG), 0) << "the program exited unexpectedly";
     ::kill(pid, SIGKILL);
     ::waitpid(pid, &status, 0);
 }
