--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -37,7 +37,7 @@
 
 // Shares of the socket budget in tenths: 7 for connections of users and workers, 1 for those of
 // peers. The rest is left for the process's own outgoing requests, so that they get sockets even
-// when all users connect at once (docs/design.md, "Everybody at once").
+// when all users connect at once.
 constexpr std::size_t kUserTenths = 7;
 constexpr std::size_t kPeerTenths = 1;
 constexpr std::size_t kMinPeerConnections = 4;
--- a/src/events/event.h
+++ b/src/events/event.h
@@ -86,8 +86,8 @@
     std::uint64_t seen_token = 0;  ///< the higher fencing token that was seen; 0: unknown
 };
 
-/// The leader stops renewing the leases of workers, because it may not know of recent
-/// cancellations.
+/// Worker leases are not renewed, because jobs may have been cancelled without this controller
+/// knowing.
 struct LeaseRenewalsSuspended {
     static constexpr std::string_view kName = "lease_renewals_suspended";  ///< name in the log
 };
--- a/src/policy/expression_compiler.cpp
+++ b/src/policy/expression_compiler.cpp
@@ -146,16 +146,16 @@
 
     Type comparison() {
         const auto left = sum();
-        const Token op = input_.peek();
-        if (input_.failed() || op.kind != TokenKind::Symbol) return left;
-        const auto text = op.text;
+        const Token symbol = input_.peek();
+        if (input_.failed() || symbol.kind != TokenKind::Symbol) return left;
+        const auto text = symbol.text;
         const bool equality = text == "==" || text == "!=";
         if (!equality && text != "<" && text != "<=" && text != ">" && text != ">=") return left;
         input_.advance();
         const Token right = input_.peek();
         input_.require_type(sum(), left, right);
         if (!equality && !is_numeric(left)) {
-            input_.report(op, quoted(op) + " between " + std::string(type_name(left)) + "s",
+            input_.report(symbol, quoted(symbol) + " between " + std::string(type_name(left)) + "s",
                           "'==' or '!='");
         }
         // `a > b` compiles to `not (a <= b)`, and `a >= b` to `not (a < b)`. For NaN operands this
@@ -168,15 +168,15 @@
     Type sum() {
         auto type = product();
         while (!input_.failed() && (input_.next_is("+") || input_.next_is("-"))) {
-            const Token op = input_.peek();
+            const Token symbol = input_.peek();
             input_.advance();
             const Token right = input_.peek();
             if (!is_numeric(type)) {
-                input_.report(op, quoted(op) + " after " + with_article(type),
+                input_.report(symbol, quoted(symbol) + " after " + with_article(type),
                               "a number or a duration before it");
             }
             input_.require_type(product(), type, right);
-            emit(op.text == "+" ? Op::Add : Op::Subtract);
+            emit(symbol.text == "+" ? Op::Add : Op::Subtract);
         }
         return type;
     }
@@ -184,18 +184,19 @@
     Type product() {
         auto type = power();
         while (!input_.failed() && (input_.next_is("*") || input_.next_is("/"))) {
-            const Token op = input_.peek();
+            const Token symbol = input_.peek();
             input_.advance();
             const auto right = power();
             if (input_.failed()) return type;
-            const bool multiplies = op.text == "*";
+            const bool multiplies = symbol.text == "*";
             const auto result = multiplies ? product_type(type, right) : quotient_type(type, right);
             if (!result) {
-                input_.report(
-                    op,
-                    quoted(op) + " between " + with_article(type) + " and " + with_article(right),
-                    multiplies ? "numbers, or a number and a duration"
-                               : "numbers, or a duration divided by a number or a duration");
+                input_.report(symbol,
+                              quoted(symbol) + " between " + with_article(type) + " and " +
+                                  with_article(right),
+                              multiplies
+                                  ? "numbers, or a number and a duration"
+                                  : "numbers, or a duration divided by a number or a duration");
             }
             emit(multiplies ? Op::Multiply : Op::Divide);
             type = result.value_or(type);
@@ -206,14 +207,14 @@
     Type power() {
         const auto type = unary();
         if (input_.failed() || !input_.next_is("^")) return type;
-        const Token op = input_.peek();
+        const Token symbol = input_.peek();
         input_.advance();
         const Nesting nesting(*this);
         if (input_.failed()) return type;
         const auto exponent = power();
         if (type != Type::Number || exponent != Type::Number) {
             const auto not_number = type == Type::Number ? exponent : type;
-            input_.report(op, quoted(op) + " with " + with_article(not_number), "numbers");
+            input_.report(symbol, quoted(symbol) + " with " + with_article(not_number), "numbers");
         }
         emit(Op::Power);
         return Type::Number;
@@ -223,11 +224,11 @@
         if (!input_.next_is("-")) return primary();
         const Nesting nesting(*this);
         if (input_.failed()) return Type::Number;
-        const Token op = input_.peek();
+        const Token symbol = input_.peek();
         input_.advance();
         const auto type = unary();
         if (!is_numeric(type)) {
-            input_.report(op, "'-' before " + with_article(type),
+            input_.report(symbol, "'-' before " + with_article(type),
                           "a number or a duration after it");
         }
         emit(Op::Negate);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -208,8 +208,8 @@
     EXPECT_DOUBLE_EQ(own.idle_retention_s(machine, {}), 12);
 }
 
-// Safety rules are checked independently of the policy, so no policy can make the leader violate
-// one.
+// Every start has to pass the admission check, which does not consult the policy, so no policy can
+// violate a safety rule.
 TEST(OperatorPolicyTest, HostilePoliciesViolateNoSafetyRule) {
     const std::vector<std::string> hostile = {
         "order = -job.slack\nscore_image = 0\nscore_fit = 1000\nscore_price = 0\n"
