--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -54,7 +54,7 @@
         return leader_ && leader_->knows_machine(name);
     }
     /// Whether this controller holds the cleanup duty.
-    [[nodiscard]] bool cleans_up() const { return cleaner_.holds_duty(); }
+    [[nodiscard]] bool holds_cleanup_duty() const { return cleaner_.holds_duty(); }
     /// How many placement records without a job the cleanup duty has found here.
     [[nodiscard]] std::uint64_t suspicious_records() const { return cleaner_.suspicious_records(); }
 
--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -22,7 +22,7 @@
 std::optional<std::size_t> cleanup_holder(Simulation& simulation) {
     for (std::size_t n = 0; n < simulation.node_count(); ++n) {
         const auto* controller = simulation.controller(n);
-        if (controller != nullptr && controller->cleans_up()) return n;
+        if (controller != nullptr && controller->holds_cleanup_duty()) return n;
     }
     return std::nullopt;
 }
