--- a/src/control/announcements.cpp
+++ b/src/control/announcements.cpp
@@ -29,7 +29,7 @@
         {self.member, self.token, store_.responsive() && election_.has_leader_lease(), all,
          counts});
     for (const auto& peer : peers_.all()) {
-        peers_.call(peer, peer_path::kAnnouncement, body, kDeadlineMs,
+        peers_.call(peer, peer_path::kLeaderAnnouncement, body, kDeadlineMs,
                     [](const net::HttpReply&) {});
     }
 }
--- a/src/control/cancellation_exchange.h
+++ b/src/control/cancellation_exchange.h
@@ -35,23 +35,23 @@
     [[nodiscard]] bool may_renew_leases();
 
     /// A peer announces cancellations that it has confirmed.
-    void on_announced(const std::string& body, const net::Respond& respond);
+    void on_announcement(const std::string& body, const net::Respond& respond);
     /// A peer asks for the cancellations after a revision.
     void on_query(const std::string& body, const net::Respond& respond);
 
   private:
     /// Cancellations to announce to one peer.
     struct Outbox {
-        std::vector<wire::Cancellation> waiting;
+        std::vector<wire::Cancellation> queued;
         int requests_in_flight = 0;
     };
     void announce(const wire::Cancellation& cancellation);
     void send_outbox(std::size_t peer);
-    void check_age_later();
-    void check_age();
+    void schedule_jobs_age_check();
+    void check_jobs_age();
     void query_peers();
-    void learn(const wire::CancellationNews& news);
-    [[nodiscard]] Millis known_until() const;
+    void apply(const wire::CancellationNews& news);
+    [[nodiscard]] Millis all_known_until() const;
 
     net::Runtime& runtime_;
     const Settings& settings_;
@@ -60,8 +60,8 @@
     EventLog log_;
     std::vector<Outbox> outboxes_;  // by index of the peer
     bool leading_ = false;
-    std::uint64_t term_ = 0;          // counts terms; timers of earlier ones end
-    Millis covered_by_peers_at_ = 0;  // all peers together have answered for what came before
+    std::uint64_t term_ = 0;             // counts terms; timers of earlier ones end
+    Millis last_complete_query_at_ = 0;  // all peers together have answered for what came before
     bool renewals_suspended_ = false;
 };
 
--- a/src/control/cancellation_log.cpp
+++ b/src/control/cancellation_log.cpp
@@ -22,12 +22,12 @@
 
 std::vector<wire::Cancellation> CancellationLog::newest_after(std::uint64_t revision,
                                                               std::size_t limit) const {
-    std::vector<wire::Cancellation> out;
-    for (auto it = cancellations_.rbegin(); it != cancellations_.rend() && out.size() < limit;
+    std::vector<wire::Cancellation> result;
+    for (auto it = cancellations_.rbegin(); it != cancellations_.rend() && result.size() < limit;
          ++it) {
-        if (it->revision > revision) out.push_back(*it);
+        if (it->revision > revision) result.push_back(*it);
     }
-    return out;
+    return result;
 }
 
 }  // namespace lichendrift::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -28,11 +28,11 @@
 constexpr double kLeaderCloudShare = 0.8;
 constexpr double kFollowerCloudShare = 0.1;
 // A follower that reaches neither the state service for so long nor the leader is unhealthy.
-constexpr Millis kMaxIsolatedMs = 2500;
-constexpr Millis kTypesRetryMs = 1000;
-constexpr std::uint64_t kTypesRetrySpreadMs = 1000;
+constexpr Millis kMaxIsolationMs = 2500;
+constexpr Millis kMachineTypesRetryMs = 1000;
+constexpr std::uint64_t kMachineTypesRetryJitterMs = 1000;
 
-std::size_t bytes_of(double kilobytes) {
+std::size_t kilobytes_to_bytes(double kilobytes) {
     return static_cast<std::size_t>(kilobytes * kBytesPerKilobyte);
 }
 
@@ -47,8 +47,9 @@
     result.max_transaction_operations =
         std::min(settings.state_transaction_operations,
                  next.transaction_operations.value_or(settings.state_transaction_operations));
-    result.max_value_bytes = bytes_of(settings.state_value_kb);
-    result.next_max_value_bytes = bytes_of(next.value_kb.value_or(settings.state_value_kb));
+    result.max_value_bytes = kilobytes_to_bytes(settings.state_value_kb);
+    result.next_max_value_bytes =
+        kilobytes_to_bytes(next.value_kb.value_or(settings.state_value_kb));
     return result;
 }
 
@@ -88,7 +89,7 @@
 
 void Controller::start() {
     log(events::ControllerStarted{});
-    if (settings_.lease_s * kMsPerSecond + kCancellationMarginMs + kMinRenewalTimeMs >=
+    if (settings_.lease_s * kMsPerSecond + kCancellationMarginMs + kMinRenewalWindowMs >=
         settings_.cancel_s * kMsPerSecond) {
         log(events::LeaseMarginTooSmall{settings_.lease_s, settings_.cancel_s});
     }
@@ -141,13 +142,15 @@
     if (path == peer_path::kUserRequest) {
         return user_requests_.on_forwarded_request(body, std::move(respond));
     }
-    if (path == peer_path::kCancelled) return cancellations_.on_announced(body, respond);
-    if (path == peer_path::kQuery) return cancellations_.on_query(body, respond);
-    if (path == peer_path::kAnnouncement) return announcements_.on_announcement(body, respond);
-    if (path == peer_path::kVersion && capabilities_.answers_version()) {
+    if (path == peer_path::kCancellationAnnouncement)
+        return cancellations_.on_announcement(body, respond);
+    if (path == peer_path::kCancellationQuery) return cancellations_.on_query(body, respond);
+    if (path == peer_path::kLeaderAnnouncement)
+        return announcements_.on_announcement(body, respond);
+    if (path == peer_path::kVersionQuery && capabilities_.answers_version_queries()) {
         return capabilities_.on_version_query(body, respond);
     }
-    if (path == peer_path::kFeatures && capabilities_.answers_features()) {
+    if (path == peer_path::kFeaturesQuery && capabilities_.answers_feature_queries()) {
         return capabilities_.on_features_query(body, respond);
     }
     respond(peer_response(http_status::kNotFound));
@@ -160,7 +163,7 @@
     if (!job_watcher_.ever_loaded() && !election_.leader_reaches_store()) {
         return error(http_status::kUnavailable, "not ready");
     }
-    if (!leader_ && store_.failing_for() > kMaxIsolatedMs && election_.announcements_ceased()) {
+    if (!leader_ && store_.failing_for() > kMaxIsolationMs && election_.announcements_ceased()) {
         return error(http_status::kUnavailable, "cut off");
     }
     return {http_status::kOk, "{}"};
@@ -178,7 +181,7 @@
     log(events::LeaderElected{});
     leader_->start(users_.types());
     announcements_.announce({}, false);
-    election_.keep_leader_lease();
+    election_.schedule_leader_lease_renewals();
     cancellations_.begin_term();
 }
 
@@ -215,8 +218,8 @@
         if (result == cloud::Result::Ok && !types.empty()) {
             return users_.set_types(std::move(types));
         }
-        const auto spread = static_cast<Millis>(runtime_.random() % kTypesRetrySpreadMs);
-        runtime_.after(kTypesRetryMs + spread, [this] {
+        const auto jitter = static_cast<Millis>(runtime_.random() % kMachineTypesRetryJitterMs);
+        runtime_.after(kMachineTypesRetryMs + jitter, [this] {
             if (!users_.types_known()) fetch_machine_types();
         });
     });
--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -21,19 +21,19 @@
 constexpr Millis kWatchBlockMs = 10'000;
 
 // Random waits keep the controllers from acting at the same moment again and again.
-constexpr Millis kCampaignSpreadMs = 120;
+constexpr Millis kCampaignJitterMs = 120;
 constexpr Millis kReadRetryMs = 300;
-constexpr Millis kReadRetrySpreadMs = 200;
-constexpr Millis kLostCampaignWaitMs = 50;
-constexpr Millis kLostCampaignSpreadMs = 150;
+constexpr Millis kReadRetryJitterMs = 200;
+constexpr Millis kLostCampaignDelayMs = 50;
+constexpr Millis kLostCampaignJitterMs = 150;
 
-Millis random_wait(net::Runtime& runtime, Millis spread_ms) {
-    return static_cast<Millis>(runtime.random() % static_cast<std::uint64_t>(spread_ms));
+Millis random_jitter(net::Runtime& runtime, Millis max_jitter_ms) {
+    return static_cast<Millis>(runtime.random() % static_cast<std::uint64_t>(max_jitter_ms));
 }
 
 }  // namespace
 
-Millis ObservedLeader::last_sign_at() const {
+Millis ObservedLeader::last_seen_at() const {
     return std::max(last_announcement_at, record_seen_at);
 }
 
@@ -62,22 +62,22 @@
                });
 }
 
-void LeaderElection::follow_later(Millis min_wait_ms, Millis spread_ms) {
-    const auto wait = min_wait_ms + random_wait(runtime_, spread_ms);
-    runtime_.after(wait, [this, generation = generation_] {
+void LeaderElection::schedule_follow(Millis min_delay_ms, Millis max_jitter_ms) {
+    const auto delay = min_delay_ms + random_jitter(runtime_, max_jitter_ms);
+    runtime_.after(delay, [this, generation = generation_] {
         if (generation == generation_ && !leading_) follow();
     });
 }
 
 void LeaderElection::on_leader_record(store::Outcome outcome, const wire::Item& item) {
-    if (outcome == store::Outcome::Missing) return campaign_soon(0);
+    if (outcome == store::Outcome::Missing) return schedule_campaign(0);
     const auto record =
         outcome == store::Outcome::Ok ? wire::parse_leader_value(item.value) : std::nullopt;
-    if (!record) return follow_later(kReadRetryMs, kReadRetrySpreadMs);
+    if (!record) return schedule_follow(kReadRetryMs, kReadRetryJitterMs);
     observe_leader(*record);
     // This controller's own record from before a restart: nobody else acts under it, so it need
     // not expire.
-    if (record->member == settings_.member) return campaign_soon(item.revision);
+    if (record->member == settings_.member) return schedule_campaign(item.revision);
     log_(events::LeaderObserved{record->member, record->token});
     watch_leader_record(item.revision);
 }
@@ -88,7 +88,7 @@
                                                          const wire::ItemPage& page) {
                      if (generation != generation_ || leading_) return;
                      if (outcome != store::Outcome::Ok) {
-                         return follow_later(kReadRetryMs, kReadRetrySpreadMs);
+                         return schedule_follow(kReadRetryMs, kReadRetryJitterMs);
                      }
                      on_leader_changes(since, page);
                  });
@@ -105,7 +105,7 @@
             log_(events::LeaderObserved{record->member, record->token});
         }
     }
-    if (removed) return campaign_soon(0);
+    if (removed) return schedule_campaign(0);
     watch_leader_record(std::max(since, page.revision));
 }
 
@@ -128,26 +128,28 @@
 }
 
 Millis LeaderElection::leader_silent_for() const {
-    return runtime_.now() - observed_.last_sign_at();
+    return runtime_.now() - observed_.last_seen_at();
 }
 
-bool LeaderElection::leader_is_silent() const { return leader_silent_for() > kLeaderSilenceMs; }
+bool LeaderElection::leader_is_silent() const {
+    return leader_silent_for() > kLeaderSilenceTimeoutMs;
+}
 
 bool LeaderElection::leader_reaches_store() const {
     return !leading_ && observed_.store_responsive &&
-           runtime_.now() - observed_.last_announcement_at < kLeaderSilenceMs;
+           runtime_.now() - observed_.last_announcement_at < kLeaderSilenceTimeoutMs;
 }
 
 bool LeaderElection::announcements_ceased() const {
     return observed_.last_announcement_at > 0 &&
-           runtime_.now() - observed_.last_announcement_at > kLeaderSilenceMs;
+           runtime_.now() - observed_.last_announcement_at > kLeaderSilenceTimeoutMs;
 }
 
 // ---- a campaign, step by step ----
 
-void LeaderElection::campaign_soon(std::uint64_t leader_revision) {
+void LeaderElection::schedule_campaign(std::uint64_t leader_revision) {
     const auto generation = ++generation_;
-    runtime_.after(random_wait(runtime_, kCampaignSpreadMs), [this, generation, leader_revision] {
+    runtime_.after(random_jitter(runtime_, kCampaignJitterMs), [this, generation, leader_revision] {
         if (generation == generation_ && !leading_ && !campaigning_) campaign(leader_revision);
     });
 }
@@ -217,12 +219,12 @@
     // that a rare case does not earn; it is this controller's own, so follow() replaces it at once.
     store_.release_lease(campaign.lease);
     ++generation_;
-    follow_later(kLostCampaignWaitMs, kLostCampaignSpreadMs);
+    schedule_follow(kLostCampaignDelayMs, kLostCampaignJitterMs);
 }
 
 void LeaderElection::abandon_campaign() {
     campaigning_ = false;
-    follow_later(kReadRetryMs, kReadRetrySpreadMs);
+    schedule_follow(kReadRetryMs, kReadRetryJitterMs);
 }
 
 // ---- leading ----
@@ -246,10 +248,10 @@
     return leading_ && runtime_.read_clock() < lease_valid_until_;
 }
 
-void LeaderElection::keep_leader_lease() {
+void LeaderElection::schedule_leader_lease_renewals() {
     runtime_.after(kRenewalIntervalMs, [this, generation = generation_] {
         if (generation != generation_ || !leading_) return;
-        keep_leader_lease();
+        schedule_leader_lease_renewals();
         renew_leader_lease();
     });
 }
--- a/src/control/election.h
+++ b/src/control/election.h
@@ -24,7 +24,7 @@
     Millis record_seen_at = 0;        ///< steady time when the state service showed its record
 
     /// When anything was last known of it, steady time.
-    [[nodiscard]] Millis last_sign_at() const;
+    [[nodiscard]] Millis last_seen_at() const;
 };
 
 /// What a won election gives to the term that it begins.
@@ -38,7 +38,7 @@
   public:
     virtual ~ElectionListener() = default;
     /// This controller leads from now on. LeaderElection::leading() is true already; the listener
-    /// calls LeaderElection::keep_leader_lease().
+    /// calls LeaderElection::schedule_leader_lease_renewals().
     virtual void on_elected(const ElectedTerm& term) = 0;
     /// The leader lease is gone: the listener has to call LeaderElection::resign().
     virtual void on_leader_lease_expired() = 0;
@@ -61,7 +61,7 @@
     /// Takes part no more. A term that is under way has to be ended with resign().
     void stop();
     /// Renews the leader lease from now on until the term ends.
-    void keep_leader_lease();
+    void schedule_leader_lease_renewals();
     /// Ends the term of this controller: gives up the leader lease and forgets who leads.
     void resign();
 
@@ -100,13 +100,13 @@
         std::uint64_t token = 0;  // first of the term
     };
 
-    void follow_later(Millis min_wait_ms, Millis spread_ms);
+    void schedule_follow(Millis min_delay_ms, Millis max_jitter_ms);
     void on_leader_record(store::Outcome outcome, const wire::Item& item);
     void watch_leader_record(std::uint64_t since);
     void on_leader_changes(std::uint64_t since, const wire::ItemPage& page);
     void observe_leader(const wire::LeaderRecord& record);
 
-    void campaign_soon(std::uint64_t leader_revision);
+    void schedule_campaign(std::uint64_t leader_revision);
     void campaign(std::uint64_t leader_revision);
     void on_token_read(Campaign campaign, store::Outcome outcome, const wire::Item& item);
     void request_leader_lease(const Campaign& campaign);
--- a/src/control/heartbeat_router.cpp
+++ b/src/control/heartbeat_router.cpp
@@ -19,16 +19,16 @@
 // While the leader is silent it is tried with one heartbeat in this time.
 constexpr Millis kSilentLeaderRetryMs = 1000;
 constexpr Millis kRelayDeadlineMs = 1200;
-constexpr Millis kRelayRetryMs = 700;
-constexpr std::size_t kMaxRelays = 2;
+constexpr Millis kRelayFailureBackoffMs = 700;
+constexpr std::size_t kMaxRelayAttempts = 2;
 // One in so many sockets may carry a heartbeat to the leader. Each machine has one heartbeat in
 // flight, and an answer takes milliseconds, so this is enough for thousands of machines unless
 // nobody answers.
-constexpr std::size_t kSocketsPerForward = 5;
+constexpr std::size_t kConnectionsPerForward = 5;
 constexpr std::size_t kMinForwards = 100;
 // How much longer than its lease the leader has to be silent to be named to a worker.
 constexpr Millis kRedirectMarginMs = 1000;
-constexpr Millis kLongAgo = -100'000;
+constexpr Millis kNever = -100'000;
 constexpr int kRetryAfterS = 1;
 
 net::HttpResponse commands_response(const wire::HeartbeatAnswer& answer) {
@@ -56,22 +56,22 @@
 }  // namespace
 
 HeartbeatRouter::HeartbeatRouter(Dependencies dependencies)
-    : parts_(std::move(dependencies)), forwarded_at_(kLongAgo), relays_failed_at_(kLongAgo) {}
+    : deps_(std::move(dependencies)), last_forward_at_(kNever), last_relay_failure_at_(kNever) {}
 
 // ---- a worker's heartbeat ----
 
 void HeartbeatRouter::on_worker_heartbeat(const std::string& body, net::Respond respond) {
     const auto report = wire::parse_report(body);
     if (!report) {
-        malformed_.note(parts_.runtime.now());
+        malformed_.note(deps_.runtime.now());
         return respond({http_status::kBadRequest, wire::error_body("malformed report")});
     }
-    parts_.election.observe_token(report->token);
+    deps_.election.observe_token(report->token);
     route(*report, std::move(respond), Attempt::First);
 }
 
 void HeartbeatRouter::route(const core::Report& report, net::Respond respond, Attempt attempt) {
-    auto* leader = parts_.local_leader();
+    auto* leader = deps_.local_leader();
     if (leader == nullptr) return forward(report, std::move(respond), attempt);
     const auto answer = leader->on_heartbeat(report);
     if (!answer) return respond(unavailable("not the leader"));
@@ -79,30 +79,30 @@
 }
 
 void HeartbeatRouter::forward(const core::Report& report, net::Respond respond, Attempt attempt) {
-    const auto& observed = parts_.election.observed();
-    const auto* leader = parts_.peers.find(observed.member);
+    const auto& observed = deps_.election.observed();
+    const auto* leader = deps_.peers.find(observed.member);
     if (leader == nullptr) return respond(unavailable("no leader is known"));
     if (requests_in_flight_ >= max_requests_in_flight()) {
         return respond(unavailable("too many reports under way"));
     }
     // A leader that has fallen silent is not worth waiting for at each heartbeat: its answer would
     // come after the deadline, and a worker that waits loses time of its lease.
-    const bool silent = parts_.election.leader_is_silent();
-    const auto now = parts_.runtime.now();
-    if (silent && now - forwarded_at_ < kSilentLeaderRetryMs) {
+    const bool silent = deps_.election.leader_is_silent();
+    const auto now = deps_.runtime.now();
+    if (silent && now - last_forward_at_ < kSilentLeaderRetryMs) {
         return relay(report, std::move(respond), 0);
     }
-    forwarded_at_ = now;
-    const bool short_of_time = silent || attempt == Attempt::Last;
+    last_forward_at_ = now;
+    const bool use_short_deadline = silent || attempt == Attempt::Last;
     send(*leader, peer_path::kHeartbeat, report,
-         short_of_time ? kRelayDeadlineMs : kForwardDeadlineMs,
-         [this, report, respond = std::move(respond), forwarded_to = observed.token,
+         use_short_deadline ? kRelayDeadlineMs : kForwardDeadlineMs,
+         [this, report, respond = std::move(respond), forwarded_to_token = observed.token,
           attempt](const Answer& answer) mutable {
              if (answer) return respond(commands_response(*answer));
              // After a second try the worker's own deadline leaves no time for more.
              if (attempt == Attempt::Last) return refuse_or_redirect(respond);
              const bool leader_changed =
-                 parts_.election.leading() || parts_.election.observed().token != forwarded_to;
+                 deps_.election.leading() || deps_.election.observed().token != forwarded_to_token;
              if (leader_changed) return route(report, std::move(respond), Attempt::Last);
              relay(report, std::move(respond), 0);
          });
@@ -110,22 +110,26 @@
 
 // The leader may be out of reach from here and within reach of another controller, as when two
 // zones can't reach each other.
-void HeartbeatRouter::relay(const core::Report& report, net::Respond respond, std::size_t tries) {
-    const auto others = parts_.peers.others_than(parts_.election.observed().member);
+void HeartbeatRouter::relay(const core::Report& report, net::Respond respond,
+                            std::size_t failed_attempts) {
+    const auto others = deps_.peers.all_except(deps_.election.observed().member);
     // While nobody leads, each heartbeat would otherwise ask all the others.
-    const bool failed_lately = parts_.runtime.now() - relays_failed_at_ < kRelayRetryMs;
+    const bool failed_recently =
+        deps_.runtime.now() - last_relay_failure_at_ < kRelayFailureBackoffMs;
     // A leader that gave a sign just now has rather ended: little time is spent on relays.
-    const bool silent = parts_.election.leader_is_silent();
-    const auto limit = std::min(silent ? kMaxRelays : 1, others.size());
-    if (tries >= limit || failed_lately) {
-        if (!failed_lately) relays_failed_at_ = parts_.runtime.now();
+    const bool silent = deps_.election.leader_is_silent();
+    const auto limit = std::min(silent ? kMaxRelayAttempts : 1, others.size());
+    if (failed_attempts >= limit || failed_recently) {
+        if (!failed_recently) last_relay_failure_at_ = deps_.runtime.now();
         return refuse_or_redirect(respond);
     }
-    const auto at = (last_good_relay_ + tries) % others.size();
-    send(*others[at], peer_path::kRelay, report, silent ? kRelayDeadlineMs : kRelayDeadlineMs / 2,
-         [this, report, respond = std::move(respond), tries, at](const Answer& answer) mutable {
-             if (!answer) return relay(report, std::move(respond), tries + 1);
-             last_good_relay_ = at;
+    const auto relay_index = (preferred_relay_ + failed_attempts) % others.size();
+    send(*others[relay_index], peer_path::kRelay, report,
+         silent ? kRelayDeadlineMs : kRelayDeadlineMs / 2,
+         [this, report, respond = std::move(respond), failed_attempts,
+          relay_index](const Answer& answer) mutable {
+             if (!answer) return relay(report, std::move(respond), failed_attempts + 1);
+             preferred_relay_ = relay_index;
              respond(commands_response(*answer));
          });
 }
@@ -133,21 +137,21 @@
 void HeartbeatRouter::send(const Peer& to, const char* path, const core::Report& report,
                            Millis deadline_ms, OnAnswer on_answer) {
     ++requests_in_flight_;
-    parts_.peers.call(to, path, wire::encode_report(report), deadline_ms,
-                      [this, token = report.token,
-                       on_answer = std::move(on_answer)](const net::HttpReply& reply) {
-                          --requests_in_flight_;
-                          auto answer =
-                              parts_.peers.decode_reply(reply, wire::decode_heartbeat_answer);
-                          // The worker would drop an answer with a lower token and come here again.
-                          if (answer && answer->token < token) answer.reset();
-                          on_answer(std::move(answer));
-                      });
+    deps_.peers.call(to, path, wire::encode_report(report), deadline_ms,
+                     [this, token = report.token,
+                      on_answer = std::move(on_answer)](const net::HttpReply& reply) {
+                         --requests_in_flight_;
+                         auto answer =
+                             deps_.peers.decode_reply(reply, wire::decode_heartbeat_answer);
+                         // The worker would drop an answer with a lower token and come here again.
+                         if (answer && answer->token < token) answer.reset();
+                         on_answer(std::move(answer));
+                     });
 }
 
 int HeartbeatRouter::max_requests_in_flight() const {
     return static_cast<int>(
-        std::max(kMinForwards, parts_.settings.max_connections / kSocketsPerForward));
+        std::max(kMinForwards, deps_.settings.max_connections / kConnectionsPerForward));
 }
 
 void HeartbeatRouter::refuse_or_redirect(const net::Respond& respond) const {
@@ -155,13 +159,13 @@
     // leader that has ended must not be named, as its worker would lose seconds of its lease there:
     // one that is silent for longer than its lease lasts, while the state service still shows its
     // record, is up.
-    const auto& leader = parts_.election.observed().member;
-    const bool outlives_lease =
-        parts_.election.leader_silent_for() > kLeaderLeaseMs + kRedirectMarginMs;
-    if (parts_.store.responsive() && outlives_lease && parts_.peers.find(leader) != nullptr) {
+    const auto& leader = deps_.election.observed().member;
+    const bool silent_beyond_lease =
+        deps_.election.leader_silent_for() > kLeaderLeaseMs + kRedirectMarginMs;
+    if (deps_.store.responsive() && silent_beyond_lease && deps_.peers.find(leader) != nullptr) {
         return respond(redirect_to(leader));
     }
-    if (const auto* next = controller_behind_silent_leader()) {
+    if (const auto* next = controller_after_silent_leader()) {
         return respond(redirect_to(next->member));
     }
     respond(unavailable("no leader answers"));
@@ -170,32 +174,32 @@
 // After a 503 a worker tries the next controller. If that is the silent leader, it waits there
 // until its deadline, and with the time spent here its lease ends just after the next leader has
 // come. So it is redirected to the controller behind; null: the next one is another.
-const Peer* HeartbeatRouter::controller_behind_silent_leader() const {
-    const auto next = parts_.peers.in_order_after_self();
-    if (next.size() < 2 || !parts_.election.leader_is_silent()) return nullptr;
-    return next[0]->member == parts_.election.observed().member ? next[1] : nullptr;
+const Peer* HeartbeatRouter::controller_after_silent_leader() const {
+    const auto next = deps_.peers.in_order_after_self();
+    if (next.size() < 2 || !deps_.election.leader_is_silent()) return nullptr;
+    return next[0]->member == deps_.election.observed().member ? next[1] : nullptr;
 }
 
 // ---- a peer's request ----
 
 void HeartbeatRouter::on_forwarded_heartbeat(const std::string& body, const net::Respond& respond) {
     const auto report = wire::decode_report(body);
-    if (!report) return parts_.peers.refuse_malformed(respond);
-    auto* leader = parts_.local_leader();
+    if (!report) return deps_.peers.refuse_malformed(respond);
+    auto* leader = deps_.local_leader();
     if (leader == nullptr) return respond(peer_response(http_status::kUnavailable));
     answer_peer(*leader, *report, respond);
 }
 
 void HeartbeatRouter::on_relay_request(const std::string& body, const net::Respond& respond) {
     const auto report = wire::decode_report(body);
-    if (!report) return parts_.peers.refuse_malformed(respond);
-    if (auto* leader = parts_.local_leader()) return answer_peer(*leader, *report, respond);
+    if (!report) return deps_.peers.refuse_malformed(respond);
+    if (auto* leader = deps_.local_leader()) return answer_peer(*leader, *report, respond);
     forward_for_peer(*report, respond);
 }
 
 void HeartbeatRouter::forward_for_peer(const core::Report& report, const net::Respond& respond) {
-    const auto* leader = parts_.peers.find(parts_.election.observed().member);
-    if (leader == nullptr || parts_.election.leader_is_silent() ||
+    const auto* leader = deps_.peers.find(deps_.election.observed().member);
+    if (leader == nullptr || deps_.election.leader_is_silent() ||
         requests_in_flight_ >= max_requests_in_flight()) {
         return respond(peer_response(http_status::kUnavailable));
     }
--- a/src/control/heartbeat_router.h
+++ b/src/control/heartbeat_router.h
@@ -56,20 +56,20 @@
 
     void route(const core::Report& report, net::Respond respond, Attempt attempt);
     void forward(const core::Report& report, net::Respond respond, Attempt attempt);
-    void relay(const core::Report& report, net::Respond respond, std::size_t tries);
+    void relay(const core::Report& report, net::Respond respond, std::size_t failed_attempts);
     void forward_for_peer(const core::Report& report, const net::Respond& respond);
     void send(const Peer& to, const char* path, const core::Report& report, Millis deadline_ms,
               OnAnswer on_answer);
     void refuse_or_redirect(const net::Respond& respond) const;
-    [[nodiscard]] const Peer* controller_behind_silent_leader() const;
+    [[nodiscard]] const Peer* controller_after_silent_leader() const;
     [[nodiscard]] int max_requests_in_flight() const;
 
-    Dependencies parts_;
+    Dependencies deps_;
     net::MalformedMessageCounter malformed_{"a worker"};
     int requests_in_flight_ = 0;
-    Millis forwarded_at_;
-    Millis relays_failed_at_;
-    std::size_t last_good_relay_ = 0;  // index among the peers without the leader
+    Millis last_forward_at_;
+    Millis last_relay_failure_at_;
+    std::size_t preferred_relay_ = 0;  // index among the peers without the leader
 };
 
 }  // namespace lichendrift::control
--- a/src/control/limits.h
+++ b/src/control/limits.h
@@ -13,14 +13,14 @@
 inline constexpr core::Millis kLeaderLeaseMs = 3000;
 
 /// A leader from which nothing came for longer than these milliseconds counts as silent.
-inline constexpr core::Millis kLeaderSilenceMs = 2500;
+inline constexpr core::Millis kLeaderSilenceTimeoutMs = 2500;
 
 /// Workers' leases are renewed until so many milliseconds before the bound on cancellations that
 /// may not be known here (docs/design.md, "A cancellation that the acting leader cannot see").
 inline constexpr core::Millis kCancellationMarginMs = 1000;
 /// For how many milliseconds without such knowledge leases are renewed at least, where the settings
 /// leave less.
-inline constexpr core::Millis kMinRenewalTimeMs = 3000;
+inline constexpr core::Millis kMinRenewalWindowMs = 3000;
 
 /// The leader's part of the state service's rate limits: most writes are the leader's, followers
 /// only write what users ask of them.
@@ -34,11 +34,11 @@
 [[nodiscard]] inline store::RateShare follower_share(const Settings& settings) {
     if (settings.size <= 1) return kLeaderShare;
     const auto followers = static_cast<double>(settings.size - 1);
-    const auto part = [followers](double all, double leader) {
-        return std::min(kMaxFollowerShare, (all - leader) / followers);
+    const auto share_per_follower = [followers](double total, double leader) {
+        return std::min(kMaxFollowerShare, (total - leader) / followers);
     };
-    return {part(kAllControllersShare.requests, kLeaderShare.requests),
-            part(kAllControllersShare.writes, kLeaderShare.writes)};
+    return {share_per_follower(kAllControllersShare.requests, kLeaderShare.requests),
+            share_per_follower(kAllControllersShare.writes, kLeaderShare.writes)};
 }
 
 }  // namespace lichendrift::control
--- a/src/control/peer_capabilities.cpp
+++ b/src/control/peer_capabilities.cpp
@@ -34,15 +34,16 @@
       settings_(settings),
       peers_(peers),
       log_(std::move(log)),
-      current_version_{peer_path::kVersion, wire::encode_version(wire::kProtocolVersion),
+      current_version_{peer_path::kVersionQuery, wire::encode_version(wire::kProtocolVersion),
                        is_current_version, events::AllControllersCurrent{},
                        std::vector<bool>(peers.all().size())},
-      fenced_duties_{peer_path::kFeatures, wire::encode_features(kFencedDuties), has_fenced_duties,
-                     events::AllControllersFenceDuties{}, std::vector<bool>(peers.all().size())} {}
+      fenced_duties_{peer_path::kFeaturesQuery, wire::encode_features(kFencedDuties),
+                     has_fenced_duties, events::AllControllersFenceDuties{},
+                     std::vector<bool>(peers.all().size())} {}
 
 void PeerCapabilities::start() {
-    if (answers_version()) ask(current_version_);
-    if (answers_features()) ask(fenced_duties_);
+    if (answers_version_queries()) query_unconfirmed_peers(current_version_);
+    if (answers_feature_queries()) query_unconfirmed_peers(fenced_duties_);
 }
 
 bool PeerCapabilities::Capability::confirmed_by_all() const {
@@ -51,14 +52,14 @@
 }
 
 bool PeerCapabilities::all_current() const {
-    return answers_version() && current_version_.confirmed_by_all();
+    return answers_version_queries() && current_version_.confirmed_by_all();
 }
 
 bool PeerCapabilities::all_fence_duties() const {
-    return answers_features() && fenced_duties_.confirmed_by_all();
+    return answers_feature_queries() && fenced_duties_.confirmed_by_all();
 }
 
-void PeerCapabilities::ask(Capability& capability) {
+void PeerCapabilities::query_unconfirmed_peers(Capability& capability) {
     for (std::size_t i = 0; i < capability.confirmed_by.size(); ++i) {
         if (capability.confirmed_by[i]) continue;
         peers_.call(peers_.all()[i], capability.path, capability.query, kQueryDeadlineMs,
@@ -67,13 +68,13 @@
                     });
     }
     if (capability.confirmed_by_all()) return;
-    runtime_.after(kQueryIntervalMs, [this, &capability] { ask(capability); });
+    runtime_.after(kQueryIntervalMs, [this, &capability] { query_unconfirmed_peers(capability); });
 }
 
 void PeerCapabilities::on_reply(Capability& capability, std::size_t peer,
                                 const net::HttpReply& reply) {
     if (capability.confirmed_by[peer]) return;
-    const auto confirmed = peers_.decode_reply(reply, capability.confirms);
+    const auto confirmed = peers_.decode_reply(reply, capability.parse_confirmation);
     if (!confirmed || !*confirmed) return;
     capability.confirmed_by[peer] = true;
     if (capability.confirmed_by_all()) log_(capability.all_confirmed);
--- a/src/control/peer_capabilities.h
+++ b/src/control/peer_capabilities.h
@@ -30,9 +30,9 @@
     [[nodiscard]] bool all_fence_duties() const;
 
     /// Whether this controller answers questions about its version.
-    [[nodiscard]] bool answers_version() const { return settings_.guards.current_version; }
+    [[nodiscard]] bool answers_version_queries() const { return settings_.guards.current_version; }
     /// Whether this controller answers questions about its features.
-    [[nodiscard]] bool answers_features() const { return settings_.features.fenced_duties; }
+    [[nodiscard]] bool answers_feature_queries() const { return settings_.features.fenced_duties; }
     /// A peer asks for the version of this controller.
     void on_version_query(const std::string& body, const net::Respond& respond);
     /// A peer asks for the features that are switched on here.
@@ -44,13 +44,13 @@
         const char* path;
         std::string query;
         /// Whether an answer confirms; nothing: the answer is malformed.
-        std::optional<bool> (*confirms)(const std::string& answer);
+        std::optional<bool> (*parse_confirmation)(const std::string& answer);
         events::Event all_confirmed;
         std::vector<bool> confirmed_by;  // by index of the peer
 
         [[nodiscard]] bool confirmed_by_all() const;
     };
-    void ask(Capability& capability);
+    void query_unconfirmed_peers(Capability& capability);
     void on_reply(Capability& capability, std::size_t peer, const net::HttpReply& reply);
 
     net::Runtime& runtime_;
--- a/src/control/peers.cpp
+++ b/src/control/peers.cpp
@@ -24,7 +24,7 @@
     return nullptr;
 }
 
-std::vector<const Peer*> Peers::others_than(const std::string& member) const {
+std::vector<const Peer*> Peers::all_except(const std::string& member) const {
     std::vector<const Peer*> others;
     for (const auto& peer : settings_.peers) {
         if (peer.member != member) others.push_back(&peer);
--- a/src/control/peers.h
+++ b/src/control/peers.h
@@ -18,12 +18,14 @@
 
 inline constexpr const char* kHeartbeat = "/peer/beat";  ///< a heartbeat forwarded to the leader
 inline constexpr const char* kRelay = "/peer/relay";     ///< a heartbeat to forward for its sender
-inline constexpr const char* kUserRequest = "/peer/user";     ///< a user's request, forwarded
-inline constexpr const char* kCancelled = "/peer/cancelled";  ///< cancellations just confirmed
-inline constexpr const char* kQuery = "/peer/cancellations";  ///< asks for known cancellations
-inline constexpr const char* kAnnouncement = "/peer/leader";  ///< the leader's announcement
-inline constexpr const char* kVersion = "/peer/version";      ///< asks for the protocol version
-inline constexpr const char* kFeatures = "/peer/features";    ///< asks for the features in use
+inline constexpr const char* kUserRequest = "/peer/user";  ///< a user's request, forwarded
+inline constexpr const char* kCancellationAnnouncement =
+    "/peer/cancelled";  ///< cancellations just confirmed
+inline constexpr const char* kCancellationQuery =
+    "/peer/cancellations";  ///< asks for known cancellations
+inline constexpr const char* kLeaderAnnouncement = "/peer/leader";  ///< the leader's announcement
+inline constexpr const char* kVersionQuery = "/peer/version";    ///< asks for the protocol version
+inline constexpr const char* kFeaturesQuery = "/peer/features";  ///< asks for the features in use
 
 }  // namespace peer_path
 
@@ -42,7 +44,7 @@
     /// The peer of that name; null if there is none, or if this controller has that name.
     [[nodiscard]] const Peer* find(const std::string& member) const;
     /// All peers but the one of that name.
-    [[nodiscard]] std::vector<const Peer*> others_than(const std::string& member) const;
+    [[nodiscard]] std::vector<const Peer*> all_except(const std::string& member) const;
     /// The controllers that a worker tries after this one, in its order: by name, in a circle.
     [[nodiscard]] std::vector<const Peer*> in_order_after_self() const;
 
