--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -1,4 +1,4 @@
-// One controller: its parts connected, and the requests that come in.
+// Connects the components of a controller and dispatches requests to them.
 #include "control/controller.h"
 
 #include <fmt/format.h>
@@ -24,10 +24,11 @@
 
 constexpr double kBytesPerKilobyte = 1024;
 constexpr double kMsPerSecond = 1000;
-// Of the cloud's limit on requests.
+// Fractions of the cloud's rate limit that a controller uses as the leader and as a follower.
 constexpr double kLeaderCloudShare = 0.8;
 constexpr double kFollowerCloudShare = 0.1;
-// A follower that reaches neither the state service for so long nor the leader is unhealthy.
+// A follower reports itself as unhealthy once the state service has failed for longer than this and
+// the leader's announcements have ceased.
 constexpr Millis kMaxIsolationMs = 2500;
 constexpr Millis kMachineTypesRetryMs = 1000;
 constexpr std::uint64_t kMachineTypesRetryJitterMs = 1000;
@@ -36,7 +37,8 @@
     return static_cast<std::size_t>(kilobytes * kBytesPerKilobyte);
 }
 
-// Smaller rates and transactions are always allowed, so those to come are kept from the start.
+// Announced future limits on rates and transactions apply from the start where they are lower than
+// the current ones: staying below a limit is always allowed.
 store::StoreSettings store_settings(const Settings& settings) {
     const auto next = settings.guards.current_version ? settings.state_next : NextStateLimits{};
     store::StoreSettings result;
@@ -142,11 +144,13 @@
     if (path == peer_path::kUserRequest) {
         return user_requests_.on_forwarded_request(body, std::move(respond));
     }
-    if (path == peer_path::kCancellationAnnouncement)
+    if (path == peer_path::kCancellationAnnouncement) {
         return cancellations_.on_announcement(body, respond);
+    }
     if (path == peer_path::kCancellationQuery) return cancellations_.on_query(body, respond);
-    if (path == peer_path::kLeaderAnnouncement)
+    if (path == peer_path::kLeaderAnnouncement) {
         return announcements_.on_announcement(body, respond);
+    }
     if (path == peer_path::kVersionQuery && capabilities_.answers_version_queries()) {
         return capabilities_.on_version_query(body, respond);
     }
@@ -156,9 +160,9 @@
     respond(peer_response(http_status::kNotFound));
 }
 
-// A controller that can forward requests serves users as well as any other: being taken out of
-// rotation would cost them more. One that reaches neither state service nor leader must go, or
-// users would be refused here for as long as the cut lasts.
+// A controller that can forward requests serves users as well as any other, and taking it out of
+// rotation would cost them more. One that reaches neither the state service nor the leader must be
+// taken out: it would refuse users for as long as the partition lasts.
 net::HttpResponse Controller::check_health() const {
     if (!job_watcher_.ever_loaded() && !election_.leader_reaches_store()) {
         return error(http_status::kUnavailable, "not ready");
@@ -169,7 +173,7 @@
     return {http_status::kOk, "{}"};
 }
 
-// ---- the term of this controller as leader ----
+// ---- leadership ----
 
 void Controller::on_elected(const ElectedTerm& term) {
     store_.set_share(kLeaderShare);
@@ -193,7 +197,7 @@
     if (!leader_) return;
     log(events::LeaderSteppedDown{reason, seen_token});
     leader_->stop();
-    // The leader may be the caller: it must live until its own call is over.
+    // This may be called from a method of the leader, so the leader is destroyed in a later event.
     runtime_.after(0, [ended = std::move(leader_)] {});
     leader_.reset();
     cancellations_.end_term();
@@ -212,7 +216,8 @@
     users_.set_types(types);
 }
 
-// Users' submissions are checked against the machine types, also before a leader has read them.
+// Followers need the machine types too: every controller validates submissions against them, also
+// before the leader has read them.
 void Controller::fetch_machine_types() {
     cloud_.types([this](cloud::Result result, std::vector<core::MachineType> types) {
         if (result == cloud::Result::Ok && !types.empty()) {
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -23,31 +23,33 @@
 
 namespace lichendrift::control {
 
-/// One controller node: owns its parts, connects them, and hands them the requests that come in.
-/// Its effects on the outside all go through the runtime, which outlives it and calls nothing back
-/// once it is gone. Used on the loop's thread.
+/// One controller node: owns its components, connects them, and dispatches incoming requests to
+/// them. All its external effects go through the runtime, which outlives it and makes no callbacks
+/// once it is destroyed. Used on the event loop's thread only.
 class Controller : private ElectionListener, private LeaderHost, private CleanerHost {
   public:
-    /// `runtime` and `planner` have to outlive the controller.
+    /// `runtime` and `planner` must outlive the controller.
     Controller(net::Runtime& runtime, PlanExecutor& planner, Settings settings);
     ~Controller() override;
 
-    /// Begins to follow or to campaign; requests are handled from then on.
+    /// Starts following the current leader, or campaigning if there is none. Requests are handled
+    /// from then on.
     void start();
-    /// The process ends: gives up every lease, so that others need not wait for their end.
+    /// Called when the process ends: releases every lease, so that the other controllers do not
+    /// have to wait for its expiry.
     void hand_over();
 
-    /// A request of a user, a worker or a health check.
+    /// Handles a request from a user, a worker or a health check.
     void handle(const net::HttpRequest& request, net::Respond respond);
-    /// A request of another controller.
+    /// Handles a request from another controller.
     void handle_peer(const net::HttpRequest& request, net::Respond respond);
-    /// Whether a request may wait for heartbeats, health checks and other peers' requests: those
-    /// of users may, also when a peer forwards them.
+    /// Whether a request may be delayed in favour of heartbeats, health checks and requests from
+    /// peers. Users' requests may, including those that a peer forwards.
     [[nodiscard]] static bool can_wait(const net::HttpRequest& request);
 
     /// Whether this controller leads.
     [[nodiscard]] bool leading() const override { return leader_ != nullptr; }
-    /// The first fencing token of this controller's term; 0: it does not lead.
+    /// The first fencing token of this controller's term; 0 if it does not lead.
     [[nodiscard]] std::uint64_t token() const { return leader_ ? leader_->token() : 0; }
     /// Whether this controller leads and knows a machine of that name.
     [[nodiscard]] bool knows_machine(const std::string& name) const {
@@ -55,7 +57,8 @@
     }
     /// Whether this controller holds the cleanup duty.
     [[nodiscard]] bool holds_cleanup_duty() const { return cleaner_.holds_duty(); }
-    /// How many placement records without a job the cleanup duty has found here.
+    /// Number of placement records without a job that this controller found while it held the
+    /// cleanup duty.
     [[nodiscard]] std::uint64_t suspicious_records() const { return cleaner_.suspicious_records(); }
 
   private:
@@ -101,7 +104,7 @@
     HeartbeatRouter heartbeats_;
     UserRequestForwarder user_requests_;
     Cleaner cleaner_;
-    std::shared_ptr<Leader> leader_;  // null: another controller leads, or none
+    std::shared_ptr<Leader> leader_;  // null: this controller does not lead
 };
 
 }  // namespace lichendrift::control
