--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -1,4 +1,4 @@
-// The election: the leader record, campaigns, the leader lease and its renewal.
+// Leader election: the leader record, campaigns, the leader lease and its renewal.
 #include "control/election.h"
 
 #include <algorithm>
@@ -16,11 +16,12 @@
 const std::string kTokenKey("token");
 
 constexpr Millis kRenewalIntervalMs = 800;
-// The lease is counted from when its renewal was sent; drift and rounding are taken off.
+// The lease is counted from the time at which its request was sent, less this margin for clock
+// drift and rounding.
 constexpr Millis kLeaderLeaseMarginMs = 150;
 constexpr Millis kWatchBlockMs = 10'000;
 
-// Random waits keep the controllers from acting at the same moment again and again.
+// Random delays keep the controllers from repeatedly acting at the same moment.
 constexpr Millis kCampaignJitterMs = 120;
 constexpr Millis kReadRetryMs = 300;
 constexpr Millis kReadRetryJitterMs = 200;
@@ -50,7 +51,7 @@
     ++generation_;
 }
 
-// ---- who leads ----
+// ---- tracking the leader ----
 
 void LeaderElection::follow() {
     if (stopped_) return;
@@ -75,8 +76,8 @@
         outcome == store::Outcome::Ok ? wire::parse_leader_value(item.value) : std::nullopt;
     if (!record) return schedule_follow(kReadRetryMs, kReadRetryJitterMs);
     observe_leader(*record);
-    // This controller's own record from before a restart: nobody else acts under it, so it need
-    // not expire.
+    // The record is this controller's own, from before a restart. No other controller acts under
+    // it, so it can be replaced before it expires.
     if (record->member == settings_.member) return schedule_campaign(item.revision);
     log_(events::LeaderObserved{record->member, record->token});
     watch_leader_record(item.revision);
@@ -145,7 +146,7 @@
            runtime_.now() - observed_.last_announcement_at > kLeaderSilenceTimeoutMs;
 }
 
-// ---- a campaign, step by step ----
+// ---- campaign: read the last token, create a lease, write the leader record ----
 
 void LeaderElection::schedule_campaign(std::uint64_t leader_revision) {
     const auto generation = ++generation_;
@@ -190,14 +191,14 @@
                                              Millis sent_at) {
     campaign.lease = lease;
     campaign.lease_sent_at = sent_at;
-    // The term's block of tokens begins after the highest token seen.
+    // The term's block of tokens begins after the highest token seen so far.
     const auto highest = std::max(campaign.stored_token, highest_token_);
     campaign.token = (highest / core::kFencingTokensPerTerm + 1) * core::kFencingTokensPerTerm;
     write_leader_record(campaign);
 }
 
 void LeaderElection::write_leader_record(const Campaign& campaign) {
-    // The key `token` keeps the last token of the term's block.
+    // The key `token` stores the last token of the term's block.
     const auto last_token = campaign.token + core::kFencingTokensPerTerm - 1;
     store_.transact(
         store::RequestPriority::Leadership,
@@ -215,8 +216,9 @@
     if (result.outcome == store::Outcome::Ok && !stopped_) {
         return become_leader(campaign, result.revision);
     }
-    // Where the outcome is unknown the record may stand. Leading under it after all would need care
-    // that a rare case does not earn; it is this controller's own, so follow() replaces it at once.
+    // If the outcome is unknown, the record may have been written. Leading under it would need care
+    // that so rare a case does not justify. The record is this controller's own, so follow()
+    // replaces it without waiting for its expiry.
     store_.release_lease(campaign.lease);
     ++generation_;
     schedule_follow(kLostCampaignDelayMs, kLostCampaignJitterMs);
--- a/src/control/election.h
+++ b/src/control/election.h
@@ -14,90 +14,95 @@
 
 using core::Millis;
 
-/// The leader as far as this controller knows: from the leader record in the state service and from
-/// the leader's own announcements.
+/// What this controller knows of the leader, from the leader record in the state service and from
+/// the leader's announcements.
 struct ObservedLeader {
-    std::string member;               ///< its name; empty: no leader is known
-    std::uint64_t token = 0;          ///< first fencing token of its term
-    bool store_responsive = false;    ///< by its last announcement, the state service answers it
-    Millis last_announcement_at = 0;  ///< steady time; 0: none yet
-    Millis record_seen_at = 0;        ///< steady time when the state service showed its record
-
-    /// When anything was last known of it, steady time.
+    std::string member;       ///< name of the leader; empty: no leader is known
+    std::uint64_t token = 0;  ///< first fencing token of its term
+    bool store_responsive =
+        false;  ///< whether its last announcement says that the state service answers it
+    Millis last_announcement_at = 0;  ///< steady time; 0: no announcement yet
+    Millis record_seen_at = 0;        ///< steady time at which its record was last read
+
+    /// When the leader last announced itself or its record was last read, steady time.
     [[nodiscard]] Millis last_seen_at() const;
 };
 
-/// What a won election gives to the term that it begins.
+/// The result of a won election, for the term that begins.
 struct ElectedTerm {
     std::uint64_t token = 0;            ///< first fencing token of the term
     std::uint64_t leader_revision = 0;  ///< revision of the leader record, for conditional writes
 };
 
-/// What the election calls back.
+/// Receives the outcomes of the election.
 class ElectionListener {
   public:
     virtual ~ElectionListener() = default;
-    /// This controller leads from now on. LeaderElection::leading() is true already; the listener
-    /// calls LeaderElection::schedule_leader_lease_renewals().
+    /// This controller leads from now on; LeaderElection::leading() already returns true. The
+    /// listener must call LeaderElection::schedule_leader_lease_renewals().
     virtual void on_elected(const ElectedTerm& term) = 0;
-    /// The leader lease is gone: the listener has to call LeaderElection::resign().
+    /// The leader lease has expired. The listener must call LeaderElection::resign().
     virtual void on_leader_lease_expired() = 0;
 };
 
-/// The election of the leader: reads and watches the leader record, campaigns when there is none,
-/// renews the leader lease while this controller leads, and knows who leads otherwise.
+/// Takes part in the election of the leader: reads and watches the leader record, campaigns when
+/// there is none, renews the leader lease while this controller leads, and tracks the leader while
+/// another one does.
 ///
-/// The leader record (key `leader`) is written under a lease in the state service; the service
-/// removes it with the lease, and the other controllers then campaign. Key `token` holds the last
-/// fencing token handed out. Used on the loop's thread.
+/// The leader record (key `leader`) is bound to a lease in the state service, which removes the
+/// record when the lease ends; the other controllers then campaign. Key `token` holds the last
+/// fencing token of the latest term. Used on the event loop's thread only.
 class LeaderElection {
   public:
-    /// All arguments have to outlive this object.
+    /// All reference arguments must outlive this object.
     LeaderElection(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
                    ElectionListener& listener, EventLog log);
 
-    /// Reads the leader record; from then on watches it, or campaigns if there is none.
+    /// Reads the leader record and then watches it, or campaigns if there is none.
     void follow();
-    /// Takes part no more. A term that is under way has to be ended with resign().
+    /// Takes no further part in elections. A current term must be ended with resign().
     void stop();
-    /// Renews the leader lease from now on until the term ends.
+    /// Renews the leader lease at regular intervals until the term ends.
     void schedule_leader_lease_renewals();
-    /// Ends the term of this controller: gives up the leader lease and forgets who leads.
+    /// Ends this controller's term: releases the leader lease and clears observed().
     void resign();
 
-    /// Whether this controller leads. Its lease may have run out nevertheless.
+    /// Whether this controller leads. Stays true until resign(), even if the lease has expired.
     [[nodiscard]] bool leading() const { return leading_; }
-    /// Whether this controller certainly still leads, by the clock read anew.
+    /// Whether the leader lease is certainly still valid, by a fresh reading of the clock.
     [[nodiscard]] bool has_leader_lease() const;
-    /// Until when this controller certainly leads, steady time. Only while leading.
+    /// Steady time until which the leader lease is certainly valid. Only meaningful while leading.
     [[nodiscard]] Millis leader_lease_valid_until() const { return lease_valid_until_; }
 
-    /// Who leads; while leading, this controller.
+    /// The current leader as far as known; this controller itself while it leads.
     [[nodiscard]] const ObservedLeader& observed() const { return observed_; }
-    /// For how long nothing has come from the leader, neither from itself nor by its record.
+    /// Milliseconds since the leader last announced itself or its record was last read.
     [[nodiscard]] Millis leader_silent_for() const;
-    /// Whether the leader has been silent for so long that it is hardly worth a request.
+    /// Whether the leader has been silent for longer than kLeaderSilenceTimeoutMs, so that a
+    /// request to it will probably not be answered.
     [[nodiscard]] bool leader_is_silent() const;
-    /// Whether another controller leads that has announced lately that the state service answers
+    /// Whether another controller leads and has announced recently that the state service answers
     /// it.
     [[nodiscard]] bool leader_reaches_store() const;
-    /// Whether announcements of the leader came, and have ceased.
+    /// Whether the leader has announced itself, but not within the last kLeaderSilenceTimeoutMs.
     [[nodiscard]] bool announcements_ceased() const;
 
-    /// A fencing token was seen: tokens of terms to come are higher.
+    /// Records a fencing token that was seen; the tokens of this controller's later terms are
+    /// higher.
     void observe_token(std::uint64_t token);
-    /// A leader announces itself. False: this controller leads, or knows of a later leader.
+    /// Records a leader's announcement. Returns false, and changes nothing, if this controller
+    /// leads or knows of a later leader.
     bool accept_announcement(const wire::Announcement& announcement);
 
   private:
-    /// What a campaign has learned so far.
+    /// Progress of a campaign.
     struct Campaign {
-        std::uint64_t leader_revision = 0;  // of the record to replace; 0: there is none
-        std::uint64_t stored_token = 0;     // the last one handed out; 0: none
+        std::uint64_t leader_revision = 0;  // of the leader record to replace; 0: there is none
+        std::uint64_t stored_token = 0;     // last token of the previous term; 0: none
         std::uint64_t token_revision = 0;   // of the key `token`; 0: there is none
         std::uint64_t lease = 0;
         Millis lease_sent_at = 0;
-        std::uint64_t token = 0;  // first of the term
+        std::uint64_t token = 0;  // first token of the new term
     };
 
     void schedule_follow(Millis min_delay_ms, Millis max_jitter_ms);
@@ -128,11 +133,11 @@
     bool leading_ = false;
     bool campaigning_ = false;
     bool renewal_in_flight_ = false;
-    std::uint64_t generation_ = 0;  // of timers and watches; those of earlier ones end
-    std::uint64_t lease_ = 0;       // in the state service, of the current or last term
+    std::uint64_t generation_ = 0;  // timers and watches of earlier generations do nothing
+    std::uint64_t lease_ = 0;       // id of the lease of the current or last term
     Millis lease_valid_until_ = 0;
     ObservedLeader observed_;
-    std::uint64_t highest_token_ = 0;  // seen anywhere
+    std::uint64_t highest_token_ = 0;  // of all tokens seen
 };
 
 }  // namespace lichendrift::control
