--- a/src/control/announcements.cpp
+++ b/src/control/announcements.cpp
@@ -1,4 +1,4 @@
-// Announcements of the leader to the other controllers.
+// Announcements from the leader to the other controllers.
 #include "control/announcements.h"
 
 #include <utility>
--- a/src/control/announcements.h
+++ b/src/control/announcements.h
@@ -13,22 +13,22 @@
 
 namespace lichendrift::control {
 
-/// The leader's announcements to its peers, about once a second: that it leads, whether the state
-/// service answers it, and the counts of jobs' tasks, which every controller shows to users. Used
-/// on the loop's thread.
+/// Sends and receives the leader's announcements, about once a second: that it leads, whether the
+/// state service answers it, and the task counts of jobs, which every controller shows to users.
+/// Used on the event loop's thread only.
 class LeaderAnnouncements {
   public:
-    /// Called with the token of a later leader, while this controller leads.
+    /// Called with the token of a later leader if this controller still leads.
     using OnHigherToken = std::function<void(std::uint64_t token)>;
 
-    /// All arguments have to outlive this object.
+    /// All reference arguments must outlive this object.
     LeaderAnnouncements(const store::StoreClient& store, Peers& peers, LeaderElection& election,
                         UserApi& users, OnHigherToken on_higher_token);
 
-    /// Announces this controller's leadership, with counts; does nothing while it does not lead.
-    /// `all`: these are the counts of all jobs, not only of those that changed.
+    /// Announces this controller's leadership and the given counts; does nothing while it does not
+    /// lead. `all`: `counts` has all jobs, not only the changed ones.
     void announce(const std::vector<wire::JobCounts>& counts, bool all);
-    /// A peer announces that it leads.
+    /// Handles a peer's announcement that it leads.
     void on_announcement(const std::string& body, const net::Respond& respond);
 
   private:
