--- a/src/control/heartbeat_router.cpp
+++ b/src/control/heartbeat_router.cpp
@@ -1,4 +1,4 @@
-// How the heartbeats of workers find the leader.
+// Routing of workers' heartbeats to the leader.
 #include "control/heartbeat_router.h"
 
 #include <algorithm>
@@ -16,19 +16,20 @@
 namespace http_status = net::http_status;
 
 constexpr Millis kForwardDeadlineMs = 2500;
-// While the leader is silent it is tried with one heartbeat in this time.
+// A silent leader is sent at most one heartbeat in this interval; all others go to relays.
 constexpr Millis kSilentLeaderRetryMs = 1000;
 constexpr Millis kRelayDeadlineMs = 1200;
 constexpr Millis kRelayFailureBackoffMs = 700;
 constexpr std::size_t kMaxRelayAttempts = 2;
-// One in so many sockets may carry a heartbeat to the leader. Each machine has one heartbeat in
-// flight, and an answer takes milliseconds, so this is enough for thousands of machines unless
-// nobody answers.
+// At most one in this many connections may carry a forwarded heartbeat. Each machine has one
+// heartbeat in flight, and an answer takes milliseconds, so this is enough for thousands of
+// machines as long as the leader answers.
 constexpr std::size_t kConnectionsPerForward = 5;
 constexpr std::size_t kMinForwards = 100;
-// How much longer than its lease the leader has to be silent to be named to a worker.
+// A worker is redirected to the leader only after the leader has been silent for the duration of
+// its lease plus this margin.
 constexpr Millis kRedirectMarginMs = 1000;
-constexpr Millis kNever = -100'000;
+constexpr Millis kNever = -100'000;  // longer ago than any interval that is checked here
 constexpr int kRetryAfterS = 1;
 
 net::HttpResponse commands_response(const wire::HeartbeatAnswer& answer) {
@@ -85,8 +86,8 @@
     if (requests_in_flight_ >= max_requests_in_flight()) {
         return respond(unavailable("too many reports under way"));
     }
-    // A leader that has fallen silent is not worth waiting for at each heartbeat: its answer would
-    // come after the deadline, and a worker that waits loses time of its lease.
+    // Only some of the heartbeats are sent to a silent leader: its answer would come after the
+    // deadline, and waiting for it costs the worker part of its lease.
     const bool silent = deps_.election.leader_is_silent();
     const auto now = deps_.runtime.now();
     if (silent && now - last_forward_at_ < kSilentLeaderRetryMs) {
@@ -99,7 +100,7 @@
          [this, report, respond = std::move(respond), forwarded_to_token = observed.token,
           attempt](const Answer& answer) mutable {
              if (answer) return respond(commands_response(*answer));
-             // After a second try the worker's own deadline leaves no time for more.
+             // After the second attempt the worker's own deadline leaves no time for a relay.
              if (attempt == Attempt::Last) return refuse_or_redirect(respond);
              const bool leader_changed =
                  deps_.election.leading() || deps_.election.observed().token != forwarded_to_token;
@@ -108,15 +109,17 @@
          });
 }
 
-// The leader may be out of reach from here and within reach of another controller, as when two
-// zones can't reach each other.
+// The leader may be unreachable from here but reachable from another controller, for example during
+// a network partition between two zones.
 void HeartbeatRouter::relay(const core::Report& report, net::Respond respond,
                             std::size_t failed_attempts) {
     const auto others = deps_.peers.all_except(deps_.election.observed().member);
-    // While nobody leads, each heartbeat would otherwise ask all the others.
+    // Without this backoff, every heartbeat would cause requests to the other controllers while
+    // there is no leader.
     const bool failed_recently =
         deps_.runtime.now() - last_relay_failure_at_ < kRelayFailureBackoffMs;
-    // A leader that gave a sign just now has rather ended: little time is spent on relays.
+    // A leader that was heard from recently has more probably stopped than become unreachable, so
+    // little time is spent on relays.
     const bool silent = deps_.election.leader_is_silent();
     const auto limit = std::min(silent ? kMaxRelayAttempts : 1, others.size());
     if (failed_attempts >= limit || failed_recently) {
@@ -143,7 +146,8 @@
                          --requests_in_flight_;
                          auto answer =
                              deps_.peers.decode_reply(reply, wire::decode_heartbeat_answer);
-                         // The worker would drop an answer with a lower token and come here again.
+                         // The worker would drop an answer with a lower token and send its
+                         // heartbeat here again.
                          if (answer && answer->token < token) answer.reset();
                          on_answer(std::move(answer));
                      });
@@ -155,10 +159,10 @@
 }
 
 void HeartbeatRouter::refuse_or_redirect(const net::Respond& respond) const {
-    // Where the controllers can't reach each other the worker may still reach the leader itself. A
-    // leader that has ended must not be named, as its worker would lose seconds of its lease there:
-    // one that is silent for longer than its lease lasts, while the state service still shows its
-    // record, is up.
+    // If the controllers cannot reach each other, the worker may still reach the leader directly.
+    // It must not be redirected to a leader that has stopped, because it would lose seconds of its
+    // lease there. A leader that has been silent for longer than its lease, while the state service
+    // still has its record, is running.
     const auto& leader = deps_.election.observed().member;
     const bool silent_beyond_lease =
         deps_.election.leader_silent_for() > kLeaderLeaseMs + kRedirectMarginMs;
@@ -172,15 +176,16 @@
 }
 
 // After a 503 a worker tries the next controller. If that is the silent leader, it waits there
-// until its deadline, and with the time spent here its lease ends just after the next leader has
-// come. So it is redirected to the controller behind; null: the next one is another.
+// until its deadline; with the time already spent here, its lease would expire just after the next
+// leader has taken over. So it is redirected to the controller after the silent leader. Null if the
+// next controller is not the silent leader.
 const Peer* HeartbeatRouter::controller_after_silent_leader() const {
     const auto next = deps_.peers.in_order_after_self();
     if (next.size() < 2 || !deps_.election.leader_is_silent()) return nullptr;
     return next[0]->member == deps_.election.observed().member ? next[1] : nullptr;
 }
 
-// ---- a peer's request ----
+// ---- requests from peers ----
 
 void HeartbeatRouter::on_forwarded_heartbeat(const std::string& body, const net::Respond& respond) {
     const auto report = wire::decode_report(body);
--- a/src/control/heartbeat_router.h
+++ b/src/control/heartbeat_router.h
@@ -15,43 +15,43 @@
 
 class Leader;
 
-/// Brings heartbeats of workers to the leader and its answers back (docs/design.md, "How reports
+/// Routes heartbeats of workers to the leader and returns its answers (docs/design.md, "How reports
 /// find the leader").
 ///
-/// A worker reports to any controller. If that one does not lead, it *forwards* the heartbeat: it
-/// sends it to the leader itself. Where the leader does not answer, it asks a third controller to
-/// *relay* the heartbeat: that one forwards it to the leader, or refuses it. A relayed heartbeat
-/// is never relayed again, so none goes round in circles. Where all this fails the worker is
-/// refused (503), or redirected to a controller that it can better try next (421). Used on the
-/// loop's thread.
+/// A worker sends its heartbeat to any controller. A controller that does not lead *forwards* the
+/// heartbeat to the leader. If the leader does not answer, it asks a third controller to *relay*
+/// the heartbeat: that controller forwards it to the leader, or refuses it. A relayed heartbeat is
+/// never relayed again, which rules out loops. If all of this fails, the worker's request is
+/// refused (503), or the worker is redirected to a controller that is a better next choice (421).
+/// Used on the event loop's thread only.
 class HeartbeatRouter {
   public:
-    /// What the router works with; all of it has to outlive the router.
+    /// The components that the router uses; all of them must outlive it.
     struct Dependencies {
-        net::Runtime& runtime;            ///< time
-        const Settings& settings;         ///< limit on connections
-        const store::StoreClient& store;  ///< whether the state service answers
+        net::Runtime& runtime;            ///< clock
+        const Settings& settings;         ///< provides the limit on connections
+        const store::StoreClient& store;  ///< tells whether the state service answers
         Peers& peers;                     ///< the other controllers
-        LeaderElection& election;         ///< who leads
-        /// The leader, if it is this controller; null: it is not.
+        LeaderElection& election;         ///< tells who leads
+        /// Returns the leader if this controller leads, otherwise null.
         std::function<Leader*()> local_leader;
     };
 
-    /// A router without heartbeats under way.
+    /// Creates a router with no requests in flight.
     explicit HeartbeatRouter(Dependencies dependencies);
 
-    /// A worker reports to this controller.
+    /// Handles a heartbeat that a worker sends to this controller.
     void on_worker_heartbeat(const std::string& body, net::Respond respond);
-    /// A peer forwards a heartbeat to this controller as the leader.
+    /// Handles a heartbeat that a peer forwards to this controller as the leader.
     void on_forwarded_heartbeat(const std::string& body, const net::Respond& respond);
-    /// A peer that can't reach the leader asks this controller to relay a heartbeat.
+    /// Handles the request of a peer that cannot reach the leader to relay a heartbeat.
     void on_relay_request(const std::string& body, const net::Respond& respond);
 
   private:
-    /// How often a heartbeat may still be forwarded: it is, once more, if the leader has changed
-    /// while the first try was under way.
+    /// Which attempt to forward a heartbeat this is. A second one is made only if the leader has
+    /// changed while the first was in flight.
     enum class Attempt : std::uint8_t { First, Last };
-    using Answer = std::optional<wire::HeartbeatAnswer>;  // nothing: no useful answer came
+    using Answer = std::optional<wire::HeartbeatAnswer>;  // empty: there was no usable answer
     using OnAnswer = std::function<void(Answer)>;
 
     void route(const core::Report& report, net::Respond respond, Attempt attempt);
@@ -69,7 +69,8 @@
     int requests_in_flight_ = 0;
     Millis last_forward_at_;
     Millis last_relay_failure_at_;
-    std::size_t preferred_relay_ = 0;  // index among the peers without the leader
+    // Index of the peer that last relayed successfully, among the peers without the leader.
+    std::size_t preferred_relay_ = 0;
 };
 
 }  // namespace lichendrift::control
