--- a/src/control/peer_capabilities.cpp
+++ b/src/control/peer_capabilities.cpp
@@ -1,4 +1,4 @@
-// Versions and features of the other controllers.
+// Queries for the versions and features of the other controllers.
 #include "control/peer_capabilities.h"
 
 #include <algorithm>
