--- a/src/control/cancellation_exchange.cpp
+++ b/src/control/cancellation_exchange.cpp
@@ -1,4 +1,5 @@
-// Confirmed cancellations between controllers, and up to when all of them are known here.
+// Exchange of confirmed cancellations between controllers, and the time up to which all of them are
+// known here.
 #include "control/cancellation_exchange.h"
 
 #include <algorithm>
@@ -19,7 +20,9 @@
 constexpr std::size_t kMaxCancellationsInAnswer = 2000;
 constexpr Millis kDeadlineMs = 1500;
 constexpr Millis kAgeCheckIntervalMs = 500;
-// A copy of the jobs that is older is old: the peers are asked, and no task is started.
+// The peers are queried if the copy of the open jobs is older than kMaxJobsAgeMs. No task is
+// started if all cancellations are known only up to a time that is longer ago than
+// kMaxAgeForTaskStartsMs.
 constexpr Millis kMaxJobsAgeMs = 1200;
 constexpr Millis kMaxAgeForTaskStartsMs = 1200;
 constexpr double kMsPerSecond = 1000;
@@ -38,15 +41,16 @@
         [this](const wire::Cancellation& cancellation) { announce(cancellation); });
 }
 
-// ---- announcing what this controller confirms ----
+// ---- announcing the cancellations that this controller confirms ----
 
-// A leader that the state service refuses alone goes on renewing the leases of its workers, while
-// another controller confirms cancellations to users. If then the state service is out for all, no
-// other leader can come: so cancellations go from controller to controller as well.
+// A leader that the state service refuses, while it answers the other controllers, keeps renewing
+// the leases of its workers while another controller confirms cancellations to users. If the state
+// service then fails for all controllers, no other leader can be elected. So cancellations are also
+// sent directly from controller to controller.
 void CancellationExchange::announce(const wire::Cancellation& cancellation) {
     if (!settings_.guards.cancellations_announced) return;
     for (std::size_t i = 0; i < outboxes_.size(); ++i) {
-        // What finds no place in the queue is part of the answer to the peer's next query.
+        // A cancellation that does not fit in the queue is in the answer to the peer's next query.
         if (outboxes_[i].queued.size() < kMaxQueuedAnnouncements) {
             outboxes_[i].queued.push_back(cancellation);
         }
@@ -80,7 +84,7 @@
     }
 }
 
-// ---- asking the peers ----
+// ---- querying the peers ----
 
 void CancellationExchange::begin_term() {
     leading_ = true;
@@ -102,16 +106,16 @@
 
 void CancellationExchange::check_jobs_age() {
     const auto age = runtime_.read_clock() - job_watcher_.read_at();
-    // While no user asks for anything, nothing else brings the copy up to date.
+    // Without requests from users nothing else refreshes the copy of the open jobs.
     if (age > kAgeCheckIntervalMs) job_watcher_.refresh([](bool) {});
     if (age > kMaxJobsAgeMs) query_peers();
 }
 
 void CancellationExchange::query_peers() {
     if (!settings_.guards.cancellations_announced) return;
-    // What a peer confirms later than now has cancel_s from then on; so once all peers have
-    // answered, everything confirmed before now is known. A peer that does not answer, or whose
-    // answer begins after `since`, covers nothing.
+    // Once all peers have answered, every cancellation confirmed before `sent` is known here; for a
+    // later one, the period of cancel_s begins later as well. The query does not count if a peer
+    // does not answer, or if its answer is complete only after a later revision than `since`.
     const auto sent = runtime_.read_clock();
     const auto since = job_watcher_.revision();
     auto pending_replies = std::make_shared<std::size_t>(peers_.all().size());
@@ -135,28 +139,28 @@
     wire::CancellationNews news{
         job_watcher_.cancellations().complete_after(),
         job_watcher_.cancellations().newest_after(*since, kMaxCancellationsInAnswer)};
-    // An answer that is cut short covers nothing.
+    // A truncated answer must not count as complete for any revision.
     if (news.cancelled.size() >= kMaxCancellationsInAnswer) {
         news.complete_after = std::numeric_limits<std::uint64_t>::max();
     }
     respond(peer_response(http_status::kOk, wire::encode_cancellation_news(news)));
 }
 
-// ---- what follows from the moment up to which cancellations are known ----
+// ---- bounds on starting tasks and renewing leases ----
 
 Millis CancellationExchange::all_known_until() const {
     return std::max(job_watcher_.read_at(), last_complete_query_at_);
 }
 
-// A leader that stood still in an outage wakes with its leader lease alive and a copy from before:
-// it would start what was cancelled meanwhile.
+// A leader that was paused during an outage may resume with a valid leader lease and an outdated
+// copy of the open jobs. It would then start tasks of jobs that were cancelled meanwhile.
 bool CancellationExchange::may_start_tasks() const {
     if (!settings_.guards.runs_need_fresh_jobs) return true;
     return runtime_.read_clock() - all_known_until() <= kMaxAgeForTaskStartsMs;
 }
 
-// The bound that needs no message: a lease that is renewed now ends lease_s from now at the latest,
-// and that must be within cancel_s of any cancellation that is not known here.
+// This bound holds without any message from a peer: a lease that is renewed now expires at most
+// lease_s from now, and that must be within cancel_s of any cancellation that is not known here.
 bool CancellationExchange::may_renew_leases() {
     if (!settings_.guards.cancellations_bound_leases) return true;
     const auto slack_ms =
--- a/src/control/cancellation_exchange.h
+++ b/src/control/cancellation_exchange.h
@@ -12,35 +12,38 @@
 
 namespace lichendrift::control {
 
-/// Cancellations that the state service does not show to the acting leader: announces those that
-/// this controller confirms to its peers, asks the peers for theirs, and knows up to which moment
-/// every cancellation is known here. That moment bounds the renewal of workers' leases and the
-/// start of tasks. The safety argument is in docs/design.md, "A cancellation that the acting leader
-/// cannot see". Used on the loop's thread.
+/// Exchanges confirmed cancellations between controllers, for the case that the acting leader
+/// cannot read them from the state service. Announces the cancellations that this controller
+/// confirms to its peers, queries the peers for theirs, and tracks the time up to which every
+/// confirmed cancellation is known here. That time bounds the renewal of workers' leases and the
+/// start of tasks: a renewed lease must expire within `cancel_s` of any cancellation that is not
+/// known here (docs/design.md, "A cancellation that the acting leader cannot see"). Used on the
+/// event loop's thread only.
 class CancellationExchange {
   public:
-    /// All arguments have to outlive this object.
+    /// All reference arguments must outlive this object.
     CancellationExchange(net::Runtime& runtime, const Settings& settings, JobWatcher& job_watcher,
                          Peers& peers, EventLog log);
 
-    /// This controller leads from now on: keeps the knowledge of cancellations recent.
+    /// Called when this controller becomes the leader: starts regular checks of how old its copy of
+    /// the open jobs is. An old copy is refreshed; if it stays old, the peers are queried.
     void begin_term();
-    /// This controller leads no longer.
+    /// Called when this controller stops leading: ends the regular checks.
     void end_term();
 
-    /// Whether cancellations are known up to a moment so recent that tasks may be started.
+    /// Whether all cancellations are known up to a time recent enough for starting tasks.
     [[nodiscard]] bool may_start_tasks() const;
-    /// Whether workers' leases may be renewed: a lease that is renewed now ends within `cancel_s`
-    /// of any cancellation that is not known here. Logs when the answer changes.
+    /// Whether workers' leases may be renewed: a lease renewed now expires within `cancel_s` of any
+    /// cancellation that is not known here. Logs an event when the answer changes.
     [[nodiscard]] bool may_renew_leases();
 
-    /// A peer announces cancellations that it has confirmed.
+    /// Handles a peer's announcement of cancellations that it has confirmed.
     void on_announcement(const std::string& body, const net::Respond& respond);
-    /// A peer asks for the cancellations after a revision.
+    /// Handles a peer's query for the cancellations after a revision.
     void on_query(const std::string& body, const net::Respond& respond);
 
   private:
-    /// Cancellations to announce to one peer.
+    /// Cancellations queued for announcement to one peer.
     struct Outbox {
         std::vector<wire::Cancellation> queued;
         int requests_in_flight = 0;
@@ -60,8 +63,9 @@
     EventLog log_;
     std::vector<Outbox> outboxes_;  // by index of the peer
     bool leading_ = false;
-    std::uint64_t term_ = 0;             // counts terms; timers of earlier ones end
-    Millis last_complete_query_at_ = 0;  // all peers together have answered for what came before
+    std::uint64_t term_ = 0;  // incremented for each term; timers of earlier terms do nothing
+    // When the last query was sent that all peers have answered completely; 0: none.
+    Millis last_complete_query_at_ = 0;
     bool renewals_suspended_ = false;
 };
 
