--- a/src/control/cancellation_log.h
+++ b/src/control/cancellation_log.h
@@ -10,20 +10,20 @@
 
 namespace lichendrift::control {
 
-/// A bounded log of cancellations in the order in which this node learned of them. Peers that
-/// cannot read the state service ask for it; complete_after() tells them which part is whole.
+/// A bounded log of cancellations, in the order in which this node learned of them. Peers that
+/// cannot read the state service query it; complete_after() tells them which part is complete.
 class CancellationLog {
   public:
-    /// Adds a cancellation; the oldest is dropped beyond the bound.
+    /// Adds a cancellation; drops the oldest one if the log is full.
     void append(wire::Cancellation cancellation);
-    /// At most `limit` cancellations of a later revision than `revision`, newest first.
+    /// At most `limit` cancellations with a higher revision than `revision`, newest first.
     [[nodiscard]] std::vector<wire::Cancellation> newest_after(std::uint64_t revision,
                                                                std::size_t limit) const;
-    /// The log misses no cancellation of a later revision than this one that any run of this node
-    /// may have announced. The largest number while nothing is known to be complete.
+    /// The log contains every cancellation with a higher revision than this that this node may have
+    /// announced, also before a restart. The maximum value: no part is known to be complete.
     [[nodiscard]] std::uint64_t complete_after() const { return complete_after_; }
-    /// All open jobs were read at `revision`: what was announced up to there, by earlier runs of
-    /// this node too, is contained in that read and no longer needed from the log.
+    /// Called after all open jobs were read at `revision`. Cancellations that this node announced
+    /// up to there, also before a restart, are reflected in that read and not needed from the log.
     void set_complete_after(std::uint64_t revision) { complete_after_ = revision; }
 
   private:
