--- a/src/control/event_log.h
+++ b/src/control/event_log.h
@@ -4,7 +4,8 @@
 
 #include "events/event.h"
 
-/// How the parts of a controller log: through the controller, which adds its name, role and token.
+/// Logging by the components of a controller. They log through the controller, which adds its name,
+/// role and fencing token.
 namespace lichendrift::control {
 
 /// Logs one event. Called on the loop's thread.
