--- a/src/control/user_request_forwarder.cpp
+++ b/src/control/user_request_forwarder.cpp
@@ -1,4 +1,4 @@
-// Users' requests forwarded to the leader.
+// Forwarding of users' requests to the leader.
 #include "control/user_request_forwarder.h"
 
 #include <utility>
--- a/src/control/user_request_forwarder.h
+++ b/src/control/user_request_forwarder.h
@@ -9,20 +9,20 @@
 
 namespace lichendrift::control {
 
-/// Users' requests while the state service refuses this controller alone: they are forwarded to the
-/// leader, whose answer goes to the user. The leader handles them itself and never forwards them
-/// again, so that none goes round in circles. Used on the loop's thread.
+/// Forwards users' requests to the leader, and its answers to the users, while the state service
+/// answers the leader but not this controller. The leader handles them itself and never forwards
+/// them again, which rules out loops. Used on the event loop's thread only.
 class UserRequestForwarder {
   public:
-    /// All arguments have to outlive this object.
+    /// All arguments must outlive this object.
     UserRequestForwarder(const store::StoreClient& store, Peers& peers,
                          const LeaderElection& election, UserApi& users);
 
-    /// Whether users' requests are better forwarded now than handled here.
+    /// Whether users' requests should be forwarded now instead of being handled here.
     [[nodiscard]] bool should_forward() const;
-    /// Forwards a request; 503 if the leader does not answer it.
+    /// Forwards a request to the leader; responds with 503 if the leader does not answer.
     void forward(const net::HttpRequest& request, net::Respond respond);
-    /// A peer forwards a user's request to this controller.
+    /// Handles a user's request that a peer forwards to this controller.
     void on_forwarded_request(const std::string& body, net::Respond respond);
 
   private:
