--- a/src/control/features.h
+++ b/src/control/features.h
@@ -4,9 +4,9 @@
 
 namespace lichendrift::control {
 
-/// What the cleanup duty does with records that are of no use any more.
+/// What the cleanup duty does with records that are no longer needed.
 enum class CleanupMode : std::uint8_t {
-    Off,     ///< the duty is not taken
+    Off,     ///< this controller does not take the duty
     Report,  ///< logs what it would remove
     Remove,  ///< removes them
 };
@@ -14,13 +14,16 @@
 /// Default of Features::cleanup_page_s.
 inline constexpr double kDefaultCleanupPageS = 20;
 
-/// What the operators switch on with a features file. Without one all of it is off.
+/// Features that operators switch on with a features file. Without a file all of them are off.
 struct Features {
-    /// Requests to provision and to release machines are fenced; see docs/duties.md.
+    /// Whether requests to provision and to release machines are fenced: each needs an intent that
+    /// is stored first, by a write that fails once another controller holds the duty. See
+    /// docs/duties.md.
     bool fenced_duties = false;
-    /// The duty of removing useless records; see docs/duties.md.
+    /// Mode of the cleanup duty, which removes records that are no longer needed. See
+    /// docs/duties.md.
     CleanupMode cleanup = CleanupMode::Off;
-    /// Between two pages of records that the cleanup duty looks at, in seconds.
+    /// Interval at which the cleanup duty checks a page of records, in seconds.
     double cleanup_page_s = kDefaultCleanupPageS;
 };
 
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -14,20 +14,20 @@
 struct Peer {
     std::string member;    ///< its name, unique among the controllers
     std::string location;  ///< where it runs; not used
-    std::string address;   ///< host:port that it takes requests of controllers on
+    std::string address;   ///< host:port on which it accepts requests from controllers
 };
 
 /// One of the operators' service-level objectives.
 struct Objective {
     std::string kind;     ///< `wait`, `finished`, `deadline` or `guarantee`
-    std::string cls;      ///< class of jobs that it holds for; empty: all
+    std::string cls;      ///< class of jobs that it applies to; empty: all
     double within_s = 0;  ///< bound on the time that `kind` names, in seconds
-    double share = 0;     ///< of all cases that have to meet it, 0 to 1
+    double share = 0;     ///< fraction of the cases that must meet it, 0 to 1
     double times = 0;     ///< factor on the time that `kind` names
 };
 
-/// Limits of the state service that come into force later, without notice. What is not set stays as
-/// it is.
+/// Limits of the state service that come into force later, without notice. A limit that is not set
+/// stays as it is.
 struct NextStateLimits {
     std::optional<double> rps;                          ///< requests per second
     std::optional<double> write_rps;                    ///< written keys per second
@@ -38,17 +38,18 @@
 /// Defaults of Settings, for files without these fields and for tests.
 namespace default_settings {
 
-inline constexpr double kGangWaitS = 40;                       ///< Settings::gang_wait_s
-inline constexpr double kCancelS = 40;                         ///< Settings::cancel_s
-inline constexpr double kStateWriteRps = 30;                   ///< Settings::state_write_rps
-inline constexpr double kStateValueKb = 8;                     ///< Settings::state_value_kb
-inline constexpr std::size_t kStateTransactionOperations = 8;  ///< of one transaction
-inline constexpr double kMemMb = 64;                           ///< Settings::mem_mb
+inline constexpr double kGangWaitS = 40;      ///< Settings::gang_wait_s
+inline constexpr double kCancelS = 40;        ///< Settings::cancel_s
+inline constexpr double kStateWriteRps = 30;  ///< Settings::state_write_rps
+inline constexpr double kStateValueKb = 8;    ///< Settings::state_value_kb
+/// Settings::state_transaction_operations
+inline constexpr std::size_t kStateTransactionOperations = 8;
+inline constexpr double kMemMb = 64;  ///< Settings::mem_mb
 
 }  // namespace default_settings
 
-/// The platform's settings file, checked. All controllers have the same, but for their own name,
-/// location, addresses and peers.
+/// The validated contents of the platform's settings file. All controllers have the same settings
+/// except for their own name, location, addresses and peers.
 struct Settings {
     std::string member;                 ///< name of this controller
     std::string location;               ///< where it runs; not used
@@ -59,16 +60,16 @@
     std::string state;                  ///< host:port of the state service
     std::size_t size = 1;               ///< number of controllers, this one included
     std::vector<std::string> zones;     ///< names of the zones that machines are in
-    double skew_ms = 0;                 ///< bound on the error of the time of day, milliseconds
+    double skew_ms = 0;                 ///< bound on the error of the wall clock, milliseconds
     std::vector<core::Team> teams;      ///< teams with their guarantees and limits
     std::vector<Objective> objectives;  ///< service-level objectives
 
-    double report_s = 2;  ///< between two heartbeats of a worker, seconds
-    double lease_s = 10;  ///< how long a worker's tasks outlive its last answer, seconds
-    /// A task exits if its gang is not complete after so many seconds.
+    double report_s = 2;  ///< interval between two heartbeats of a worker, seconds
+    double lease_s = 10;  ///< how long tasks run after their worker last got an answer, seconds
+    /// How long a task waits for its gang to be complete before it exits, seconds.
     double gang_wait_s = default_settings::kGangWaitS;
-    double gang_peer_s = 4;  ///< within which a gang notices a lost task, seconds
-    /// After which no task of a cancelled job runs, seconds.
+    double gang_peer_s = 4;  ///< time within which a gang notices a lost task, seconds
+    /// Time after a job's cancellation from which none of its tasks runs, seconds.
     double cancel_s = default_settings::kCancelS;
 
     // The state service's limits, for all controllers together.
@@ -77,20 +78,20 @@
     double state_value_kb = default_settings::kStateValueKb;    ///< size of a value, kilobytes
     /// Keys that one transaction may write.
     std::size_t state_transaction_operations = default_settings::kStateTransactionOperations;
-    NextStateLimits state_next;  ///< limits to come
+    NextStateLimits state_next;  ///< announced future limits
 
     double cloud_rps = 4;         ///< the cloud's limit: requests per second
     double cloud_list_lag_s = 3;  ///< usual age of the cloud's list of machines, seconds
 
-    double core_share = 1;                     ///< of one core, that this process may use
+    double core_share = 1;  ///< fraction of one CPU core that this process may use
     double mem_mb = default_settings::kMemMb;  ///< memory that this process may use, megabytes
     std::size_t max_connections = 1000;        ///< sockets that this process may use
 
-    /// Fault injection of the tests; not in the file.
+    /// Guards of the safety argument, which tests switch off one at a time; not in the file.
     core::SafetyGuards guards;
-    /// Of the operators' features file.
+    /// From the operators' features file.
     Features features;
-    /// Text of the operators' policy, checked; empty: the built-in one.
+    /// Validated text of the operators' policy; empty: the built-in policy applies.
     std::string policy;
 };
 
