--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,4 +1,4 @@
-// What a controller knows of its peers: the order in which workers try them, and their
+// Tests of what a controller knows of its peers: the order in which workers try them, and their
 // capabilities.
 #include "control/peers.h"
 
@@ -15,7 +15,8 @@
 namespace lichendrift::control {
 namespace {
 
-/// Peers that answer every request at once with what the test has set for their address.
+/// Peers that answer every request after 1 ms with the reply that the test has set for their
+/// address.
 class ScriptedPeers : public net::Runtime {
   public:
     Millis now() override { return now_; }
@@ -42,7 +43,7 @@
         now_ = end;
     }
 
-    std::map<std::string, net::HttpReply> replies;  // by address; none set: no answer
+    std::map<std::string, net::HttpReply> replies;  // by address; not set: no answer
     std::map<std::string, int> requests;            // by address and path
 
   private:
@@ -65,7 +66,7 @@
     return names;
 }
 
-TEST(Peers, WorkersTryThemByNameInACircle) {
+TEST(Peers, WorkersTryPeersByNameWithWraparound) {
     ScriptedPeers runtime;
     using Names = std::vector<std::string>;
     const auto first = settings_of("a", {"c", "b"});
@@ -83,12 +84,12 @@
     PeerCapabilitiesTest() { settings.features.fenced_duties = true; }
     void start() {
         capabilities.start();
-        runtime.advance_by(kAskedOnce);
+        runtime.advance_by(kFirstReplyMs);
     }
-    void ask_again() { runtime.advance_by(kAskedAgain); }
+    void advance_to_next_query() { runtime.advance_by(kQueryIntervalMs); }
 
-    static constexpr Millis kAskedOnce = 100;
-    static constexpr Millis kAskedAgain = 2000;
+    static constexpr Millis kFirstReplyMs = 100;
+    static constexpr Millis kQueryIntervalMs = 2000;
     static constexpr int kOk = net::http_status::kOk;
     static constexpr auto kFenced = static_cast<std::uint64_t>(wire::Feature::FencedDuties);
 
@@ -101,18 +102,18 @@
                                   }};
 };
 
-TEST_F(PeerCapabilitiesTest, AllAreCurrentOnceEachHasConfirmed) {
+TEST_F(PeerCapabilitiesTest, AllAreCurrentOnceEveryPeerHasConfirmed) {
     runtime.replies["b:1"] = {kOk, wire::encode_version(wire::kProtocolVersion)};
     start();
     EXPECT_FALSE(capabilities.all_current());
     EXPECT_TRUE(logged.empty());
     runtime.replies["c:1"] = {kOk, wire::encode_version(wire::kProtocolVersion + 1)};
-    ask_again();
+    advance_to_next_query();
     EXPECT_TRUE(capabilities.all_current());
     ASSERT_EQ(logged.size(), 1U);
     EXPECT_EQ(logged[0], events::Event(events::AllControllersCurrent{}).index());
-    // The one that had confirmed was not asked again, and now nobody is.
-    ask_again();
+    // A peer that has confirmed is not queried again.
+    advance_to_next_query();
     EXPECT_EQ(runtime.requests["b:1/peer/version"], 1);
     EXPECT_EQ(runtime.requests["c:1/peer/version"], 2);
 }
@@ -125,21 +126,21 @@
     runtime.replies["b:1"] = {net::http_status::kNotFound,
                               wire::encode_version(wire::kProtocolVersion)};
     runtime.replies["c:1"] = {kOk, wire::encode_version(wire::kProtocolVersion)};
-    ask_again();
+    advance_to_next_query();
     EXPECT_FALSE(capabilities.all_current());
 }
 
-TEST_F(PeerCapabilitiesTest, DutiesAreFencedOnceEachHasTheFeature) {
+TEST_F(PeerCapabilitiesTest, DutiesAreFencedOnceEveryPeerHasTheFeature) {
     runtime.replies["b:1"] = {kOk, wire::encode_features(kFenced)};
     runtime.replies["c:1"] = {kOk, wire::encode_features(0)};
     start();
     EXPECT_FALSE(capabilities.all_fence_duties());
     runtime.replies["c:1"] = {kOk, wire::encode_features(kFenced)};
-    ask_again();
+    advance_to_next_query();
     EXPECT_TRUE(capabilities.all_fence_duties());
 }
 
-TEST_F(PeerCapabilitiesTest, FeaturesAreNotAskedForWhereTheyAreOff) {
+TEST_F(PeerCapabilitiesTest, FeaturesAreNotQueriedIfSwitchedOffLocally) {
     settings.features.fenced_duties = false;
     runtime.replies["b:1"] = {kOk, wire::encode_features(kFenced)};
     runtime.replies["c:1"] = {kOk, wire::encode_features(kFenced)};
