--- a/src/control/announcements.cpp
+++ b/src/control/announcements.cpp
@@ -42,7 +42,7 @@
         on_higher_token_(announcement->token);
     }
     if (election_.accept_announcement(*announcement)) {
-        users_.set_counts(announcement->counts, announcement->complete);
+        users_.update_task_counts(announcement->counts, announcement->complete);
     }
     respond(peer_response(net::http_status::kOk));
 }
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -201,7 +201,7 @@
 }
 
 void Controller::on_job_counts(std::vector<wire::JobCounts> counts, bool all) {
-    users_.set_counts(counts, all);
+    users_.update_task_counts(counts, all);
     announcements_.announce(counts, all);
 }
 
--- a/src/control/failover_reader.cpp
+++ b/src/control/failover_reader.cpp
@@ -31,7 +31,8 @@
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         cluster.await_records();
         for (const auto& [id, job] : job_watcher_.open_jobs()) {
-            cluster.add_job(job.text, job.revision, now, false, term_.age_of(job.text));
+            cluster.add_job(job.description, job.revision, now, false,
+                            term_.age_of(job.description));
         }
     });
     callbacks_.on_open_jobs_read();
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -84,7 +84,7 @@
     ever_loaded_ = true;
     loading_ = false;
     if (listener_) {
-        for (const auto& [job_id, job] : open_) listener_->on_open(job.text, job.revision);
+        for (const auto& [job_id, job] : open_) listener_->on_open(job.description, job.revision);
         for (const auto& [job_id, job] : before) {
             if (!open_.contains(job_id)) listener_->on_terminal(job_id, TerminalState::Aborted);
         }
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -41,8 +41,8 @@
   public:
     /// An open job as stored.
     struct OpenJob {
-        core::JobDescription text;   ///< its description
-        std::uint64_t revision = 0;  ///< of its key, the condition of later transactions
+        core::JobDescription description;  ///< its description
+        std::uint64_t revision = 0;        ///< of its key, the condition of later transactions
     };
     /// Gets every change while a leader is active. Called while the copy is being updated.
     struct Listener {
--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -71,7 +71,7 @@
       batcher_(store, job_watcher),
       refusals_logged_at_(kLongAgo) {}
 
-void UserApi::set_counts(const std::vector<wire::JobCounts>& counts, bool all) {
+void UserApi::update_task_counts(const std::vector<wire::JobCounts>& counts, bool all) {
     if (all) counts_.clear();
     for (const auto& job : counts) counts_[job.id] = {job.done, job.running};
 }
@@ -221,8 +221,8 @@
     const auto* open = job_watcher_.find_open(job_id);
     if (open == nullptr) return poll(job_id, std::move(respond), respond_no_such_job);
     // The description stays with the terminal state: the job's tasks count until they have ended.
-    const auto value =
-        wire::terminal_state_value_within(true, open->text, store_.max_value_bytes_from_now_on());
+    const auto value = wire::terminal_state_value_within(true, open->description,
+                                                         store_.max_value_bytes_from_now_on());
     const auto open_key = core::keys::open_job(job_id);
     const auto terminal_key = core::keys::terminal_state(job_id);
     store_.transact(store::RequestPriority::Submit, {{open_key, open->revision}, {terminal_key, 0}},
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -36,7 +36,7 @@
     [[nodiscard]] const std::vector<core::MachineType>& types() const { return types_; }
     /// Takes the leader's task counts of open jobs, for display. With `all` those of jobs that
     /// are not in the list are forgotten.
-    void set_counts(const std::vector<wire::JobCounts>& counts, bool all);
+    void update_task_counts(const std::vector<wire::JobCounts>& counts, bool all);
 
   private:
     /// Why a request is answered with status 503.
