--- a/src/control/user_api.cpp
+++ b/src/control/user_api.cpp
@@ -1,4 +1,4 @@
-// The users' HTTP interface: submissions, polls and cancellations of jobs.
+// The HTTP API for users: submission, status and cancellation of jobs.
 #include "control/user_api.h"
 
 #include <optional>
@@ -19,20 +19,20 @@
 constexpr std::string_view kRunsPath = "/v2/runs";
 constexpr std::string_view kCancelSuffix = "/cancel";
 constexpr int kRetryAfterS = 1;
-constexpr int kCancelRetries = 3;  // after conflicts with other changes of the job
+constexpr int kCancelRetries = 3;  // if the job's keys change between the read and the write
 constexpr std::size_t kMaxLoggedBodyBytes = 400;
-constexpr Millis kRefusalLogInterval = 3000;
-constexpr Millis kLongAgo = -100'000;  // before any time of the runtime
+constexpr Millis kRefusalLogIntervalMs = 3000;
+constexpr Millis kLongAgo = -100'000;  // earlier than any time of the runtime's clock
 
 enum class Action : std::uint8_t { Submit, Poll, Cancel };
 
-// What a request's target asks for.
+// The action and the job that a request target stands for.
 struct Route {
     Action action = Action::Submit;
     std::string job_id;
 };
 
-std::optional<Route> route_of(std::string_view target) {
+std::optional<Route> parse_route(std::string_view target) {
     auto path = target.substr(0, target.find('?'));
     if (path == kRunsPath) return Route{};
     if (!path.starts_with(kRunsPath) || path[kRunsPath.size()] != '/') return std::nullopt;
@@ -69,22 +69,22 @@
       store_(store),
       job_watcher_(job_watcher),
       batcher_(store, job_watcher),
-      refusals_logged_at_(kLongAgo) {}
+      refusal_logged_at_(kLongAgo) {}
 
-void UserApi::update_task_counts(const std::vector<wire::JobCounts>& counts, bool all) {
-    if (all) counts_.clear();
-    for (const auto& job : counts) counts_[job.id] = {job.done, job.running};
+void UserApi::update_task_counts(const std::vector<wire::JobCounts>& counts, bool complete) {
+    if (complete) task_counts_.clear();
+    for (const auto& job : counts) task_counts_[job.id] = {job.done, job.running};
 }
 
 void UserApi::handle(const net::HttpRequest& request, net::Respond respond) {
-    const auto route = route_of(request.target);
+    const auto route = parse_route(request.target);
     if (!route) return respond_error(respond, http_status::kNotFound, "no such path");
     const std::string method = route->action == Action::Poll ? "GET" : "POST";
     if (request.method != method) {
         return respond_error(respond, http_status::kMethodNotAllowed, "use " + method);
     }
     if (route->action == Action::Submit) return submit(request.body, std::move(respond));
-    // An id that is not of the form was never accepted.
+    // An id in another format was never accepted, so no lookup is needed.
     if (!wire::valid_job_id(route->job_id)) return respond_no_such_job(respond);
     if (route->action == Action::Cancel) {
         return cancel(route->job_id, std::move(respond), kCancelRetries);
@@ -106,19 +106,19 @@
         return respond_terminal(respond, job.id, *state);
     }
     if (job_watcher_.find_open(job.id) != nullptr) {
-        return poll(job.id, std::move(respond), [this](const net::Respond& unanswered) {
-            refuse(unanswered, RefusalReason::StateServiceUnavailable);
+        return poll(job.id, std::move(respond), [this](const net::Respond& responder) {
+            refuse(responder, RefusalReason::StateServiceUnavailable);
         });
     }
     if (!store_.responsive()) return refuse(respond, RefusalReason::StateServiceUnavailable);
     if (types_.empty()) return refuse(respond, RefusalReason::MachineTypesUnknown);
     if (const auto feasible = check_feasibility(job, settings_.teams, types_); !feasible) {
-        // A job that was accepted once is never refused: prices, types and teams may change.
-        return answer_fresh(job.id, std::move(respond),
-                            [reason = feasible.error()](const net::Respond& unanswered) {
-                                respond_error(unanswered, http_status::kUnprocessable,
-                                              control::text(reason));
-                            });
+        // The job may have been accepted earlier, under other prices, machine types or teams. Such
+        // a job must not be refused, so its state is looked up first.
+        return answer_after_refresh(
+            job.id, std::move(respond), [reason = feasible.error()](const net::Respond& responder) {
+                respond_error(responder, http_status::kUnprocessable, control::text(reason));
+            });
     }
     store_job(std::move(job), respond);
 }
@@ -135,8 +135,8 @@
 
 void UserApi::on_submission_result(const std::string& job_id, const net::Respond& respond,
                                    SubmissionResult result) {
-    const auto unavailable = [this](const net::Respond& unanswered) {
-        refuse(unanswered, RefusalReason::StateServiceUnavailable);
+    const auto unavailable = [this](const net::Respond& responder) {
+        refuse(responder, RefusalReason::StateServiceUnavailable);
     };
     switch (result) {
         case SubmissionResult::Created:
@@ -163,30 +163,30 @@
     }
 }
 
-// ---- polls ----
+// ---- status requests ----
 
 void UserApi::poll(const std::string& job_id, net::Respond respond, OnUnknownJob on_unknown) {
     if (const auto state = job_watcher_.terminal_state(job_id)) {
         return respond_terminal(respond, job_id, *state);
     }
     if (!settings_.guards.fresh_reads && job_watcher_.find_open(job_id) != nullptr) {
-        return answer_open(job_id, respond);
+        return answer_open_job(job_id, respond);
     }
-    answer_fresh(job_id, std::move(respond), std::move(on_unknown));
+    answer_after_refresh(job_id, std::move(respond), std::move(on_unknown));
 }
 
-void UserApi::answer_fresh(const std::string& job_id, net::Respond respond,
-                           OnUnknownJob on_unknown) {
+void UserApi::answer_after_refresh(const std::string& job_id, net::Respond respond,
+                                   OnUnknownJob on_unknown) {
     job_watcher_.refresh([this, job_id, respond = std::move(respond),
                           on_unknown = std::move(on_unknown)](bool fresh) {
         if (!fresh) return refuse(respond, RefusalReason::StateServiceUnavailable);
-        answer_from_fresh_copy(job_id, respond, on_unknown);
+        answer_from_refreshed_copy(job_id, respond, on_unknown);
     });
 }
 
-void UserApi::answer_from_fresh_copy(const std::string& job_id, net::Respond respond,
-                                     OnUnknownJob on_unknown) {
-    if (job_watcher_.find_open(job_id) != nullptr) return answer_open(job_id, respond);
+void UserApi::answer_from_refreshed_copy(const std::string& job_id, net::Respond respond,
+                                         OnUnknownJob on_unknown) {
+    if (job_watcher_.find_open(job_id) != nullptr) return answer_open_job(job_id, respond);
     job_watcher_.read_terminal_state(job_id,
                                      [this, job_id, respond = std::move(respond),
                                       on_unknown = std::move(on_unknown)](const auto& state) {
@@ -198,9 +198,9 @@
                                      });
 }
 
-void UserApi::answer_open(const std::string& job_id, const net::Respond& respond) const {
-    const auto counted = counts_.find(job_id);
-    const auto counts = counted == counts_.end() ? TaskCounts{} : counted->second;
+void UserApi::answer_open_job(const std::string& job_id, const net::Respond& respond) const {
+    const auto it = task_counts_.find(job_id);
+    const auto counts = it == task_counts_.end() ? TaskCounts{} : it->second;
     const auto* state = counts.running > 0 ? "running" : "pending";
     respond({http_status::kOk, wire::job_answer(job_id, state, counts.done, counts.running)});
 }
@@ -220,7 +220,8 @@
 void UserApi::write_cancellation(const std::string& job_id, net::Respond respond, int retries) {
     const auto* open = job_watcher_.find_open(job_id);
     if (open == nullptr) return poll(job_id, std::move(respond), respond_no_such_job);
-    // The description stays with the terminal state: the job's tasks count until they have ended.
+    // The terminal state keeps the description, which is needed as long as tasks of the job may
+    // still be on machines.
     const auto value = wire::terminal_state_value_within(true, open->description,
                                                          store_.max_value_bytes_from_now_on());
     const auto open_key = core::keys::open_job(job_id);
@@ -241,13 +242,13 @@
                     });
 }
 
-// ---- refusals ----
+// ---- responses with status 503 ----
 
 void UserApi::refuse(const net::Respond& respond, RefusalReason reason) {
     ++refusals_;
-    // Counted, and logged at a bounded rate: a flood of refusals must not become a flood of lines.
-    if (runtime_.now() - refusals_logged_at_ > kRefusalLogInterval) {
-        refusals_logged_at_ = runtime_.now();
+    // Every refusal is counted, but the log is rate limited, so that overload does not flood it.
+    if (runtime_.now() - refusal_logged_at_ > kRefusalLogIntervalMs) {
+        refusal_logged_at_ = runtime_.now();
         events::log(events::RequestsRefused{refusals_, text(reason)});
     }
     respond({http_status::kUnavailable, wire::error_body(text(reason)), kRetryAfterS});
--- a/src/control/user_api.h
+++ b/src/control/user_api.h
@@ -1,4 +1,4 @@
-// The users' HTTP interface: submissions, polls and cancellations of jobs.
+// The HTTP API for users: submission, status and cancellation of jobs.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,30 @@
 
 namespace lichendrift::control {
 
-/// Answers users on any controller, with or without a leader, from the state service alone. What
-/// cannot be done now is refused at once with status 503 and Retry-After.
+/// Serves user requests on any controller. It needs only the state service, so it works without a
+/// leader. A request that cannot be served now gets status 503 with Retry-After at once.
 ///
-/// All methods are called, and answer, on the event loop's thread.
+/// Loop thread only; responses are sent on that thread too.
 class UserApi {
   public:
-    /// All references have to outlive the object.
+    /// All references must outlive the object.
     UserApi(net::Runtime& runtime, const Settings& settings, store::StoreClient& store,
             JobWatcher& job_watcher);
 
-    /// Answers a request to any path below "/"; unknown paths get status 404.
+    /// Handles a request for any path; an unknown path gets status 404.
     void handle(const net::HttpRequest& request, net::Respond respond);
-    /// Sets the cloud's machine types; without any, new jobs are refused.
+    /// Sets the cloud's machine types. New jobs get status 503 while there are none.
     void set_types(std::vector<core::MachineType> types) { types_ = std::move(types); }
-    /// Whether machine types are set.
+    /// Whether the cloud's machine types have been set.
     [[nodiscard]] bool types_known() const { return !types_.empty(); }
-    /// The cloud's machine types; empty: not known yet.
+    /// The cloud's machine types; empty while they are unknown.
     [[nodiscard]] const std::vector<core::MachineType>& types() const { return types_; }
-    /// Takes the leader's task counts of open jobs, for display. With `all` those of jobs that
-    /// are not in the list are forgotten.
-    void update_task_counts(const std::vector<wire::JobCounts>& counts, bool all);
+    /// Updates the task counts of open jobs from the leader's; they are only displayed. If
+    /// `complete`, the counts of all jobs that are not in the list are dropped.
+    void update_task_counts(const std::vector<wire::JobCounts>& counts, bool complete);
 
   private:
-    /// Why a request is answered with status 503.
+    /// Why a request gets status 503.
     enum class RefusalReason : std::uint8_t {
         StateServiceUnavailable,
         MachineTypesUnknown,
@@ -59,10 +59,11 @@
     void on_enqueue_error(const net::Respond& respond, EnqueueError error);
 
     void poll(const std::string& job_id, net::Respond respond, OnUnknownJob on_unknown);
-    void answer_fresh(const std::string& job_id, net::Respond respond, OnUnknownJob on_unknown);
-    void answer_from_fresh_copy(const std::string& job_id, net::Respond respond,
-                                OnUnknownJob on_unknown);
-    void answer_open(const std::string& job_id, const net::Respond& respond) const;
+    void answer_after_refresh(const std::string& job_id, net::Respond respond,
+                              OnUnknownJob on_unknown);
+    void answer_from_refreshed_copy(const std::string& job_id, net::Respond respond,
+                                    OnUnknownJob on_unknown);
+    void answer_open_job(const std::string& job_id, const net::Respond& respond) const;
 
     void cancel(const std::string& job_id, net::Respond respond, int retries);
     void write_cancellation(const std::string& job_id, net::Respond respond, int retries);
@@ -76,9 +77,9 @@
     JobWatcher& job_watcher_;
     SubmissionBatcher batcher_;
     std::vector<core::MachineType> types_;
-    std::unordered_map<std::string, TaskCounts> counts_;  // by job, as the leader counts
+    std::unordered_map<std::string, TaskCounts> task_counts_;  // by job id, from the leader
     std::uint64_t refusals_ = 0;
-    Millis refusals_logged_at_;
+    Millis refusal_logged_at_;
 };
 
 }  // namespace lichendrift::control
