--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -1,4 +1,4 @@
-// This node's copy of the open jobs, kept up to date from the state service.
+// A local copy of the open jobs that follows the changes in the state service.
 #include "control/job_watcher.h"
 
 #include <algorithm>
@@ -13,22 +13,23 @@
 
 namespace keys = core::keys;
 
-constexpr const char* kWatchedPrefix = "o";  // of open jobs and of terminal states
+constexpr const char* kWatchedPrefix = "o";  // shared by "open/" and "over/"
 
-constexpr std::size_t kMaxWaiting = 500;
-constexpr Millis kRefreshSpacing = 120;  // refreshes that come closer share one read
-constexpr Millis kLongAgo = -100'000;    // before any time of the runtime
+constexpr std::size_t kMaxWaitingRefreshes = 500;
+constexpr Millis kRefreshIntervalMs = 120;  // refreshes requested within it share one read
+constexpr Millis kLongAgo = -100'000;       // earlier than any time of the runtime's clock
 
-// Without users the copy would fall behind what the state service remembers of changes.
-constexpr Millis kIdleCheckInterval = 3000;
-constexpr Millis kMaxIdle = 2500;
+// An idle copy is refreshed as well: the state service keeps only recent changes, and a copy that
+// is older than those would have to be loaded again.
+constexpr Millis kIdleCheckIntervalMs = 3000;
+constexpr Millis kMaxIdleMs = 2500;
 
-constexpr Millis kReloadDelay = 400;
-constexpr Millis kReloadJitter = 400;
+constexpr Millis kReloadDelayMs = 400;
+constexpr Millis kReloadJitterMs = 400;
 
-constexpr Millis kWatchBlock = 8000;  // how long the state service may hold a watch open
-constexpr Millis kWatchPause = 60;
-constexpr Millis kWatchRetryDelay = 400;
+constexpr Millis kWatchBlockMs = 8000;  // longest wait of the state service for a change
+constexpr Millis kWatchPauseMs = 60;
+constexpr Millis kWatchRetryDelayMs = 400;
 
 }  // namespace
 
@@ -37,10 +38,10 @@
 
 void JobWatcher::start() {
     load();
-    keep_within_history();
+    refresh_when_idle();
 }
 
-// ---- the first read of all open jobs, and another one if the history is too short ----
+// ---- full reads of the open jobs: at the start, and after changes were missed ----
 
 void JobWatcher::load() {
     load_sent_at_ = runtime_.now();
@@ -53,18 +54,18 @@
                 [this, so_far = std::move(so_far)](store::Outcome outcome,
                                                    const wire::ItemPage& page) mutable {
                     if (outcome == store::Outcome::Ok) return on_load_page(page, std::move(so_far));
-                    const auto jitter = static_cast<Millis>(runtime_.random() % kReloadJitter);
-                    runtime_.after(kReloadDelay + jitter, [this] { load(); });
+                    const auto jitter = static_cast<Millis>(runtime_.random() % kReloadJitterMs);
+                    runtime_.after(kReloadDelayMs + jitter, [this] { load(); });
                 });
 }
 
 void JobWatcher::on_load_page(const wire::ItemPage& page, PartialLoad so_far) {
-    // Changes since the first page are read again by the next watch.
+    // The copy takes the first page's revision: changes during the load are read by the next watch.
     if (so_far.revision == 0) so_far.revision = page.revision;
     for (const auto& item : page.items) {
         const auto job_id = item.key.substr(keys::kOpenJobs.size());
-        if (auto text = wire::parse_job_value(job_id, item.value)) {
-            so_far.jobs[job_id] = {std::move(*text), item.revision};
+        if (auto description = wire::parse_job_value(job_id, item.value)) {
+            so_far.jobs[job_id] = {std::move(*description), item.revision};
         }
     }
     if (page.more && !page.items.empty()) {
@@ -74,8 +75,9 @@
 }
 
 void JobWatcher::on_loaded(PartialLoad complete) {
-    const auto before = std::exchange(open_, std::move(complete.jobs));
-    // Read page by page, a job may have ended since its page; a terminal state never changes.
+    const auto previous = std::exchange(open_, std::move(complete.jobs));
+    // A job may have ended after its page was read. Those with a cached terminal state, which never
+    // changes, are removed.
     std::erase_if(open_, [&](const auto& job) { return terminal_states_.contains(job.first); });
     revision_ = complete.revision;
     read_at_ = std::max(read_at_, load_sent_at_);
@@ -85,14 +87,14 @@
     loading_ = false;
     if (listener_) {
         for (const auto& [job_id, job] : open_) listener_->on_open(job.description, job.revision);
-        for (const auto& [job_id, job] : before) {
+        for (const auto& [job_id, job] : previous) {
             if (!open_.contains(job_id)) listener_->on_terminal(job_id, TerminalState::Aborted);
         }
     }
-    serve_waiting();
+    process_waiting_refreshes();
 }
 
-// The state service has forgotten changes that the copy needs.
+// Called when the state service no longer has all changes since the copy's revision.
 void JobWatcher::reload() {
     if (loading_) return;
     loaded_ = false;
@@ -102,51 +104,52 @@
 // ---- refreshes ----
 
 void JobWatcher::refresh(OnRefreshed done) {
-    if (!store_.responsive() || waiting_.size() >= kMaxWaiting) {
+    if (!store_.responsive() || waiting_refreshes_.size() >= kMaxWaitingRefreshes) {
         runtime_.after(0, [done = std::move(done)] { done(false); });
         return;
     }
-    waiting_.push_back(std::move(done));
-    serve_waiting();
+    waiting_refreshes_.push_back(std::move(done));
+    process_waiting_refreshes();
 }
 
-void JobWatcher::serve_waiting() {
-    if (waiting_.empty()) return;
+void JobWatcher::process_waiting_refreshes() {
+    if (waiting_refreshes_.empty()) return;
     if (!loaded_) {
-        for (const auto& done : std::exchange(waiting_, {})) done(false);
+        for (const auto& done : std::exchange(waiting_refreshes_, {})) done(false);
         return;
     }
     if (refresh_in_flight_ || refresh_scheduled_) return;
     const auto since_last = runtime_.now() - refresh_sent_at_;
-    if (since_last >= kRefreshSpacing) return send_refresh();
+    if (since_last >= kRefreshIntervalMs) return send_refresh();
     refresh_scheduled_ = true;
-    runtime_.after(kRefreshSpacing - since_last, [this] {
+    runtime_.after(kRefreshIntervalMs - since_last, [this] {
         refresh_scheduled_ = false;
-        serve_waiting();
+        process_waiting_refreshes();
     });
 }
 
 void JobWatcher::send_refresh() {
     refresh_in_flight_ = true;
     refresh_sent_at_ = runtime_.now();
-    store_.watch(store::RequestPriority::Read, kWatchedPrefix, revision_, 0,
-                 [this, sent_at = refresh_sent_at_, waiting = std::exchange(waiting_, {})](
-                     store::Outcome outcome, const wire::ItemPage& page) {
-                     refresh_in_flight_ = false;
-                     const bool fresh = outcome == store::Outcome::Ok;
-                     if (fresh) apply(page, sent_at);
-                     if (outcome == store::Outcome::Missing) reload();
-                     for (const auto& done : waiting) done(fresh);
-                     serve_waiting();
-                 });
+    store_.watch(
+        store::RequestPriority::Read, kWatchedPrefix, revision_, 0,
+        [this, sent_at = refresh_sent_at_, callbacks = std::exchange(waiting_refreshes_, {})](
+            store::Outcome outcome, const wire::ItemPage& page) {
+            refresh_in_flight_ = false;
+            const bool fresh = outcome == store::Outcome::Ok;
+            if (fresh) apply(page, sent_at);
+            if (outcome == store::Outcome::Missing) reload();
+            for (const auto& done : callbacks) done(fresh);
+            process_waiting_refreshes();
+        });
 }
 
-void JobWatcher::keep_within_history() {
-    runtime_.after(kIdleCheckInterval, [this] {
-        const bool idle =
-            !refresh_in_flight_ && waiting_.empty() && runtime_.now() - refresh_sent_at_ > kMaxIdle;
+void JobWatcher::refresh_when_idle() {
+    runtime_.after(kIdleCheckIntervalMs, [this] {
+        const bool idle = !refresh_in_flight_ && waiting_refreshes_.empty() &&
+                          runtime_.now() - refresh_sent_at_ > kMaxIdleMs;
         if (loaded_ && idle) refresh([](bool) {});
-        keep_within_history();
+        refresh_when_idle();
     });
 }
 
@@ -154,25 +157,25 @@
 
 void JobWatcher::start_watching(Listener listener) {
     listener_ = std::move(listener);
-    ++watch_number_;
+    ++watch_generation_;
     watch_next();
 }
 
 void JobWatcher::stop_watching() {
     listener_.reset();
-    ++watch_number_;
+    ++watch_generation_;
 }
 
 void JobWatcher::watch_next() {
-    store_.watch(store::RequestPriority::Place, kWatchedPrefix, revision_, kWatchBlock,
-                 [this, number = watch_number_, sent_at = runtime_.now()](
+    store_.watch(store::RequestPriority::Place, kWatchedPrefix, revision_, kWatchBlockMs,
+                 [this, generation = watch_generation_, sent_at = runtime_.now()](
                      store::Outcome outcome, const wire::ItemPage& page) {
-                     if (number != watch_number_) return;
+                     if (generation != watch_generation_) return;
                      const bool ok = outcome == store::Outcome::Ok;
                      if (ok) apply(page, sent_at);
                      if (outcome == store::Outcome::Missing) reload();
-                     runtime_.after(ok ? kWatchPause : kWatchRetryDelay, [this, number] {
-                         if (number == watch_number_) watch_next();
+                     runtime_.after(ok ? kWatchPauseMs : kWatchRetryDelayMs, [this, generation] {
+                         if (generation == watch_generation_) watch_next();
                      });
                  });
 }
@@ -198,29 +201,29 @@
         open_.erase(job_id);
         return;
     }
-    // An answer of the state service can arrive after a peer's announcement of what followed it.
+    // This change may be older than a cancellation that a peer has already announced.
     if (terminal_states_.contains(job_id)) return;
-    if (auto text = wire::parse_job_value(job_id, item.value)) {
-        if (listener_) listener_->on_open(*text, item.revision);
-        open_[job_id] = {std::move(*text), item.revision};
+    if (auto description = wire::parse_job_value(job_id, item.value)) {
+        if (listener_) listener_->on_open(*description, item.revision);
+        open_[job_id] = {std::move(*description), item.revision};
     }
 }
 
 void JobWatcher::apply_terminal_state(const wire::Item& item) {
     if (item.value.empty()) return;
     const auto job_id = item.key.substr(keys::kTerminalStates.size());
-    if (const auto over = wire::parse_terminal_state_value(job_id, item.value)) {
-        const auto state = over->aborted ? TerminalState::Aborted : TerminalState::Done;
+    if (const auto stored = wire::parse_terminal_state_value(job_id, item.value)) {
+        const auto state = stored->aborted ? TerminalState::Aborted : TerminalState::Done;
         record_terminal_state(job_id, state, item.revision);
         end_job(job_id, state);
     }
 }
 
-void JobWatcher::on_open_written(const core::JobDescription& text, std::uint64_t revision) {
-    // A read may have brought this, and what came after it, already.
-    if (revision <= revision_ || terminal_states_.contains(text.id)) return;
-    open_[text.id] = {text, revision};
-    if (listener_) listener_->on_open(text, revision);
+void JobWatcher::on_open_written(const core::JobDescription& description, std::uint64_t revision) {
+    // A read may already have delivered this change and later ones.
+    if (revision <= revision_ || terminal_states_.contains(description.id)) return;
+    open_[description.id] = {description, revision};
+    if (listener_) listener_->on_open(description, revision);
 }
 
 void JobWatcher::on_terminal_state_written(const std::string& job_id, TerminalState state,
@@ -231,7 +234,7 @@
 }
 
 void JobWatcher::on_peer_cancellation(const wire::Cancellation& cancellation) {
-    // A terminal state never changes, so it is true whichever peer sends it.
+    // Terminal states never change, so an announcement is valid whichever peer sends it.
     if (record_terminal_state(cancellation.id, TerminalState::Aborted, cancellation.revision)) {
         end_job(cancellation.id, TerminalState::Aborted);
     }
@@ -257,23 +260,23 @@
 // ---- terminal states of jobs that are not open ----
 
 void JobWatcher::read_terminal_state(const std::string& job_id, OnTerminalState done) {
-    auto [lookup, first] = lookups_.try_emplace(job_id);
-    lookup->second.push_back(std::move(done));
+    auto [entry, first] = lookups_.try_emplace(job_id);
+    entry->second.push_back(std::move(done));
     if (!first) return;
     store_.get(store::RequestPriority::Read, keys::terminal_state(job_id),
                [this, job_id](store::Outcome outcome, const wire::Item& item) {
                    tl::expected<TerminalState, LookupError> result = tl::unexpected(
                        outcome == store::Outcome::Missing ? LookupError::NotFound
                                                           : LookupError::Unavailable);
-                   const auto over = outcome == store::Outcome::Ok
-                                         ? wire::parse_terminal_state_value(job_id, item.value)
-                                         : std::nullopt;
-                   if (over) {
-                       result = over->aborted ? TerminalState::Aborted : TerminalState::Done;
+                   const auto stored = outcome == store::Outcome::Ok
+                                           ? wire::parse_terminal_state_value(job_id, item.value)
+                                           : std::nullopt;
+                   if (stored) {
+                       result = stored->aborted ? TerminalState::Aborted : TerminalState::Done;
                        record_terminal_state(job_id, *result, item.revision);
                    }
-                   const auto waiting = lookups_.extract(job_id);
-                   for (const auto& callback : waiting.mapped()) callback(result);
+                   const auto lookup = lookups_.extract(job_id);
+                   for (const auto& callback : lookup.mapped()) callback(result);
                });
 }
 
--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -1,4 +1,4 @@
-// This node's copy of the open jobs, kept up to date from the state service.
+// A local copy of the open jobs that follows the changes in the state service.
 #pragma once
 
 #include <cstdint>
@@ -23,95 +23,105 @@
 
 /// Why the terminal state of a job could not be read.
 enum class LookupError : std::uint8_t {
-    NotFound,     ///< the state service has none: the job is open, or never existed
-    Unavailable,  ///< no usable answer
+    NotFound,     ///< none is stored: the job is open or was never accepted
+    Unavailable,  ///< the state service gave no usable answer
 };
 
-/// The open jobs and the terminal states that this node knows, without asking anyone.
+/// Keeps a local copy of the open jobs and a cache of terminal states, which are looked up without
+/// a request to the state service.
 ///
-/// Freshness: the copy may be old at any time. The state service is linearizable and answers a
-/// read with all changes up to the revision that it gives, so a read that is sent after a moment
-/// contains everything applied before it. refresh() sends such a read and calls back after its
-/// answer is applied. So no user gets an answer that is older than one given before by any node.
-/// A job leaves "open/" and gets its "over/" key in one transaction; a job that was once accepted
-/// and is not in a fresh copy therefore has a terminal state.
+/// Freshness: the copy may be out of date at any time. The state service is linearizable: a read
+/// returns all changes up to its revision, so it contains every change that was applied before the
+/// read was sent. refresh() sends a read and calls back once its answer is applied. An answer given
+/// after a refresh is therefore never older than an earlier answer of any node.
 ///
-/// All methods are called, and call back, on the event loop's thread.
+/// One transaction removes a job's "open/" key and writes its "over/" key. An accepted job that is
+/// missing from a fresh copy therefore has a terminal state.
+///
+/// Loop thread only; callbacks run on that thread too.
 class JobWatcher {
   public:
-    /// An open job as stored.
+    /// An open job as read from the state service.
     struct OpenJob {
-        core::JobDescription description;  ///< its description
-        std::uint64_t revision = 0;        ///< of its key, the condition of later transactions
+        core::JobDescription description;  ///< the job as submitted
+        /// Revision of its key; transactions that change the job are conditional on it.
+        std::uint64_t revision = 0;
     };
-    /// Gets every change while a leader is active. Called while the copy is being updated.
+    /// Callbacks for the changes of jobs while this node leads. They run during an update, so the
+    /// copy may be incomplete.
     struct Listener {
-        /// A job is open; may repeat a job that is known. Arguments: description, revision.
+        /// A job is open; may be called again for the same job. Arguments: description and revision
+        /// of its key.
         std::function<void(const core::JobDescription&, std::uint64_t)> on_open;
-        /// A job has ended; may repeat. If only its absence is known, Aborted is given: its tasks
-        /// have to end either way.
+        /// A job has ended; may be called again for the same job. Aborted also stands for a job
+        /// that is missing from a full read, whose terminal state is unknown: its tasks have to be
+        /// stopped in either case.
         std::function<void(const std::string& job_id, TerminalState)> on_terminal;
     };
-    /// Gets true once a fresh copy is applied, false if none can be had soon.
+    /// Gets true once the copy is fresh, or false if it cannot be refreshed now.
     using OnRefreshed = std::function<void(bool fresh)>;
-    /// Gets a terminal state that was read from the state service.
+    /// Gets the terminal state of a job as read from the state service, or the error.
     using OnTerminalState = std::function<void(const tl::expected<TerminalState, LookupError>&)>;
-    /// Gets a cancellation that this node has stored.
+    /// Gets each cancellation that this node has stored.
     using OnCancellation = std::function<void(const wire::Cancellation&)>;
 
-    /// Both references have to outlive the watcher.
+    /// Both references must outlive the watcher.
     JobWatcher(net::Runtime& runtime, store::StoreClient& store);
-    /// Reads all open jobs and keeps the copy within what the state service remembers of changes.
+    /// Reads all open jobs, then refreshes the copy regularly, before the state service discards
+    /// the changes since the copy's revision.
     void start();
 
-    /// Calls back once everything that the state service had applied when this was called is in
-    /// the copy. Calls in quick succession share one read. Never calls back from inside, unless
-    /// the copy is not loaded.
+    /// Calls back once the copy contains all changes that the state service had applied before
+    /// this call. Calls in quick succession share one read. `done` is called from inside this call
+    /// only if the copy is not loaded.
     void refresh(OnRefreshed done);
-    /// Whether the copy is complete as of some revision.
+    /// Whether the copy contains all jobs that were open at revision().
     [[nodiscard]] bool loaded() const { return loaded_; }
-    /// Whether it has been complete since the start of the process.
+    /// Whether the copy has been loaded at least once since the process started.
     [[nodiscard]] bool ever_loaded() const { return ever_loaded_; }
-    /// The open job of this id, or nullptr. Valid until the next callback.
+    /// The open job with this id, or nullptr. Valid until the next update of the copy.
     [[nodiscard]] const OpenJob* find_open(const std::string& job_id) const;
-    /// The terminal state of a job, if this node has it cached.
+    /// The terminal state of a job, if it is cached.
     [[nodiscard]] std::optional<TerminalState> terminal_state(const std::string& job_id) const {
         return terminal_states_.find(job_id);
     }
-    /// The open jobs by id.
+    /// All open jobs, by id.
     [[nodiscard]] const std::map<std::string, OpenJob>& open_jobs() const { return open_; }
-    /// The revision that the copy has reached.
+    /// The revision of the state service up to which changes are applied to the copy.
     [[nodiscard]] std::uint64_t revision() const { return revision_; }
-    /// When the newest read was sent that is applied to the copy (steady clock); 0: none yet.
+    /// Send time (steady clock) of the newest read that is applied to the copy; 0: none yet. The
+    /// copy contains all changes up to this time.
     [[nodiscard]] Millis read_at() const { return read_at_; }
 
-    /// This node has stored a new job at `revision`.
-    void on_open_written(const core::JobDescription& text, std::uint64_t revision);
-    /// This node has stored a terminal state at `revision`.
+    /// Adds a job that this node has stored at `revision`.
+    void on_open_written(const core::JobDescription& description, std::uint64_t revision);
+    /// Records a terminal state that this node has stored at `revision`.
     void on_terminal_state_written(const std::string& job_id, TerminalState state,
                                    std::uint64_t revision);
-    /// A peer has announced a cancellation.
+    /// Records a cancellation that a peer has announced.
     void on_peer_cancellation(const wire::Cancellation& cancellation);
-    /// Sets who gets the cancellations that this node stores, to announce them to its peers.
+    /// Sets the callback for cancellations that this node stores; it announces them to the peers.
     void set_cancellation_listener(OnCancellation on_cancellation) {
         on_cancellation_ = std::move(on_cancellation);
     }
-    /// The cancellations that this node knows, for peers that cannot read the state service.
+    /// The newest known cancellations, for peers that cannot read the state service.
     [[nodiscard]] const CancellationLog& cancellations() const { return cancellations_; }
 
-    /// Reads the terminal state of a job that is not open from the state service.
+    /// Reads the terminal state of a job from the state service. Concurrent reads for the same job
+    /// share one request.
     void read_terminal_state(const std::string& job_id, OnTerminalState done);
 
-    /// Watches for changes at once instead of on request, and reports them to the listener.
+    /// Follows changes continuously by long polling, in addition to refresh(), and reports them to
+    /// the listener.
     void start_watching(Listener listener);
-    /// Ends start_watching(); the listener is not called any more.
+    /// Stops following changes; the listener is not called any more.
     void stop_watching();
 
   private:
-    /// Open jobs read page by page.
+    /// The open jobs read so far by a load, page by page.
     struct PartialLoad {
         std::map<std::string, OpenJob> jobs;
-        std::uint64_t revision = 0;  // of the first page; 0: none yet
+        std::uint64_t revision = 0;  // of the first page; 0: no page read yet
     };
     void load();
     void load_page(const std::string& after_key, PartialLoad so_far);
@@ -119,8 +129,8 @@
     void on_loaded(PartialLoad complete);
     void reload();
 
-    void keep_within_history();
-    void serve_waiting();
+    void refresh_when_idle();
+    void process_waiting_refreshes();
     void send_refresh();
 
     void watch_next();
@@ -145,15 +155,15 @@
     CancellationLog cancellations_;
     OnCancellation on_cancellation_;
 
-    std::vector<OnRefreshed> waiting_;
+    std::vector<OnRefreshed> waiting_refreshes_;
     bool refresh_in_flight_ = false;
     bool refresh_scheduled_ = false;
     Millis refresh_sent_at_;
 
     std::optional<Listener> listener_;
-    std::uint64_t watch_number_ = 0;  // tells callbacks of an earlier start_watching() apart
+    std::uint64_t watch_generation_ = 0;  // to ignore answers to earlier watches
 
-    std::unordered_map<std::string, std::vector<OnTerminalState>> lookups_;  // in flight, by job
+    std::unordered_map<std::string, std::vector<OnTerminalState>> lookups_;  // in flight, by job id
 };
 
 }  // namespace lichendrift::control
