--- a/src/control/submission_batcher.cpp
+++ b/src/control/submission_batcher.cpp
@@ -1,4 +1,4 @@
-// Stores submitted jobs, several in one transaction.
+// Writes submitted jobs to the state service, several in one transaction.
 #include "control/submission_batcher.h"
 
 #include <algorithm>
@@ -15,15 +15,16 @@
 namespace keys = core::keys;
 
 constexpr std::size_t kMaxQueued = 300;
-constexpr std::size_t kMaxDuplicates = 8;  // of one job, beside the first
+constexpr std::size_t kMaxDuplicates = 8;  // of one job, not counting the first
 constexpr int kMaxBatchesInFlight = 2;
 constexpr std::size_t kMaxBatchBytes = 40'000;
-constexpr std::size_t kBytesBesideValue = 200;  // of a submission in a transaction, about
+constexpr std::size_t kSubmissionOverheadBytes = 200;  // approximate; beside its value
 
-// The terminal state may be stored with the description, and has to fit as well.
+// Reserved in each value: a terminal state may be stored together with the description, within the
+// same limit.
 constexpr std::size_t kTerminalStateBytes = 32;
 
-bool names_job(const std::vector<std::string>& failed_keys, const std::string& job_id) {
+bool contains_key_of_job(const std::vector<std::string>& failed_keys, const std::string& job_id) {
     const auto open_key = keys::open_job(job_id);
     const auto terminal_key = keys::terminal_state(job_id);
     return std::any_of(failed_keys.begin(), failed_keys.end(),
@@ -46,14 +47,14 @@
     }
     if (queue_.size() >= kMaxQueued) return tl::unexpected(EnqueueError::QueueFull);
     auto value = wire::job_value(job);
-    if (!fits(value)) return tl::unexpected(EnqueueError::TooLarge);
+    if (!fits_value_limit(value)) return tl::unexpected(EnqueueError::TooLarge);
     callbacks_[job.id].push_back(std::move(done));
     queue_.push_back({std::move(job), std::move(value)});
     send_batches();
     return {};
 }
 
-bool SubmissionBatcher::fits(const std::string& value) const {
+bool SubmissionBatcher::fits_value_limit(const std::string& value) const {
     return value.size() + kTerminalStateBytes <= store_.max_value_bytes();
 }
 
@@ -81,7 +82,7 @@
         batch.conditions.push_back({open_key, 0});
         batch.conditions.push_back({keys::terminal_state(next.job.id), 0});
         batch.changes.push_back({open_key, next.value, 0});
-        bytes += next.value.size() + kBytesBesideValue;
+        bytes += next.value.size() + kSubmissionOverheadBytes;
         batch.submissions.push_back(std::move(next));
         queue_.pop_front();
     }
@@ -94,12 +95,13 @@
         if (result.outcome == store::Outcome::Ok) {
             job_watcher_.on_open_written(submission.job, result.revision);
             finish(submission, SubmissionResult::Created);
-        } else if (names_job(result.failed, submission.job.id)) {
+        } else if (contains_key_of_job(result.failed, submission.job.id)) {
             finish(submission, SubmissionResult::AlreadyKnown);
         } else if (result.outcome == store::Outcome::Conflict) {
-            // Only another job of the batch was known already.
+            // Another job of the batch caused the conflict. This one is sent again.
             queue_.push_front(std::move(submission));
-        } else if (result.outcome == store::Outcome::Rejected && !fits(submission.value)) {
+        } else if (result.outcome == store::Outcome::Rejected &&
+                   !fits_value_limit(submission.value)) {
             finish(submission, SubmissionResult::TooLarge);
         } else {
             finish(submission, SubmissionResult::Unavailable);
@@ -108,8 +110,8 @@
 }
 
 void SubmissionBatcher::finish(const Submission& submission, SubmissionResult result) {
-    const auto waiting = callbacks_.extract(submission.job.id);
-    for (const auto& done : waiting.mapped()) {
+    const auto callbacks = callbacks_.extract(submission.job.id);
+    for (const auto& done : callbacks.mapped()) {
         done(result);
         if (result == SubmissionResult::Created) result = SubmissionResult::Duplicate;
     }
--- a/src/control/submission_batcher.h
+++ b/src/control/submission_batcher.h
@@ -1,4 +1,4 @@
-// Stores submitted jobs, several in one transaction.
+// Writes submitted jobs to the state service, several in one transaction.
 #pragma once
 
 #include <cstdint>
@@ -18,44 +18,45 @@
 /// How an attempt to store a submission ended.
 enum class SubmissionResult : std::uint8_t {
     Created,       ///< stored for this submission
-    Duplicate,     ///< stored for an earlier submission of the same job, at the same time
-    AlreadyKnown,  ///< the state service knew the job before
-    TooLarge,      ///< not stored: its description does not fit into a value
-    Unavailable,   ///< no usable answer; it may have been stored
+    Duplicate,     ///< stored for a concurrent earlier submission of the same job
+    AlreadyKnown,  ///< not stored: the job already had a key in the state service
+    TooLarge,      ///< not stored: the description exceeds the state service's value limit
+    Unavailable,   ///< no usable answer from the state service; the job may have been stored
 };
 
 /// Why a submission was not queued.
 enum class EnqueueError : std::uint8_t {
-    TooManyDuplicates,  ///< many submissions of the same job wait already
-    QueueFull,          ///< many jobs wait already
-    TooLarge,           ///< its description does not fit into a value
+    TooManyDuplicates,  ///< the limit of waiting submissions of the same job is reached
+    QueueFull,          ///< the limit of queued jobs is reached
+    TooLarge,           ///< the description exceeds the state service's value limit
 };
 
-/// Queues submitted jobs and writes them to the state service in batches, each job on the
-/// condition that neither its "open/" nor its "over/" key exists. A submission of a job that is
-/// queued or in flight already waits for that one's result. Few batches are in flight at once.
+/// Queues submitted jobs and writes them to the state service in batches, on the condition that
+/// neither the "open/" nor the "over/" key of any job in the batch exists. A repeated submission of
+/// a job that is queued or in flight is not written again; it waits for the first one's result. The
+/// number of batches in flight is limited.
 class SubmissionBatcher {
   public:
-    /// Called once for each submission that was queued, after the job watcher knows of the job.
+    /// Called once for each queued submission; for a stored job, after the job watcher has it.
     using OnResult = std::function<void(SubmissionResult)>;
 
-    /// Both references have to outlive the batcher.
+    /// Both references must outlive the batcher.
     SubmissionBatcher(store::StoreClient& store, JobWatcher& job_watcher);
 
-    /// Queues a job. On an error `done` is not called.
+    /// Queues a job for writing. On an error `done` is not called.
     tl::expected<void, EnqueueError> enqueue(core::JobDescription job, OnResult done);
 
   private:
     struct Submission {
         core::JobDescription job;
-        std::string value;  // as stored
+        std::string value;  // the serialized job
     };
     struct Batch {
         std::vector<Submission> submissions;
         std::vector<wire::Condition> conditions;
         std::vector<wire::Change> changes;
     };
-    [[nodiscard]] bool fits(const std::string& value) const;
+    [[nodiscard]] bool fits_value_limit(const std::string& value) const;
     void send_batches();
     Batch take_batch();
     void on_batch_result(std::vector<Submission> batch, const store::TransactionResult& result);
@@ -64,7 +65,7 @@
     store::StoreClient& store_;
     JobWatcher& job_watcher_;
     std::deque<Submission> queue_;
-    // By job, of those queued or in flight: whom to call, the one that stores it first.
+    // The callbacks of all queued or in-flight jobs, by job id, in order of submission.
     std::unordered_map<std::string, std::vector<OnResult>> callbacks_;
     int batches_in_flight_ = 0;
 };
