--- a/src/control/feasibility.h
+++ b/src/control/feasibility.h
@@ -1,4 +1,4 @@
-// Whether a submitted job could ever run.
+// Checks whether a submitted job can ever run.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 enum class InfeasibleReason : std::uint8_t {
     UnknownTeam,        ///< its team is not in the settings
     NoMachineTypeFits,  ///< no allowed machine type has room for one of its tasks
-    TeamLimitExceeded,  ///< what has to run at once is more than the team's limit
+    TeamLimitExceeded,  ///< the tasks that must run concurrently exceed the team's limit
 };
 
-/// The reason as users get it in an answer with status 422.
+/// The reason as text for the user, sent with status 422.
 [[nodiscard]] std::string_view text(InfeasibleReason reason);
 
-/// Whether the job could run on an otherwise empty cluster of these machine types. A gang and a
-/// service count whole against their team's limit, of an array only one task.
+/// Checks whether the job could run on an otherwise empty cluster of these machine types. All tasks
+/// of a gang or a service count against the team's limit together; of an array job, one task.
 [[nodiscard]] tl::expected<void, InfeasibleReason> check_feasibility(
     const core::JobDescription& job, const std::vector<core::Team>& teams,
     const std::vector<core::MachineType>& types);
