--- a/src/control/terminal_state_cache.h
+++ b/src/control/terminal_state_cache.h
@@ -10,11 +10,12 @@
 
 namespace lichendrift::control {
 
-/// Terminal states that this node has learned of, the oldest forgotten first. An entry needs no
-/// refresh, as a terminal state never changes; a missing one says nothing about the job.
+/// Caches the terminal states that this node has learned of and evicts the oldest first. Entries
+/// never become stale, because a terminal state never changes. A missing entry means nothing: the
+/// job may still have a terminal state.
 class TerminalStateCache {
   public:
-    /// Adds the terminal state of a job. Returns false, and changes nothing, if one is known.
+    /// Adds the terminal state of a job. Returns false, and changes nothing, if one is cached.
     bool insert(const std::string& job_id, TerminalState state);
     /// The terminal state of a job, if it is cached.
     [[nodiscard]] std::optional<TerminalState> find(const std::string& job_id) const;
