--- a/src/control/submission_batcher.cpp
+++ b/src/control/submission_batcher.cpp
@@ -18,7 +18,8 @@
 constexpr std::size_t kMaxDuplicates = 8;  // of one job, not counting the first
 constexpr int kMaxBatchesInFlight = 2;
 constexpr std::size_t kMaxBatchBytes = 40'000;
-constexpr std::size_t kSubmissionOverheadBytes = 200;  // approximate; beside its value
+// Approximate size of a submission in a transaction, beside its value.
+constexpr std::size_t kSubmissionOverheadBytes = 200;
 
 // Reserved in each value: a terminal state may be stored together with the description, within the
 // same limit.
