--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -1,4 +1,4 @@
-// The operators' policy: what a policy file decides, the built-in policy for the rest.
+// The operators' policy: the settings of a policy file, or the built-in ones where it sets none.
 #include "control/policy.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool within(const PolicyRange& range, double value) {
+bool is_in_range(const PolicyRange& range, double value) {
     return std::isfinite(value) && value >= range.minimum && value <= range.maximum;
 }
 
@@ -25,11 +25,11 @@
     for (auto& assignment : built_in.value()) {
         settings_[assignment.setting].built_in = std::move(assignment.program);
     }
-    auto own = policy::compile(file, policy_settings());
-    if (!own) return;
-    for (auto& assignment : *own) {
-        settings_[assignment.setting].own = std::move(assignment.program);
-        settings_[assignment.setting].has_own = true;
+    auto configured = policy::compile(file, policy_settings());
+    if (!configured) return;
+    for (auto& assignment : *configured) {
+        settings_[assignment.setting].configured = std::move(assignment.program);
+        settings_[assignment.setting].is_configured = true;
     }
 }
 
@@ -37,13 +37,13 @@
     const auto index = static_cast<std::size_t>(setting);
     auto& compiled = settings_[index];
     const auto range = policy_range(setting);
-    if (compiled.has_own) {
-        const auto value = compiled.own.evaluate(variables_).number;
-        if (within(range, value)) return value;
+    if (compiled.is_configured) {
+        const auto value = compiled.configured.evaluate(variables_).number;
+        if (is_in_range(range, value)) return value;
         if (!compiled.rejection_reported) {
             compiled.rejection_reported = true;
             rejected_values_.push_back({std::string(policy_settings()[index].name),
-                                        compiled.own.source(), value, range.minimum,
+                                        compiled.configured.source(), value, range.minimum,
                                         range.maximum});
         }
     }
@@ -66,7 +66,7 @@
 }
 
 double OperatorPolicy::starvation_threshold_s(const core::JobFacts& job) {
-    return evaluate_for(PolicySetting::StarvingAfter, job);
+    return evaluate_for(PolicySetting::StarvationThreshold, job);
 }
 
 double OperatorPolicy::order_s(const core::JobFacts& job) {
@@ -74,17 +74,17 @@
 }
 
 double OperatorPolicy::retry_delay_s(const core::JobFacts& job) {
-    return evaluate_for(PolicySetting::RetryAfter, job);
+    return evaluate_for(PolicySetting::RetryDelay, job);
 }
 
 double OperatorPolicy::provision_wait_s(const core::JobFacts& job) {
-    return evaluate_for(PolicySetting::ProvisionPatience, job);
+    return evaluate_for(PolicySetting::ProvisionWait, job);
 }
 
 double OperatorPolicy::on_demand_wait_s(const core::JobFacts& job) {
-    const auto provision_patience = provision_wait_s(job);
-    append_provision_patience(variables_, provision_patience);
-    return std::max(provision_patience, evaluate(PolicySetting::OnDemandPatience));
+    const auto wait_s = provision_wait_s(job);
+    append_provision_wait(variables_, wait_s);
+    return std::max(wait_s, evaluate(PolicySetting::OnDemandWait));
 }
 
 double OperatorPolicy::idle_retention_s(const core::MachineFacts& machine,
@@ -92,11 +92,11 @@
     variables_.clear();
     append_variables(variables_, fleet);
     append_variables(variables_, machine);
-    return evaluate(PolicySetting::IdleKeep);
+    return evaluate(PolicySetting::IdleRetention);
 }
 
 double OperatorPolicy::heartbeat_timeout_s(const core::FleetFacts& fleet) {
-    return evaluate_for(PolicySetting::SilentPatience, fleet);
+    return evaluate_for(PolicySetting::HeartbeatTimeout, fleet);
 }
 
 double OperatorPolicy::spare_machines(const core::FleetFacts& fleet) {
@@ -104,7 +104,7 @@
 }
 
 double OperatorPolicy::warm_capacity_s(const core::FleetFacts& fleet) {
-    return evaluate_for(PolicySetting::WarmFor, fleet);
+    return evaluate_for(PolicySetting::WarmCapacity, fleet);
 }
 
 std::vector<events::PolicyValueRejected> OperatorPolicy::take_rejected_values() {
--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -1,4 +1,4 @@
-// The operators' policy: what a policy file decides, the built-in policy for the rest.
+// The operators' policy: the settings of a policy file, or the built-in ones where it sets none.
 #pragma once
 
 #include <string_view>
@@ -10,19 +10,21 @@
 
 namespace lichendrift::control {
 
-/// The core's policy, evaluated from the operators' settings. A value that is not finite or out
-/// of its setting's range is replaced by the built-in policy's and reported once for the setting.
+/// Implements the core's policy by evaluating the operators' settings. A value that is not finite
+/// or outside the range of its setting is replaced by that of the built-in policy. This is reported
+/// once per setting.
 class OperatorPolicy : public core::Policy {
   public:
-    /// The built-in policy as source text.
+    /// The source text of the built-in policy.
     static std::string_view defaults() { return built_in_policy(); }
-    /// All problems of a policy file; empty if it is valid.
+    /// The problems of a policy file's text; empty if it is valid.
     static std::vector<policy::Problem> check(std::string_view file);
 
-    /// Uses the settings of a file that check() found valid; the built-in ones for the rest.
+    /// Uses the settings of a policy file's text, and the built-in ones for the rest. A text in
+    /// which check() finds problems is ignored.
     explicit OperatorPolicy(std::string_view file = "");
 
-    /// The settings `score_...` of a job.
+    /// The settings `score_image` to `score_price` for the job, in points.
     core::Weights weights(const core::JobFacts& job) override;
     /// The setting `starving_after`, in seconds.
     double starvation_threshold_s(const core::JobFacts& job) override;
@@ -43,22 +45,22 @@
     double spare_machines(const core::FleetFacts& fleet) override;
     /// The setting `warm_for`, in seconds.
     double warm_capacity_s(const core::FleetFacts& fleet) override;
-    /// The settings that fell back since the last call, each reported once.
+    /// The values rejected since the last call. Each setting is reported only once.
     std::vector<events::PolicyValueRejected> take_rejected_values() override;
 
   private:
     struct CompiledSetting {
         policy::Program built_in;
-        policy::Program own;  // of the operators' file
-        bool has_own = false;
+        policy::Program configured;  // from the operators' file
+        bool is_configured = false;
         bool rejection_reported = false;
     };
     template <typename Facts>
     double evaluate_for(PolicySetting setting, const Facts& facts);
-    double evaluate(PolicySetting setting);  // with variables_
+    double evaluate(PolicySetting setting);  // uses variables_
 
     std::vector<CompiledSetting> settings_;  // in the order of PolicySetting
-    std::vector<policy::Value> variables_;   // of the evaluation under way; kept for its memory
+    std::vector<policy::Value> variables_;   // of the current evaluation; kept to reuse its memory
     std::vector<events::PolicyValueRejected> rejected_values_;
 };
 
--- a/src/control/policy_settings.cpp
+++ b/src/control/policy_settings.cpp
@@ -1,4 +1,4 @@
-// The settings of the operators' policy: names, types, ranges, and the variables of each.
+// The settings of the operators' policy: name, type, range and variables of each.
 #include "control/policy_settings.h"
 
 #include <array>
@@ -11,33 +11,40 @@
 using policy::Value;
 
 constexpr std::string_view kBuiltInPolicy =
-    R"(# The built-in policy of lichendrift. Copy it, change lines, leave out what should stay as it is,
-# and hand it over with --policy FILE. `lichendrift policy check FILE` says what is wrong with it.
-
-# The score of a machine for a task; the highest wins among those that fit.
-score_image    = 4      # its image is there
-score_fetching = 2      # its image is being fetched there
-score_fetch    = 0.15   # taken off for each second of fetching, for classes that should start soon
-score_warm     = 1.5    # taken off beside the image of such a class, for the others
-score_fit      = 3      # for the tightest fit
-score_price    = 1.5    # taken off for the dearest machine
-
-# Among jobs of equal guarantee and priority: the smallest goes first.
+    R"(# The built-in policy of lichendrift. To change it, copy it to a file, edit the lines
+# concerned and pass it with --policy FILE. Settings that are left out keep their built-in value.
+# `lichendrift policy check FILE` reports errors in the file.
+
+# Score of a machine for a task. Among the machines that fit, the one with the highest score wins.
+score_image    = 4      # added if the machine has the image
+score_fetching = 2      # added if the machine is fetching the image
+score_fetch    = 0.15   # subtracted per second of fetching, for classes with a start objective
+score_warm     = 1.5    # subtracted for other classes if the machine has an image of such a class
+score_fit      = 3      # subtracted times the share of the machine that would stay free
+score_price    = 1.5    # subtracted times the price, as a share of the highest price
+
+# Sort key among jobs of equal guarantee and priority; the smallest goes first.
 order = job.slack
 
-# How long a job waits before it goes first among its equals and claims room.
+# Waiting time after which a job counts as starved: it goes first among jobs of equal guarantee and
+# priority, and machines are reserved for it.
 starving_after = if job.gang then 1min else 2min
 
-# How long a job that failed on several machines waits before the next try.
+# Backoff of a job that failed on several machines, before it is retried.
 retry_after = min(1s * 2 ^ job.failures, 30s)
 
-# A place that comes free that soon needs no new machine; no new ordinary one.
+# If capacity is expected to become free within this time, no machine is provisioned for the job;
+# dear_patience applies to on-demand machines.
 rent_patience = clamp(job.slack * 0.5, 3s, 20s)
 dear_patience = clamp(job.slack * 0.6, job.rent_patience, 1min)
 
-# Machines: how long idle ones are kept, how many are kept beyond that, for how many seconds of
-# arrivals of classes that should start soon places are kept free, and how long a silent one is
-# waited for (a report lost, four seconds for its answer, a second to the next node).
+# Machines.
+# idle_keep: time after which an idle machine is released.
+# spare_machines: number of idle machines that are kept beyond that time.
+# warm_for: seconds of expected arrivals, of classes with a start objective, for which capacity is
+# kept free.
+# silent_patience: time without a heartbeat after which a machine counts as silent. It covers a lost
+# heartbeat, 4 s of waiting for its answer and 1 s until the worker tries the next controller.
 idle_keep       = if machine.spot then 45s else 10s
 spare_machines  = 1
 warm_for        = 20s
@@ -63,7 +70,7 @@
     return "";
 }
 
-// A variable, and how its value is taken from the facts.
+// A policy variable and the function that reads its value from the facts.
 template <typename Facts>
 struct FactVariable {
     policy::Variable variable;
@@ -75,80 +82,82 @@
 using core::MachineFacts;
 
 constexpr std::array kJobVariables = {
-    FactVariable<JobFacts>{{"job.class", Type::Text, "its class"},
+    FactVariable<JobFacts>{{"job.class", Type::Text, "class of the job"},
                            [](const JobFacts& job) { return text(job.cls); }},
-    FactVariable<JobFacts>{{"job.team", Type::Text, "its team"},
+    FactVariable<JobFacts>{{"job.team", Type::Text, "team of the job"},
                            [](const JobFacts& job) { return text(job.team); }},
     FactVariable<JobFacts>{{"job.priority", Type::Text, "low, normal, high or critical"},
                            [](const JobFacts& job) { return text(priority_name(job.priority)); }},
-    FactVariable<JobFacts>{{"job.gang", Type::Boolean, "all its tasks run at once"},
+    FactVariable<JobFacts>{{"job.gang", Type::Boolean, "gang scheduling: all tasks run, or none"},
                            [](const JobFacts& job) { return flag(job.gang); }},
     FactVariable<JobFacts>{{"job.service", Type::Boolean, "its tasks run until it is cancelled"},
                            [](const JobFacts& job) { return flag(job.service); }},
-    FactVariable<JobFacts>{
-        {"job.starts_soon", Type::Boolean, "its class has an objective on starting"},
-        [](const JobFacts& job) { return flag(job.has_start_objective); }},
-    FactVariable<JobFacts>{{"job.spot", Type::Boolean, "it may use spot machines"},
+    FactVariable<JobFacts>{{"job.starts_soon", Type::Boolean, "its class has a start objective"},
+                           [](const JobFacts& job) { return flag(job.has_start_objective); }},
+    FactVariable<JobFacts>{{"job.spot", Type::Boolean, "may run on spot machines"},
                            [](const JobFacts& job) { return flag(job.spot); }},
-    FactVariable<JobFacts>{{"job.guaranteed", Type::Boolean, "it fits into its team's guarantee"},
+    FactVariable<JobFacts>{{"job.guaranteed", Type::Boolean, "within its team's guarantee"},
                            [](const JobFacts& job) { return flag(job.guaranteed); }},
-    FactVariable<JobFacts>{{"job.tasks", Type::Number, "how many tasks it has"},
+    FactVariable<JobFacts>{{"job.tasks", Type::Number, "number of its tasks"},
                            [](const JobFacts& job) { return number(job.tasks); }},
-    FactVariable<JobFacts>{{"job.waiting", Type::Number, "how many of them wait"},
+    FactVariable<JobFacts>{{"job.waiting", Type::Number, "number of its tasks that wait"},
                            [](const JobFacts& job) { return number(job.waiting); }},
-    FactVariable<JobFacts>{{"job.failures", Type::Number, "failed tries since its last success"},
+    FactVariable<JobFacts>{{"job.failures", Type::Number, "failures since its last success"},
                            [](const JobFacts& job) { return number(job.failures); }},
-    FactVariable<JobFacts>{{"job.estimate", Type::Duration, "its owner's estimate of a task's run"},
+    FactVariable<JobFacts>{{"job.estimate", Type::Duration, "estimated run time of a task"},
                            [](const JobFacts& job) { return seconds(job.estimate_s); }},
-    FactVariable<JobFacts>{{"job.checkpoint", Type::Duration, "between its checkpoints; 0s: none"},
-                           [](const JobFacts& job) { return seconds(job.checkpoint_s); }},
     FactVariable<JobFacts>{
-        {"job.slack", Type::Duration, "until the next objective it can meet is missed"},
+        {"job.checkpoint", Type::Duration, "time between checkpoints; 0s: it saves none"},
+        [](const JobFacts& job) { return seconds(job.checkpoint_s); }},
+    FactVariable<JobFacts>{
+        {"job.slack", Type::Duration, "time until the next attainable objective is missed"},
         [](const JobFacts& job) { return seconds(job.slack_s); }},
-    FactVariable<JobFacts>{{"job.waited", Type::Duration, "since it waits"},
+    FactVariable<JobFacts>{{"job.waited", Type::Duration, "time that it has been waiting"},
                            [](const JobFacts& job) { return seconds(job.waited_s); }},
-    FactVariable<JobFacts>{{"job.age", Type::Duration, "since its submission"},
+    FactVariable<JobFacts>{{"job.age", Type::Duration, "time since its submission"},
                            [](const JobFacts& job) { return seconds(job.age_s); }},
 };
 
-constexpr policy::Variable kProvisionPatienceVariable = {"job.rent_patience", Type::Duration,
-                                                         "what rent_patience gives for it"};
+constexpr policy::Variable kProvisionWaitVariable = {"job.rent_patience", Type::Duration,
+                                                     "value of rent_patience for this job"};
 
 constexpr std::array kFleetVariables = {
     FactVariable<FleetFacts>{{"fleet.machines", Type::Number, "machines that are up"},
                              [](const FleetFacts& fleet) { return number(fleet.machines); }},
-    FactVariable<FleetFacts>{{"fleet.idle", Type::Number, "of them, without any task"},
+    FactVariable<FleetFacts>{{"fleet.idle", Type::Number, "machines that are up and run no task"},
                              [](const FleetFacts& fleet) { return number(fleet.idle); }},
-    FactVariable<FleetFacts>{{"fleet.booting", Type::Number, "provisioned and not up yet"},
-                             [](const FleetFacts& fleet) { return number(fleet.booting); }},
+    FactVariable<FleetFacts>{
+        {"fleet.booting", Type::Number, "machines that are provisioned but not up yet"},
+        [](const FleetFacts& fleet) { return number(fleet.booting); }},
     FactVariable<FleetFacts>{{"fleet.waiting", Type::Number, "jobs with tasks that wait"},
                              [](const FleetFacts& fleet) { return number(fleet.waiting); }},
     FactVariable<FleetFacts>{
-        {"fleet.report", Type::Duration, "between two heartbeats of a worker"},
+        {"fleet.report", Type::Duration, "interval between the heartbeats of a worker"},
         [](const FleetFacts& fleet) { return seconds(fleet.heartbeat_interval_s); }},
-    FactVariable<FleetFacts>{{"fleet.lease", Type::Duration, "a worker's lease"},
+    FactVariable<FleetFacts>{{"fleet.lease", Type::Duration, "duration of a worker's lease"},
                              [](const FleetFacts& fleet) { return seconds(fleet.lease_s); }},
 };
 
 constexpr std::array kMachineVariables = {
-    FactVariable<MachineFacts>{{"machine.type", Type::Text, "its type"},
+    FactVariable<MachineFacts>{{"machine.type", Type::Text, "machine type"},
                                [](const MachineFacts& machine) { return text(machine.type); }},
-    FactVariable<MachineFacts>{{"machine.zone", Type::Text, "its zone"},
+    FactVariable<MachineFacts>{{"machine.zone", Type::Text, "zone of the machine"},
                                [](const MachineFacts& machine) { return text(machine.zone); }},
-    FactVariable<MachineFacts>{{"machine.spot", Type::Boolean, "the cloud may take it back"},
-                               [](const MachineFacts& machine) { return flag(machine.spot); }},
-    FactVariable<MachineFacts>{{"machine.hourly", Type::Number, "its price an hour"},
+    FactVariable<MachineFacts>{
+        {"machine.spot", Type::Boolean, "spot machine, which the cloud may reclaim"},
+        [](const MachineFacts& machine) { return flag(machine.spot); }},
+    FactVariable<MachineFacts>{{"machine.hourly", Type::Number, "price per hour"},
                                [](const MachineFacts& machine) { return number(machine.hourly); }},
-    FactVariable<MachineFacts>{{"machine.age", Type::Duration, "since it was provisioned"},
+    FactVariable<MachineFacts>{{"machine.age", Type::Duration, "time since it was provisioned"},
                                [](const MachineFacts& machine) { return seconds(machine.age_s); }},
 };
 
-// The variables that a setting may use.
+// The variables that the expression of a setting may use.
 enum class Scope : std::uint8_t {
-    Job,               // job.*
-    JobWithProvision,  // job.*, with job.rent_patience
-    Fleet,             // fleet.*
-    Machine,           // fleet.* and machine.*
+    Job,                   // job.*
+    JobWithProvisionWait,  // job.*, with job.rent_patience
+    Fleet,                 // fleet.*
+    Machine,               // fleet.* and machine.*
 };
 
 struct SettingRow {
@@ -159,47 +168,51 @@
     Scope scope;
 };
 
-constexpr PolicyRange kScore = {0, 1000};
-constexpr PolicyRange kPatience = {0, 3600};
-constexpr PolicyRange kAnyOrder = {-1e9, 1e9};
-// The largest jobs have to begin within four minutes.
-constexpr PolicyRange kStarvation = {5, 150};
-// A try with its fetch has to come within the 90 s for which nothing may wait beside capacity.
-constexpr PolicyRange kRetry = {0.5, 60};
-constexpr PolicyRange kSpareMachines = {0, 10000};
-constexpr PolicyRange kWarm = {0, 600};
-constexpr PolicyRange kSilence = {2, 600};
+constexpr PolicyRange kScoreRange = {0, 1000};
+constexpr PolicyRange kWaitRange = {0, 3600};
+constexpr PolicyRange kOrderRange = {-1e9, 1e9};
+// Requirement on the service: the largest jobs have to begin within four minutes.
+constexpr PolicyRange kStarvationRange = {5, 150};
+// Requirement on the service: no job may wait for 90 s while capacity that fits it is free. The
+// backoff and the image fetch of the retry have to fit into that time.
+constexpr PolicyRange kRetryRange = {0.5, 60};
+constexpr PolicyRange kSpareMachinesRange = {0, 10000};
+constexpr PolicyRange kWarmCapacityRange = {0, 600};
+constexpr PolicyRange kHeartbeatTimeoutRange = {2, 600};
 
 constexpr std::array kSettings = {
-    SettingRow{PolicySetting::ScoreImage, "score_image", Type::Number, kScore, Scope::Job},
-    SettingRow{PolicySetting::ScoreFetching, "score_fetching", Type::Number, kScore, Scope::Job},
-    SettingRow{PolicySetting::ScoreFetch, "score_fetch", Type::Number, kScore, Scope::Job},
-    SettingRow{PolicySetting::ScoreWarm, "score_warm", Type::Number, kScore, Scope::Job},
-    SettingRow{PolicySetting::ScoreFit, "score_fit", Type::Number, kScore, Scope::Job},
-    SettingRow{PolicySetting::ScorePrice, "score_price", Type::Number, kScore, Scope::Job},
-    SettingRow{PolicySetting::Order, "order", Type::Duration, kAnyOrder, Scope::Job},
-    SettingRow{PolicySetting::StarvingAfter, "starving_after", Type::Duration, kStarvation,
+    SettingRow{PolicySetting::ScoreImage, "score_image", Type::Number, kScoreRange, Scope::Job},
+    SettingRow{PolicySetting::ScoreFetching, "score_fetching", Type::Number, kScoreRange,
                Scope::Job},
-    SettingRow{PolicySetting::RetryAfter, "retry_after", Type::Duration, kRetry, Scope::Job},
-    SettingRow{PolicySetting::ProvisionPatience, "rent_patience", Type::Duration, kPatience,
+    SettingRow{PolicySetting::ScoreFetch, "score_fetch", Type::Number, kScoreRange, Scope::Job},
+    SettingRow{PolicySetting::ScoreWarm, "score_warm", Type::Number, kScoreRange, Scope::Job},
+    SettingRow{PolicySetting::ScoreFit, "score_fit", Type::Number, kScoreRange, Scope::Job},
+    SettingRow{PolicySetting::ScorePrice, "score_price", Type::Number, kScoreRange, Scope::Job},
+    SettingRow{PolicySetting::Order, "order", Type::Duration, kOrderRange, Scope::Job},
+    SettingRow{PolicySetting::StarvationThreshold, "starving_after", Type::Duration,
+               kStarvationRange, Scope::Job},
+    SettingRow{PolicySetting::RetryDelay, "retry_after", Type::Duration, kRetryRange, Scope::Job},
+    SettingRow{PolicySetting::ProvisionWait, "rent_patience", Type::Duration, kWaitRange,
                Scope::Job},
-    SettingRow{PolicySetting::OnDemandPatience, "dear_patience", Type::Duration, kPatience,
-               Scope::JobWithProvision},
-    SettingRow{PolicySetting::IdleKeep, "idle_keep", Type::Duration, kPatience, Scope::Machine},
-    SettingRow{PolicySetting::SpareMachines, "spare_machines", Type::Number, kSpareMachines,
+    SettingRow{PolicySetting::OnDemandWait, "dear_patience", Type::Duration, kWaitRange,
+               Scope::JobWithProvisionWait},
+    SettingRow{PolicySetting::IdleRetention, "idle_keep", Type::Duration, kWaitRange,
+               Scope::Machine},
+    SettingRow{PolicySetting::SpareMachines, "spare_machines", Type::Number, kSpareMachinesRange,
                Scope::Fleet},
-    SettingRow{PolicySetting::WarmFor, "warm_for", Type::Duration, kWarm, Scope::Fleet},
-    SettingRow{PolicySetting::SilentPatience, "silent_patience", Type::Duration, kSilence,
+    SettingRow{PolicySetting::WarmCapacity, "warm_for", Type::Duration, kWarmCapacityRange,
                Scope::Fleet},
+    SettingRow{PolicySetting::HeartbeatTimeout, "silent_patience", Type::Duration,
+               kHeartbeatTimeoutRange, Scope::Fleet},
 };
 
-constexpr bool in_order_of_ids() {
+constexpr bool rows_match_enum_order() {
     for (std::size_t i = 0; i < kSettings.size(); ++i) {
         if (static_cast<std::size_t>(kSettings[i].id) != i) return false;
     }
     return true;
 }
-static_assert(in_order_of_ids());
+static_assert(rows_match_enum_order());
 
 template <typename Table>
 void append_declarations(std::vector<policy::Variable>& out, const Table& table) {
@@ -217,9 +230,9 @@
         case Scope::Job:
             append_declarations(out, kJobVariables);
             break;
-        case Scope::JobWithProvision:
+        case Scope::JobWithProvisionWait:
             append_declarations(out, kJobVariables);
-            out.push_back(kProvisionPatienceVariable);
+            out.push_back(kProvisionWaitVariable);
             break;
         case Scope::Fleet:
             append_declarations(out, kFleetVariables);
@@ -264,8 +277,8 @@
     append_values(out, kMachineVariables, machine);
 }
 
-void append_provision_patience(std::vector<Value>& out, double patience_s) {
-    out.push_back(seconds(patience_s));
+void append_provision_wait(std::vector<Value>& out, double wait_s) {
+    out.push_back(seconds(wait_s));
 }
 
 }  // namespace lichendrift::control
--- a/src/control/policy_settings.h
+++ b/src/control/policy_settings.h
@@ -1,4 +1,4 @@
-// The settings of the operators' policy: names, types, ranges, and the variables of each.
+// The settings of the operators' policy: name, type, range and variables of each.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,49 @@
 
 namespace lichendrift::control {
 
-/// The settings of a policy, in the order of policy_settings().
+/// The settings of a policy, by their name in policy files; in the order of policy_settings().
 enum class PolicySetting : std::uint8_t {
-    ScoreImage,         ///< score_image
-    ScoreFetching,      ///< score_fetching
-    ScoreFetch,         ///< score_fetch
-    ScoreWarm,          ///< score_warm
-    ScoreFit,           ///< score_fit
-    ScorePrice,         ///< score_price
-    Order,              ///< order
-    StarvingAfter,      ///< starving_after
-    RetryAfter,         ///< retry_after
-    ProvisionPatience,  ///< rent_patience
-    OnDemandPatience,   ///< dear_patience
-    IdleKeep,           ///< idle_keep
-    SpareMachines,      ///< spare_machines
-    WarmFor,            ///< warm_for
-    SilentPatience,     ///< silent_patience
+    ScoreImage,           ///< score_image
+    ScoreFetching,        ///< score_fetching
+    ScoreFetch,           ///< score_fetch
+    ScoreWarm,            ///< score_warm
+    ScoreFit,             ///< score_fit
+    ScorePrice,           ///< score_price
+    Order,                ///< order
+    StarvationThreshold,  ///< starving_after
+    RetryDelay,           ///< retry_after
+    ProvisionWait,        ///< rent_patience
+    OnDemandWait,         ///< dear_patience
+    IdleRetention,        ///< idle_keep
+    SpareMachines,        ///< spare_machines
+    WarmCapacity,         ///< warm_for
+    HeartbeatTimeout,     ///< silent_patience
 };
 
-/// The values that a setting may have; durations in seconds.
+/// The allowed values of a setting; durations are in seconds.
 struct PolicyRange {
     double minimum = 0;  ///< the smallest allowed value
     double maximum = 0;  ///< the largest allowed value
 };
 
-/// The built-in policy as source text, which operators copy and edit.
+/// The source text of the built-in policy, which operators can copy and edit.
 [[nodiscard]] std::string_view built_in_policy();
 
-/// Name, type and variables of each setting, in the order of PolicySetting.
+/// The name, type and variables of each setting, in the order of PolicySetting.
 [[nodiscard]] const std::vector<policy::Setting>& policy_settings();
 
-/// The range of a setting.
+/// The allowed values of a setting; a value outside of them is rejected.
 [[nodiscard]] PolicyRange policy_range(PolicySetting setting);
 
-/// Appends the values of the `job.` variables, in the order of a job's settings.
+/// Appends the values of the `job.` variables, in the order in which they are declared.
 void append_variables(std::vector<policy::Value>& out, const core::JobFacts& job);
-/// Appends the values of the `fleet.` variables, in the order of the fleet's settings.
+/// Appends the values of the `fleet.` variables, in the order in which they are declared.
 void append_variables(std::vector<policy::Value>& out, const core::FleetFacts& fleet);
-/// Appends the values of the `machine.` variables, which follow those of the fleet.
+/// Appends the values of the `machine.` variables. They are declared after those of the fleet,
+/// which have to be appended first.
 void append_variables(std::vector<policy::Value>& out, const core::MachineFacts& machine);
-/// Appends the value of `job.rent_patience`, which follows the other variables of the job.
-void append_provision_patience(std::vector<policy::Value>& out, double patience_s);
+/// Appends the value of `job.rent_patience` in seconds. It is declared after the other `job.`
+/// variables, which have to be appended first.
+void append_provision_wait(std::vector<policy::Value>& out, double wait_s);
 
 }  // namespace lichendrift::control
