--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,4 +1,4 @@
-// The users' interface as a new user would try it, bad input included.
+// Tests of the HTTP API for users, with malformed requests and during outages.
 #include <gtest/gtest.h>
 
 #include "simulation/simulation.h"
@@ -41,7 +41,7 @@
     Simulation simulation_;
 };
 
-TEST_F(UserApi, AcceptsOnceAndKnowsRetries) {
+TEST_F(UserApi, CreatesAJobOnceAndAnswersRepeatedSubmissions) {
     EXPECT_EQ(submit(submission()), 201);
     EXPECT_EQ(submit(submission()), 200);
     EXPECT_EQ(get("/v2/runs/job-000001").status, 200);
@@ -73,17 +73,17 @@
         {"\"scadenzaS\":null", "\"scadenzaS\":-5"},
     };
     for (const auto& [from, to] : changes) EXPECT_EQ(submit(submission(from, to)), 400) << to;
-    // Nesting without end must not run the stack out.
+    // Deeply nested input must not overflow the stack.
     EXPECT_EQ(submit(std::string(60'000, '[')), 400);
     EXPECT_EQ(submit(submission()), 201);
 }
 
-TEST_F(UserApi, WhatCanNeverRunGets422) {
+TEST_F(UserApi, InfeasibleJobsGet422) {
     EXPECT_EQ(submit(submission("\"core\"", "\"nobody\"")), 422);
     EXPECT_EQ(submit(submission("\"cpus\":1.0", "\"cpus\":9.0")), 422);
     EXPECT_EQ(submit(submission("\"modelli\":null", "\"modelli\":[\"other\"]")), 422);
     EXPECT_EQ(submit(submission("\"sede\":null", "\"sede\":\"z\"")), 422);
-    // A gang counts whole against its team's limit of 40 CPUs, an array one task.
+    // All tasks of a gang count against the team's limit of 40 CPUs; of an array job, one task.
     auto gang = submission("\"prove\":2", "\"prove\":41");
     EXPECT_EQ(submit(gang), 201);
     gang.replace(gang.find("sweep"), 5, "ensemble");
@@ -91,7 +91,7 @@
     EXPECT_EQ(submit(gang), 422);
 }
 
-TEST_F(UserApi, PathsAndMethods) {
+TEST_F(UserApi, UnknownPathsGet404AndWrongMethodsGet405) {
     EXPECT_EQ(get("/nothing").status, 404);
     EXPECT_EQ(get("/v2/runs").status, 405);
     EXPECT_EQ(get("/v2/runs/job-000001/cancel").status, 405);
@@ -100,14 +100,14 @@
     EXPECT_EQ(get("/healthz").status, 200);
 }
 
-TEST_F(UserApi, MalformedBeatsGet400AndChangeNothing) {
+TEST_F(UserApi, MalformedHeartbeatsGet400AndChangeNothing) {
     for (const char* body : {"", "{}", "[]", R"({"banco":1})"}) {
         EXPECT_EQ(simulation_.ask(0, {"POST", "/agent/beat", body}).status, 400) << body;
     }
     EXPECT_EQ(simulation_.broken(), "");
 }
 
-TEST_F(UserApi, CancelIsFinalOnEveryNode) {
+TEST_F(UserApi, CancellationIsFinalOnEveryNode) {
     EXPECT_EQ(submit(submission()), 201);
     const auto reply = simulation_.ask(2, {"POST", "/v2/runs/job-000001/cancel", ""});
     EXPECT_EQ(reply.status, 200);
@@ -119,9 +119,9 @@
     EXPECT_EQ(simulation_.ask(0, {"POST", "/v2/runs/job-000077/cancel", ""}).status, 404);
 }
 
-TEST_F(UserApi, RetryOfAJobThatIsLongOver) {
+TEST_F(UserApi, RepeatedSubmissionOfACompletedJobAnswersDoneAfterRestarts) {
     EXPECT_EQ(submit(submission()), 201);
-    // The worker model runs what its users have told it of.
+    // The simulated workers run only jobs that the simulation has in its list.
     Job j;
     j.id = "job-000001";
     j.count = 2;
@@ -138,7 +138,7 @@
     EXPECT_EQ(simulation_.broken(), "");
 }
 
-TEST_F(UserApi, NodeThatTheStateServiceRefusesAlonePassesRequestsOn) {
+TEST_F(UserApi, SingleNodeRefusedByTheStateServiceForwardsRequests) {
     const auto leader = simulation_.leader();
     ASSERT_TRUE(leader);
     const auto other = (*leader + 1) % 3;
@@ -146,7 +146,7 @@
     simulation_.advance(simulation_.now() + 6000);
     EXPECT_EQ(simulation_.ask(other, {"POST", "/v2/runs", submission()}).status, 201);
     EXPECT_EQ(get("/v2/runs/job-000001", other).status, 200);
-    // It serves users, so it stays in turn; also when it restarts meanwhile.
+    // It forwards requests, so it stays in rotation, even after a restart during the refusal.
     EXPECT_EQ(get("/healthz", other).status, 200);
     simulation_.crash(other, 300);
     simulation_.advance(simulation_.now() + 3000);
@@ -154,7 +154,7 @@
     EXPECT_EQ(get("/v2/runs/job-000001", other).status, 200);
 }
 
-TEST_F(UserApi, NodeCutFromStateServiceAndSiblingsLeavesTheTurn) {
+TEST_F(UserApi, NodeCutOffFromStateServiceAndPeersIsUnhealthy) {
     const auto leader = simulation_.leader();
     ASSERT_TRUE(leader);
     const auto other = (*leader + 1) % 3;
@@ -166,10 +166,11 @@
     EXPECT_EQ(get("/healthz", other).status, 200);
 }
 
-TEST_F(UserApi, AcceptsAgainSoonAfterAnOutage) {
+TEST_F(UserApi, AcceptsSubmissionsSoonAfterAStateServiceOutage) {
     simulation_.state_outage(4000);
     simulation_.advance(simulation_.now() + 1500);
-    // Users who are refused ask nothing of the state service; the node has to find out itself.
+    // Refused submissions send no requests to the state service, so the node itself has to detect
+    // that the service has recovered.
     for (std::size_t n = 0; n < 3; ++n) {
         EXPECT_EQ(simulation_.ask(n, {"POST", "/v2/runs", submission()}).status, 503);
     }
@@ -181,7 +182,7 @@
     }
 }
 
-TEST_F(UserApi, RefusedAtOnceWhenTheStateServiceIsOut) {
+TEST_F(UserApi, RefusesSubmissionsAtOnceDuringAStateServiceOutage) {
     simulation_.state_outage(20'000);
     simulation_.advance(simulation_.now() + 1500);
     const auto before = simulation_.now();
