--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -24,26 +24,26 @@
     /// which check() finds problems is ignored.
     explicit OperatorPolicy(std::string_view file = "");
 
-    /// The settings `score_image` to `score_price` for the job, in points.
+    /// Evaluates the settings `score_image` to `score_price` for a job, in points.
     core::Weights weights(const core::JobFacts& job) override;
-    /// The setting `starving_after`, in seconds.
+    /// Evaluates the setting `starving_after`, in seconds.
     double starvation_threshold_s(const core::JobFacts& job) override;
-    /// The setting `order`, in seconds.
+    /// Evaluates the setting `order`, in seconds.
     double order_s(const core::JobFacts& job) override;
-    /// The setting `rent_patience`, in seconds.
+    /// Evaluates the setting `rent_patience`, in seconds.
     double provision_wait_s(const core::JobFacts& job) override;
-    /// The setting `dear_patience`, at least provision_wait_s(), in seconds.
+    /// Evaluates the setting `dear_patience`, in seconds; the result is at least provision_wait_s().
     double on_demand_wait_s(const core::JobFacts& job) override;
-    /// The setting `retry_after`, in seconds.
+    /// Evaluates the setting `retry_after`, in seconds.
     double retry_delay_s(const core::JobFacts& job) override;
-    /// The setting `idle_keep`, in seconds.
+    /// Evaluates the setting `idle_keep`, in seconds.
     double idle_retention_s(const core::MachineFacts& machine,
                             const core::FleetFacts& fleet) override;
-    /// The setting `silent_patience`, in seconds.
+    /// Evaluates the setting `silent_patience`, in seconds.
     double heartbeat_timeout_s(const core::FleetFacts& fleet) override;
-    /// The setting `spare_machines`.
+    /// Evaluates the setting `spare_machines`.
     double spare_machines(const core::FleetFacts& fleet) override;
-    /// The setting `warm_for`, in seconds.
+    /// Evaluates the setting `warm_for`, in seconds.
     double warm_capacity_s(const core::FleetFacts& fleet) override;
     /// The values rejected since the last call. Each setting is reported only once.
     std::vector<events::PolicyValueRejected> take_rejected_values() override;
