--- a/src/control/job_watcher.h
+++ b/src/control/job_watcher.h
@@ -107,8 +107,8 @@
     /// The newest known cancellations, for peers that cannot read the state service.
     [[nodiscard]] const CancellationLog& cancellations() const { return cancellations_; }
 
-    /// Reads the terminal state of a job from the state service. Concurrent reads for the same job
-    /// share one request.
+    /// Reads the terminal state of a job that is not open from the state service. Concurrent reads
+    /// for the same job share one request.
     void read_terminal_state(const std::string& job_id, OnTerminalState done);
 
     /// Follows changes continuously by long polling, in addition to refresh(), and reports them to
--- a/src/control/policy.h
+++ b/src/control/policy.h
@@ -32,7 +32,7 @@
     double order_s(const core::JobFacts& job) override;
     /// Evaluates the setting `rent_patience`, in seconds.
     double provision_wait_s(const core::JobFacts& job) override;
-    /// Evaluates the setting `dear_patience`, in seconds; the result is at least provision_wait_s().
+    /// Evaluates the setting `dear_patience`, in seconds; at least provision_wait_s().
     double on_demand_wait_s(const core::JobFacts& job) override;
     /// Evaluates the setting `retry_after`, in seconds.
     double retry_delay_s(const core::JobFacts& job) override;
