--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -11,7 +11,7 @@
 
 Options cleanup_options(std::uint64_t seed,
                         control::CleanupMode mode = control::CleanupMode::Remove) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.features.fenced_duties = true;
     options.features.cleanup = mode;
     options.features.cleanup_page_s = 2;
@@ -70,7 +70,7 @@
                             "place/job-000002/0", "place/job-000004/0", "place/job-000005/0"}) {
         EXPECT_TRUE(store.contains(key)) << key;
     }
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Cleanup, ReportsWithoutRemoving) {
@@ -105,7 +105,7 @@
         Simulation simulation(options);
         for (std::size_t n = 0; n < 400; ++n) {
             simulation.jobs().push_back(
-                plain(numbered(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
+                batch_job(numbered_job_id(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
         }
         // Cuts off users, because their requests would make the controller refresh its copy.
         simulation.at(18'000, [&] {
@@ -115,7 +115,7 @@
         for (std::size_t n = 0; n < simulation.node_count(); ++n) {
             EXPECT_EQ(simulation.controller(n)->suspicious_records(), 0U) << "seed " << seed;
         }
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
     }
 }
 
@@ -181,7 +181,7 @@
     EXPECT_TRUE(late_removal_refused);
     simulation.advance(160'000);
     EXPECT_FALSE(simulation.store().contains("place/job-000001/0"));
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // The cloud's list of machines lags behind: a machine newer than all listed ones may exist without
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 Options fenced_options(std::uint64_t seed, std::size_t machines) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.features.fenced_duties = true;
     options.machines = machines;
     options.busy_ms = 100'000;
@@ -87,7 +87,7 @@
     simulation.crash(*simulation.leader(), 60'000);
     simulation.advance(100'000);
     EXPECT_EQ(parsed(simulation.store()["duty/provisioning"].first)["e"].GetUint64(), 2U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Fencing, WritesNothingWithoutTheFeature) {
@@ -112,7 +112,7 @@
         options.policy = "silent_patience = 2s\n";
         Simulation simulation(options);
         for (std::size_t n = 0; n < 4; ++n) {
-            auto job = plain(numbered(n), 1, 25, 2000);
+            auto job = batch_job(numbered_job_id(n), 1, 25, 2000);
             job.cpus = 8;
             simulation.jobs().push_back(job);
         }
@@ -184,13 +184,13 @@
             if (lowered || !is_release(request)) return;
             lowered = true;
             simulation.cloud_outage(3000);
-            simulation.at(simulation.now() + after, [&] { simulation.limit_state(); });
+            simulation.at(simulation.now() + after, [&] { simulation.apply_next_limits(); });
             simulation.at(simulation.now() + 6000,
                           [&] { simulation.crash(*simulation.leader(), 1500); });
         });
         simulation.advance(200'000);
         EXPECT_TRUE(lowered);
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         EXPECT_LE(machines_left(simulation), 1U);
         EXPECT_LE(intents_stored(simulation), 1U);
         EXPECT_LE(simulation.rejections(), 8U);
@@ -217,7 +217,7 @@
         last = simulation.now();
     });
     simulation.advance(170'000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_LE(machines_left(simulation), 1U);
     EXPECT_GT(first, 0);
     RecordProperty("ms", static_cast<int>(last - first));
@@ -233,14 +233,14 @@
     simulation.store()["intent/7"] = {R"({"e":"x","n":1,"b":["host-000001",4]})", 1};
     simulation.store()["intent/x"] = {R"({"e":1,"n":1,"b":["host-000002"]})", 1};
     simulation.crash(*simulation.leader(), 1000);
-    simulation.jobs().push_back(plain(numbered(1), 4, 5, 9000));
+    simulation.jobs().push_back(batch_job(numbered_job_id(1), 4, 5, 9000));
     simulation.advance(40'000);
     EXPECT_TRUE(simulation.store().contains("intent/7"));
     EXPECT_TRUE(simulation.store().contains("intent/x"));
     EXPECT_TRUE(simulation.workers().at("host-000001").gone);
     EXPECT_TRUE(simulation.workers().at("host-000002").gone);
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // A duty is not performed without an epoch, so no machine is provisioned or released. Jobs continue
@@ -251,7 +251,7 @@
     const auto good = simulation.store()["duty/provisioning"].first;
     simulation.store()["duty/provisioning"].first = R"({"m":"n0","e":"seven"})";
     simulation.crash(*simulation.leader(), 1000);
-    simulation.jobs().push_back(plain(numbered(1), 2, 5, 9000));
+    simulation.jobs().push_back(batch_job(numbered_job_id(1), 2, 5, 9000));
     simulation.advance(90'000);
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     EXPECT_EQ(machines_left(simulation), 2U);
@@ -259,7 +259,7 @@
     simulation.store()["duty/provisioning"].first = good;
     simulation.advance(130'000);
     EXPECT_EQ(machines_left(simulation), 0U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // ---- cost of fencing ----
@@ -278,7 +278,8 @@
     std::size_t number = 1;
     for (Millis wave = 2000; wave < 90'000; wave += 22'000) {
         for (std::size_t n = 0; n < 12; ++n) {
-            auto job = plain(numbered(number++), 1, 6, wave + static_cast<Millis>(n) * 150);
+            auto job =
+                batch_job(numbered_job_id(number++), 1, 6, wave + static_cast<Millis>(n) * 150);
             job.cpus = 8;
             simulation.jobs().push_back(job);
         }
--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -16,7 +16,7 @@
 constexpr Millis kDisturbIntervalMs = 4000;
 
 Options options_with_seed(std::uint64_t seed) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.report_s = 0.4;
     options.lease_s = 6;
     options.cancel_s = 20;
@@ -65,8 +65,8 @@
     LoopbackEnvironment environment(options_with_seed(seed), LICHENDRIFT_DEPLOYED_FEATURES);
     auto& simulation = environment.simulation();
     simulation.set_capacity(8);
-    simulation.set_boot(400);
-    simulation.set_never(0);
+    simulation.set_boot_time(400);
+    simulation.set_never_boots_share(0);
     std::mt19937_64 rng(seed);
     ASSERT_TRUE(
         environment.run_until([&] { return provisioning_epoch(simulation) == 1; }, kWaitTimeoutMs));
@@ -88,13 +88,14 @@
     std::size_t number = 1;
     const auto add_jobs = [&] {
         for (std::size_t n = 0; n < 5; ++n) {
-            auto job =
-                plain(numbered(number++), 1, 1, simulation.now() + static_cast<Millis>(n) * 60);
+            auto job = batch_job(numbered_job_id(number++), 1, 1,
+                                 simulation.now() + static_cast<Millis>(n) * 60);
             job.cpus = 8;
             simulation.jobs().push_back(job);
         }
     };
-    for (std::uint64_t round = 0; round < round_count() && simulation.broken().empty(); ++round) {
+    for (std::uint64_t round = 0; round < round_count() && simulation.violation().empty();
+         ++round) {
         const auto epoch = provisioning_epoch(simulation);
         add_jobs();
         stop_at_release = round % 2 == 0;
@@ -118,7 +119,7 @@
         return std::all_of(simulation.jobs().begin(), simulation.jobs().end(),
                            [](const Job& job) { return job.done_reported; });
     };
-    EXPECT_TRUE(environment.run_until([&] { return all_done() || !simulation.broken().empty(); },
+    EXPECT_TRUE(environment.run_until([&] { return all_done() || !simulation.violation().empty(); },
                                       kWaitTimeoutMs + 30'000));
     for (const auto& job : simulation.jobs()) {
         if (job.done_reported) continue;
@@ -126,7 +127,7 @@
                       << ", accepted " << job.accepted << ", tasks done " << job.done_tasks.size()
                       << ", answered " << job.responded_at << ", now " << simulation.now();
     }
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_GT(provisioning_epoch(simulation), round_count());
     RecordProperty("released", static_cast<int>(simulation.releases().machines));
     RecordProperty("late", static_cast<int>(simulation.releases().late));
@@ -147,7 +148,7 @@
     ASSERT_TRUE(
         environment.run_until([&] { return provisioning_epoch(simulation) == 2; }, kWaitTimeoutMs));
     EXPECT_NE(stored_leader(simulation), first);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 }  // namespace
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -127,8 +127,8 @@
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
         for (std::size_t n = 0; n < 8; ++n) {
-            auto job = plain(numbered(number++), 1, 3 + static_cast<double>(rng() % 3),
-                             wave + static_cast<Millis>(rng() % 6000));
+            auto job = batch_job(numbered_job_id(number++), 1, 3 + static_cast<double>(rng() % 3),
+                                 wave + static_cast<Millis>(rng() % 6000));
             job.cpus = 4;
             simulation.jobs().push_back(job);
         }
@@ -200,7 +200,7 @@
 constexpr std::size_t kBurst = 14;
 
 Options scenario_options(const FaultScenario& scenario, std::uint64_t seed) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.nodes = seed % 2 == 0 ? 3 : 5;
     options.features.fenced_duties = true;
     options.machines = scenario.when == FaultScenario::When::ProvisionRequested ? 0 : kFleet;
@@ -224,7 +224,7 @@
 
 void submit_burst(Simulation& simulation, Millis at) {
     for (std::size_t n = 0; n < kBurst; ++n) {
-        auto job = plain(numbered(800'000 + n), 1, 14, at);
+        auto job = batch_job(numbered_job_id(800'000 + n), 1, 14, at);
         job.cpus = 8;
         simulation.jobs().push_back(job);
     }
@@ -236,7 +236,8 @@
                          const std::function<void(Simulation&)>& after = nullptr) {
     Simulation simulation(options);
     simulation.set_capacity(static_cast<int>(kFleet));
-    if (options.machines > 0) simulation.jobs().push_back(plain(numbered(1), 1, 2, 1000));
+    if (options.machines > 0)
+        simulation.jobs().push_back(batch_job(numbered_job_id(1), 1, 2, 1000));
     bool injected = false;
     simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
         if (injected || simulation.now() < kIdleFrom || !matches(scenario.when, request)) return;
@@ -311,7 +312,9 @@
     {"StateServiceSlow", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t) { simulation.slow_state(900, 9000); }},
     {"StateServiceRefusesLeader", FaultScenario::When::IntentWritten,
-     [](Simulation& simulation, std::size_t leader) { simulation.refuse_node(leader, 9000); }},
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.refuse_state_requests(leader, 9000);
+     }},
     {"CloudOutageAndLeaderCrash", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cloud_outage(9000);
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -28,13 +28,13 @@
 class CancelledBehindTheLeader : public ::testing::TestWithParam<Gap> {
   public:
     static std::string day(const Gap& gap, core::SafetyGuards guards, std::uint64_t seed) {
-        auto options = calm(seed);
+        auto options = fault_free_options(seed);
         options.nodes = gap.nodes;
-        options.old_peers = gap.old;
+        options.peers_without_cancel_messages = gap.old;
         options.guards = guards;
         Simulation simulation(options);
         for (std::size_t n = 0; n < 6; ++n) {
-            auto j = plain(numbered(n), 1 + static_cast<std::uint32_t>(n % 2), 120);
+            auto j = batch_job(numbered_job_id(n), 1 + static_cast<std::uint32_t>(n % 2), 120);
             j.kind = n % 3 == 0 ? "ensemble" : "sweep";
             simulation.jobs().push_back(j);
         }
@@ -43,7 +43,7 @@
         if (!leader) return "no leader";
         const auto other = (*leader + 1) % gap.nodes;
         for (auto& [name, w] : simulation.workers()) w.node = *leader;
-        simulation.refuse_node(*leader, 60'000);
+        simulation.refuse_state_requests(*leader, 60'000);
         if (gap.apart) simulation.cut("n" + std::to_string(*leader), "n", 60'000, false);
         if (gap.lost && !gap.back) {
             simulation.cut("n" + std::to_string(*leader), "n" + std::to_string(other), 60'000,
@@ -62,7 +62,7 @@
         simulation.advance(69'000);
         if (simulation.leader() && *simulation.leader() != *leader) return "another leader came";
         simulation.advance(110'000);
-        return simulation.broken();
+        return simulation.violation();
     }
 };
 
@@ -105,11 +105,11 @@
     int broken = 0;
     for (const bool guarded : {true, false}) {
         for (std::uint64_t seed = 220; seed < 226; ++seed) {
-            auto options = calm(seed);
+            auto options = fault_free_options(seed);
             options.guards.cancellations_bound_leases = guarded;
             Simulation simulation(options);
             for (std::size_t n = 0; n < 6; ++n)
-                simulation.jobs().push_back(plain(numbered(n), 1, 120));
+                simulation.jobs().push_back(batch_job(numbered_job_id(n), 1, 120));
             simulation.advance(20'000);
             const auto old = simulation.leader();
             ASSERT_TRUE(old);
@@ -130,9 +130,9 @@
             simulation.state_outage(50'000);
             simulation.advance(100'000);
             if (guarded) {
-                EXPECT_EQ(simulation.broken(), "") << seed;
+                EXPECT_EQ(simulation.violation(), "") << seed;
             }
-            if (simulation.broken().starts_with("ran_cancelled")) ++broken;
+            if (simulation.violation().starts_with("ran_cancelled")) ++broken;
         }
     }
     EXPECT_GT(broken, 0);
@@ -149,12 +149,12 @@
     for (const bool guarded : {true, false}) {
         int broken = 0;
         for (Millis later = 1300; later < 2600; later += 50) {
-            auto options = calm(230);
+            auto options = fault_free_options(230);
             options.late_start_ms = 1050;
             options.guards.runs_need_fresh_jobs = guarded;
             Simulation simulation(options);
             simulation.set_capacity(3);
-            auto j = plain("job-000001", 3, 60, 11'000);
+            auto j = batch_job("job-000001", 3, 60, 11'000);
             j.cpus = 8;
             j.spot = false;
             simulation.jobs().push_back(j);
@@ -176,9 +176,9 @@
             simulation.advance(40'000);
             ASSERT_GE(simulation.jobs()[0].cancel_confirmed_at, 0);
             if (guarded) {
-                EXPECT_EQ(simulation.broken(), "") << later;
+                EXPECT_EQ(simulation.violation(), "") << later;
             }
-            if (simulation.broken().starts_with("started_cancelled")) ++broken;
+            if (simulation.violation().starts_with("started_cancelled")) ++broken;
         }
         EXPECT_EQ(broken > 0, !guarded);
     }
@@ -189,17 +189,17 @@
 TEST(FaultCombinations, HangingMachineWithCancelledWorkIsReleasedInTimeByTheNextLeader) {
     for (const std::size_t nodes : {3, 5}) {
         for (Millis later = 200; later < 7000; later += 1100) {
-            auto options = calm(240);
+            auto options = fault_free_options(240);
             options.nodes = nodes;
             Simulation simulation(options);
             for (std::size_t n = 0; n < 6; ++n)
-                simulation.jobs().push_back(plain(numbered(n), 1, 60));
+                simulation.jobs().push_back(batch_job(numbered_job_id(n), 1, 60));
             simulation.advance(15'000);
             simulation.cancel_now(2, 60'000);
             simulation.advance(15'000 + later);
             simulation.crash(*simulation.leader(), 3000);
             simulation.advance(80'000);
-            EXPECT_EQ(simulation.broken(), "") << later << " of " << nodes;
+            EXPECT_EQ(simulation.violation(), "") << later << " of " << nodes;
         }
     }
 }
@@ -207,29 +207,29 @@
 // The last machine of a fleet hangs for ever: it counted as a fault on the controllers' side, and
 // its job waited.
 TEST(FaultCombinations, LastMachineOfTheFleetThatHangsIsGivenUp) {
-    auto options = calm(250);
+    auto options = fault_free_options(250);
     options.machines = 1;
     Simulation simulation(options);
     simulation.set_capacity(1);
-    auto j = plain("job-000001", 1, 200);
+    auto j = batch_job("job-000001", 1, 200);
     simulation.jobs().push_back(j);
     simulation.advance(60'000);
     ASSERT_EQ(simulation.total_starts(), 1U);
     simulation.workers().begin()->second.hung_until = 10'000'000;
     simulation.advance(150'000);
     EXPECT_GE(simulation.total_starts(), 2U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // It has to be apart, one zone has resources for all of it and the other none: each plan
 // provisioned one more machine in the first, and the last that the cloud had went there.
 TEST(FaultCombinations, JobThatMustBeApartProvisionsInTheZoneThatLacksResources) {
-    auto options = calm(251);
+    auto options = fault_free_options(251);
     options.machines = 0;
     Simulation simulation(options);
     for (int i = 0; i < 5; ++i) simulation.add_worker("b", false);
     simulation.set_capacity(6);
-    auto j = plain("job-000001", 2, 10, 2000);
+    auto j = batch_job("job-000001", 2, 10, 2000);
     j.kind = "ensemble";
     j.apart = true;
     j.spot = false;
@@ -237,7 +237,7 @@
     simulation.advance(60'000);
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     EXPECT_LE(simulation.workers().size(), 7U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // Cancelled between the two reads of a failover, open jobs and placement records: it had no known
@@ -433,12 +433,12 @@
          [](Simulation& w, std::size_t) {
              w.at(8000, [&w] { w.slow_state(600, 20'000); });
              w.at(20'000, [&w] {
-                 if (const auto l = w.leader()) w.refuse_node(*l, 40'000);
+                 if (const auto l = w.leader()) w.refuse_state_requests(*l, 40'000);
              });
              for (Millis t = 9000; t < 26'000; t += 600) {
                  w.at(t, [&w, t] {
                      if (t % 1800 == 0) w.cancel_now(1, 0);
-                     w.odd_request();
+                     w.send_unusual_request();
                  });
              }
              w.at(21'700, [&w] { w.state_outage(32'000); });
@@ -475,7 +475,7 @@
         {"OldReportsAfterNewerOnes",
          [](Options& o) {
              o.lossy_messages = true;
-             o.late_copy = 0.3;
+             o.delayed_copy_share = 0.3;
          },
          [](Simulation& w, std::size_t) {
              w.at(20'000, [&w] {
@@ -487,7 +487,8 @@
          {},
          [](Simulation& w, std::size_t) {
              for (auto& j : w.jobs()) j.cancel_at_end = true;
-             for (Millis t = 5000; t < 70'000; t += 250) w.at(t, [&w] { w.odd_request(); });
+             for (Millis t = 5000; t < 70'000; t += 250)
+                 w.at(t, [&w] { w.send_unusual_request(); });
          }},
     };
     return all;
@@ -498,7 +499,7 @@
 TEST_P(NamedCombination, KeepsTheRules) {
     const auto& combination = combinations()[GetParam()];
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
-        auto options = calm(1000 + seed);
+        auto options = fault_free_options(1000 + seed);
         options.nodes = seed % 2 == 0 ? 3 : 5;
         options.machines = 5;
         if (combination.set) combination.set(options);
@@ -529,17 +530,17 @@
 // The bound must not cost work where the peers' answers show that nothing was cancelled.
 TEST(FaultCombinations, OutageLongerThanCancelsCostsNoTaskWhilePeersAnswer) {
     for (const std::size_t nodes : {3, 5}) {
-        auto options = calm(210);
+        auto options = fault_free_options(210);
         options.nodes = nodes;
         Simulation simulation(options);
-        auto j = plain("job-000001", 4, 70);
+        auto j = batch_job("job-000001", 4, 70);
         j.spot = false;
         simulation.jobs().push_back(j);
-        simulation.jobs().push_back(plain("job-000002", 1, 70));
+        simulation.jobs().push_back(batch_job("job-000002", 1, 70));
         simulation.at(9000, [&] { simulation.cancel(simulation.jobs()[1]); });
         simulation.at(10'000, [&] { simulation.state_outage(50'000); });
         simulation.advance(120'000);
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         EXPECT_TRUE(simulation.jobs()[0].done_reported);
         EXPECT_EQ(simulation.jobs()[0].starts, 4U);
         for (const auto& [name, w] : simulation.workers()) {
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -12,12 +12,12 @@
 // again.
 TEST(Faults, UnreachableMachineGetsNoMoreWorkAndIsReleased) {
     for (const auto& [held, guarded] : {std::pair(false, true), {true, true}, {false, false}}) {
-        auto options = calm(21);
+        auto options = fault_free_options(21);
         options.guards.command_effect_check = guarded;
         Simulation simulation(options);
         // Both machines of the zone are needed, so that the unreachable one would be used.
         for (std::size_t n = 1; n <= 28; ++n) {
-            auto j = plain(numbered(n), 1, 3, static_cast<Millis>(n) * 2500 - 2500);
+            auto j = batch_job(numbered_job_id(n), 1, 3, static_cast<Millis>(n) * 2500 - 2500);
             j.cpus = 8;
             j.zone = "b";
             j.spot = false;
@@ -41,7 +41,7 @@
                 if (key.starts_with("place/") && there) placed.insert(key);
             }
         }
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         EXPECT_EQ(placed.empty(), guarded) << placed.size();
         if (guarded) {
             EXPECT_TRUE(simulation.workers().at(unreachable).gone);
@@ -55,12 +55,12 @@
 TEST(Faults, SilentLeaderCostsNoLeaseOfWorkersThatReportElsewhere) {
     for (const std::uint64_t seed : {23, 24, 25, 26}) {
         for (const std::size_t nodes : {3, 5}) {
-            auto options = calm(seed);
+            auto options = fault_free_options(seed);
             options.nodes = nodes;
             options.machines = 10;
             Simulation simulation(options);
             simulation.set_capacity(10);
-            auto j = plain("job-000001", 10, 120, 1000);
+            auto j = batch_job("job-000001", 10, 120, 1000);
             j.cpus = 8;
             simulation.jobs().push_back(j);
             simulation.advance(30'000);
@@ -78,15 +78,15 @@
 }
 
 TEST(Faults, BrieflyUnreachableMachineIsUsedAgain) {
-    Simulation simulation(calm(22));
-    auto j = plain("job-000001", 3, 40);
+    Simulation simulation(fault_free_options(22));
+    auto j = batch_job("job-000001", 3, 40);
     j.cpus = 8;
     j.spot = false;
     simulation.jobs().push_back(j);
     simulation.at(
         9000, [&] { simulation.block_inbound(simulation.workers().begin()->second, 3000, false); });
     simulation.advance(60'000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     EXPECT_FALSE(simulation.workers().begin()->second.gone);
     EXPECT_EQ(simulation.total_starts(), 3U);
@@ -97,10 +97,10 @@
     for (const std::size_t nodes : {3, 5}) {
         for (const auto& [delay, refuse] :
              {std::pair(false, false), {true, false}, {false, true}}) {
-            auto options = calm(23);
+            auto options = fault_free_options(23);
             options.nodes = nodes;
             Simulation simulation(options);
-            auto j = plain("job-000001", 3, 60);
+            auto j = batch_job("job-000001", 3, 60);
             j.cpus = 8;
             j.spot = false;
             simulation.jobs().push_back(j);
@@ -110,7 +110,7 @@
             for (auto& [name, w] : simulation.workers()) w.node = *old;
             simulation.isolate(*old, 45'000, delay, refuse);
             simulation.advance(110'000);
-            EXPECT_EQ(simulation.broken(), "");
+            EXPECT_EQ(simulation.violation(), "");
             EXPECT_TRUE(simulation.jobs()[0].done_reported);
             EXPECT_EQ(simulation.total_starts(), 3U);
             for (const auto& [name, w] : simulation.workers()) {
@@ -125,7 +125,7 @@
 // Cut off from everything it sees machines fall silent one by one; its requests to release them
 // would be delayed and carried out when the cut ends, long after another controller was elected.
 TEST(Faults, LeaderWithoutValidLeaseReleasesNoMachine) {
-    auto options = calm(27);
+    auto options = fault_free_options(27);
     options.report_s = 5;
     options.lease_s = 29;
     options.cancel_s = 59;
@@ -133,7 +133,7 @@
     options.teams = {{"core", {}, {}}};
     Simulation simulation(options);
     simulation.set_capacity(12);
-    auto j = plain("job-000001", 12, 100);
+    auto j = batch_job("job-000001", 12, 100);
     j.cpus = 8;
     j.spot = false;
     simulation.jobs().push_back(j);
@@ -142,17 +142,17 @@
     ASSERT_TRUE(old);
     simulation.cut("n" + std::to_string(*old), "", 40'000, true);
     simulation.advance(90'000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_EQ(simulation.total_starts(), 12U);
     for (const auto& [name, w] : simulation.workers()) EXPECT_FALSE(w.gone) << name;
 }
 
 // Records still name the machines that tasks were on before these were released.
 TEST(Faults, NewLeaderWaitsNotForMachinesThatAreGone) {
-    auto options = calm(28);
+    auto options = fault_free_options(28);
     options.machines = 4;
     Simulation simulation(options);
-    auto j = plain("job-000001", 2, 60);
+    auto j = batch_job("job-000001", 2, 60);
     j.cpus = 8;
     j.spot = false;
     simulation.jobs().push_back(j);
@@ -169,17 +169,17 @@
     while (simulation.total_starts() < 3 && simulation.now() < at + 60'000)
         simulation.advance(simulation.now() + 100);
     EXPECT_LT(simulation.now() - at, 9000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Faults, ZonesCutOffOrApartLoseNoJob) {
     for (const bool apart : {false, true}) {
         for (const bool delay : {false, true}) {
-            auto options = calm(30);
+            auto options = fault_free_options(30);
             options.nodes = 5;
             Simulation simulation(options);
             for (std::size_t n = 1; n <= 8; ++n) {
-                auto j = plain(numbered(n), 2, 12, static_cast<Millis>(n) * 4000);
+                auto j = batch_job(numbered_job_id(n), 2, 12, static_cast<Millis>(n) * 4000);
                 if (n % 3 == 0) j.kind = "ensemble";
                 j.one_zone = n % 2 == 0;
                 simulation.jobs().push_back(j);
@@ -193,9 +193,10 @@
 }
 
 TEST(Faults, SlowStateServiceDelaysAndLosesNothing) {
-    Simulation simulation(calm(31));
+    Simulation simulation(fault_free_options(31));
     for (std::size_t n = 1; n <= 10; ++n) {
-        simulation.jobs().push_back(plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000));
+        simulation.jobs().push_back(
+            batch_job(numbered_job_id(n), 2, 6, static_cast<Millis>(n) * 3000));
     }
     simulation.at(6000, [&] { simulation.slow_state(400, 40'000); });
     EXPECT_EQ(simulation.run(), "");
@@ -203,32 +204,32 @@
 
 // A watch from before what the state service still keeps: everything is read again.
 TEST(Faults, ChangesThatTheStateServiceForgotAreReadAgain) {
-    Simulation simulation(calm(32));
+    Simulation simulation(fault_free_options(32));
     for (std::size_t n = 1; n <= 10; ++n) {
-        auto j = plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000);
+        auto j = batch_job(numbered_job_id(n), 2, 6, static_cast<Millis>(n) * 3000);
         if (n == 4) j.cancel_at = 16'000;
         simulation.jobs().push_back(j);
     }
     for (Millis t = 5000; t < 40'000; t += 2500)
-        simulation.at(t, [&] { simulation.forget_changes(); });
+        simulation.at(t, [&] { simulation.compact_changes(); });
     EXPECT_EQ(simulation.run(), "");
 }
 
 TEST(Faults, WaveOfSpotNoticesMovesTheWork) {
-    auto options = calm(33);
+    auto options = fault_free_options(33);
     options.machines = 0;
     Simulation simulation(options);
     for (std::size_t i = 0; i < 10; ++i) simulation.add_worker(i % 2 == 0 ? "a" : "b", true);
     simulation.set_capacity(14);
     for (std::size_t n = 1; n <= 12; ++n) {
-        auto j = plain(numbered(n), 3, 20, 0);
+        auto j = batch_job(numbered_job_id(n), 3, 20, 0);
         j.kind = n % 2 == 0 ? "ensemble" : "sweep";
         simulation.jobs().push_back(j);
     }
     simulation.at(15'000, [&] {
         std::size_t n = 0;
         for (auto& [name, w] : simulation.workers()) {
-            if (w.up && ++n % 3 != 0) w.taken_at = simulation.now() + 5000;
+            if (w.up && ++n % 3 != 0) w.interrupted_at = simulation.now() + 5000;
         }
     });
     EXPECT_EQ(simulation.run(), "");
@@ -236,22 +237,22 @@
 
 // Several times as many jobs of a class as fit, beside another team's guarantee.
 TEST(Faults, BurstOfAClassStarvesNoOther) {
-    Simulation simulation(calm(34));
+    Simulation simulation(fault_free_options(34));
     simulation.set_capacity(5);
     std::size_t n = 0;
     for (; n < 60; ++n) {
-        auto j = plain(numbered(n), 3, 6, 5000 + static_cast<Millis>(n) * 250);
+        auto j = batch_job(numbered_job_id(n), 3, 6, 5000 + static_cast<Millis>(n) * 250);
         j.cls = "burst";
         simulation.jobs().push_back(j);
     }
     for (; n < 70; ++n) {
-        auto j = plain(numbered(n), 2, 6, static_cast<Millis>(n - 60) * 4000);
+        auto j = batch_job(numbered_job_id(n), 2, 6, static_cast<Millis>(n - 60) * 4000);
         j.cls = "calm";
         j.team = "side";
         simulation.jobs().push_back(j);
     }
     simulation.advance(75'000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     for (const auto& j : simulation.jobs()) {
         if (j.cls == "calm") {
             EXPECT_TRUE(j.done_reported) << j.id;
@@ -262,8 +263,8 @@
 
 // A flood of requests that are refused: each is answered at once, and the workers are not affected.
 TEST(Faults, FloodOfRefusedRequestsStarvesNeitherHeartbeatsNorRenewals) {
-    Simulation simulation(calm(35));
-    simulation.jobs().push_back(plain("job-000001", 4, 60));
+    Simulation simulation(fault_free_options(35));
+    simulation.jobs().push_back(batch_job("job-000001", 4, 60));
     simulation.advance(10'000);
     const auto leader = simulation.leader();
     ASSERT_TRUE(leader);
@@ -331,12 +332,12 @@
 
 // What is known of images grows with the fleet, one value of the state service does not.
 TEST(Faults, ImagesOfALargeFleetAreKeptInSeveralRecords) {
-    auto options = calm(29);
+    auto options = fault_free_options(29);
     options.machines = 200;
     options.teams = {{"core", {}, {}}};
     Simulation simulation(options);
     simulation.set_capacity(200);
-    auto j = plain("job-000001", 200, 30);
+    auto j = batch_job("job-000001", 200, 30);
     j.cpus = 8;
     j.spot = false;
     simulation.jobs().push_back(j);
@@ -350,7 +351,7 @@
         }
     }
     EXPECT_GT(machines, 190U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // Two zones can't reach each other, a third reaches both: heartbeats are relayed by a
@@ -358,12 +359,12 @@
 // expired.
 TEST(Faults, ReportsGoRoundByANodeThatReachesTheLeader) {
     for (const bool delay : {false, true}) {
-        auto options = calm(36);
+        auto options = fault_free_options(36);
         options.machines = 6;
         options.teams = {{"core", {}, {}}};
         Simulation simulation(options);
         simulation.set_capacity(6);
-        auto j = plain("job-000001", 6, 70);
+        auto j = batch_job("job-000001", 6, 70);
         j.cpus = 8;
         j.spot = false;
         simulation.jobs().push_back(j);
@@ -377,7 +378,7 @@
             simulation.cut(name, "n" + std::to_string(*leader), 40'000, delay);
         }
         simulation.advance(100'000);
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         EXPECT_TRUE(simulation.jobs()[0].done_reported);
         EXPECT_EQ(simulation.total_starts(), 6U);
         for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
@@ -387,17 +388,17 @@
 // With the ports between controllers refused, a follower can't forward heartbeats: it has to name
 // the leader, or the worker tries one controller after the other until its lease expires.
 TEST(Faults, RefusedConnectionsBetweenControllersCostNoTasks) {
-    auto options = calm(24);
+    auto options = fault_free_options(24);
     options.nodes = 5;
     Simulation simulation(options);
-    auto j = plain("job-000001", 3, 60);
+    auto j = batch_job("job-000001", 3, 60);
     j.cpus = 8;
     j.spot = false;
     simulation.jobs().push_back(j);
     simulation.advance(10'000);
     simulation.cut("n", "n", 40'000, false);
     simulation.advance(110'000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     EXPECT_EQ(simulation.total_starts(), 3U);
     for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
@@ -409,10 +410,10 @@
     int days_with_lost_leases = 0;
     for (std::uint64_t seed = 25; seed < 45; ++seed) {
         for (const std::size_t nodes : {3, 5}) {
-            auto options = calm(seed);
+            auto options = fault_free_options(seed);
             options.nodes = nodes;
             Simulation simulation(options);
-            simulation.jobs().push_back(plain("job-000001", 4, 40));
+            simulation.jobs().push_back(batch_job("job-000001", 4, 40));
             for (Millis t = 8000; t < 30'000; t += 1300) {
                 simulation.at(t, [&simulation, nodes, t] {
                     const auto l = simulation.leader();
@@ -434,7 +435,7 @@
 TEST_P(LargestJob, BeginsInTimeBesideSteadySmallerWorkOfItsRank) {
     const bool gang = GetParam();
     const auto begun_after = [&](bool claims) {
-        auto options = calm(26);
+        auto options = fault_free_options(26);
         options.guards.starvation_reservations = claims;
         options.settle_ms = 300'000;
         options.teams = {{"core", {}, {}}};
@@ -442,17 +443,17 @@
         simulation.set_capacity(4);
         std::size_t n = 1;
         for (Millis t = 0; t < 330'000; t += 1200) {
-            auto small = plain(numbered(++n), 3, 10, t);
+            auto small = batch_job(numbered_job_id(++n), 3, 10, t);
             simulation.jobs().push_back(small);
         }
-        auto big = plain("job-000001", 3, 10, 30'000);
+        auto big = batch_job("job-000001", 3, 10, 30'000);
         big.kind = gang ? "ensemble" : "sweep";
         big.cpus = 8;
         simulation.jobs().push_back(big);
         simulation.advance(340'000);
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         const auto& me = simulation.jobs().back();
-        return me.begun < 0 ? Millis{1'000'000} : me.begun - me.submit_at;
+        return me.first_run_at < 0 ? Millis{1'000'000} : me.first_run_at - me.submit_at;
     };
     EXPECT_LT(begun_after(true), 240'000);
     // Without reservations it does not: the check can fail.
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 Options fleet(std::uint64_t seed, std::size_t machines, std::size_t nodes = 3) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.nodes = nodes;
     options.machines = machines;
     options.report_s = 3;
@@ -18,7 +18,7 @@
 }
 
 Job whole_machines(std::size_t number, std::uint32_t count, double run_s, Millis submit_at = 0) {
-    auto j = plain(numbered(number), count, run_s, submit_at);
+    auto j = batch_job(numbered_job_id(number), count, run_s, submit_at);
     j.cpus = 8;
     j.spot = false;
     return j;
@@ -103,7 +103,7 @@
         const auto gone = lost(simulation);
         simulation.advance(simulation.now() + 14'000);
         EXPECT_EQ(lost(simulation), gone) << before;
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
     }
 }
 
@@ -111,7 +111,7 @@
 
 void settle(Simulation& simulation, Millis until) {
     simulation.advance(until);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // All controllers end in an outage, some twice, and are back together with workers and users on top
@@ -137,10 +137,11 @@
             simulation.jobs().push_back(j);
         }
         for (std::size_t i = 0; i < 1000; ++i) {
-            simulation.at(
-                simulation.now() + 8000 + static_cast<Millis>(i), [&simulation, i, nodes] {
-                    simulation.send_counted(i % nodes, {"GET", "/v2/runs/" + numbered(i % 20), ""});
-                });
+            simulation.at(simulation.now() + 8000 + static_cast<Millis>(i),
+                          [&simulation, i, nodes] {
+                              simulation.send_counted(
+                                  i % nodes, {"GET", "/v2/runs/" + numbered_job_id(i % 20), ""});
+                          });
         }
         const auto back = simulation.now() + 9000;
         settle(simulation, back + 4000);
@@ -175,7 +176,7 @@
             std::size_t n = 0;
             for (auto& [name, w] : simulation.workers()) {
                 ++n;
-                if (w.spot && n % 2 == 0) w.taken_at = simulation.now() + 6000;
+                if (w.spot && n % 2 == 0) w.interrupted_at = simulation.now() + 6000;
                 if (n % 10 != 0 || !w.up) continue;
                 if (hang) {
                     // Within their lease, so that they go on where they were.
--- a/tests/provisioning_faults_test.cpp
+++ b/tests/provisioning_faults_test.cpp
@@ -9,58 +9,59 @@
 // Provisioned machines stay `starting`: others are provisioned for their work long before they are
 // released, and they are not paid for without end.
 TEST(ProvisioningFaults, MachinesThatNeverRegisterAreReplacedAndReleased) {
-    auto options = calm(300);
+    auto options = fault_free_options(300);
     options.machines = 0;
     Simulation simulation(options);
     simulation.set_capacity(30);
-    simulation.set_never(1.0);
-    auto j = plain("job-000001", 4, 20, 1000);
+    simulation.set_never_boots_share(1.0);
+    auto j = batch_job("job-000001", 4, 20, 1000);
     j.cpus = 8;
     simulation.jobs().push_back(j);
-    simulation.at(12'000, [&] { simulation.set_never(0); });
+    simulation.at(12'000, [&] { simulation.set_never_boots_share(0); });
     simulation.advance(60'000);
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     simulation.advance(100'000);
     for (const auto& [name, w] : simulation.workers()) {
-        if (w.never) {
+        if (w.never_boots) {
             EXPECT_TRUE(w.gone) << name;
         }
     }
     EXPECT_LE(simulation.workers().size(), 16U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // A machine that comes up long after its work went elsewhere is used or released.
 TEST(ProvisioningFaults, LateMachinesAreUsedOrReleased) {
-    auto options = calm(301);
+    auto options = fault_free_options(301);
     options.machines = 0;
     Simulation simulation(options);
     simulation.set_capacity(12);
-    simulation.set_boot(40'000);
-    auto j = plain("job-000001", 4, 20, 1000);
+    simulation.set_boot_time(40'000);
+    auto j = batch_job("job-000001", 4, 20, 1000);
     j.cpus = 8;
     simulation.jobs().push_back(j);
-    simulation.at(14'000, [&] { simulation.set_boot(2000); });
+    simulation.at(14'000, [&] { simulation.set_boot_time(2000); });
     simulation.advance(230'000);
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     std::size_t left = 0;
     for (const auto& [name, w] : simulation.workers()) left += w.gone ? 0 : 1;
     EXPECT_LE(left, 1U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // Everybody refreshes: one read of the state service serves all that wait, and the rest of the work
 // does not notice.
 TEST(ProvisioningFaults, StormOfQuestionsCostsFewReadsAndNoLease) {
-    Simulation simulation(calm(302));
-    for (std::size_t n = 0; n < 6; ++n) simulation.jobs().push_back(plain(numbered(n), 1, 60));
+    Simulation simulation(fault_free_options(302));
+    for (std::size_t n = 0; n < 6; ++n)
+        simulation.jobs().push_back(batch_job(numbered_job_id(n), 1, 60));
     simulation.advance(12'000);
     const auto leader = simulation.leader();
     const auto reads = simulation.state_requests();
     const std::size_t storm = 6000;
     for (std::size_t i = 0; i < storm; ++i) {
         simulation.at(12'000 + static_cast<Millis>(i * 20'000 / storm), [&simulation, i] {
-            simulation.send_counted(i % 3, {"GET", "/v2/runs/" + numbered(i % 6), ""});
+            simulation.send_counted(i % 3, {"GET", "/v2/runs/" + numbered_job_id(i % 6), ""});
         });
     }
     simulation.advance(35'000);
@@ -75,13 +76,13 @@
 // Guests without a guarantee, with one huge array, long sweeps and many small jobs: they use
 // what is free and give it up to the team's guarantee, and all of them are served.
 TEST(ProvisioningFaults, GuestsUseSpareRoomAndStarveNobody) {
-    auto options = calm(303);
+    auto options = fault_free_options(303);
     options.machines = 4;
     options.teams = {{"core", {16'000, 0, 0}, {}}, {"guests", {}, {}}};
     Simulation simulation(options);
     simulation.set_capacity(5);
     const auto guest = [&](std::size_t n, std::uint32_t count, double run_s, const char* cls) {
-        auto j = plain(numbered(n), count, run_s, 1000 + static_cast<Millis>(n) * 30);
+        auto j = batch_job(numbered_job_id(n), count, run_s, 1000 + static_cast<Millis>(n) * 30);
         j.team = "guests";
         j.priority = "low";
         j.cls = cls;
@@ -91,7 +92,7 @@
     for (std::size_t n = 2; n < 8; ++n) simulation.jobs().push_back(guest(n, 3, 40, "sweep"));
     for (std::size_t n = 8; n < 108; ++n) simulation.jobs().push_back(guest(n, 1, 3, "swarm"));
     for (std::size_t n = 200; n < 212; ++n) {
-        auto j = plain(numbered(n), 2, 8, 15'000 + static_cast<Millis>(n - 200) * 4000);
+        auto j = batch_job(numbered_job_id(n), 2, 8, 15'000 + static_cast<Millis>(n - 200) * 4000);
         j.cpus = 3;
         j.cls = "own";
         simulation.jobs().push_back(j);
@@ -99,7 +100,7 @@
     EXPECT_EQ(simulation.run(), "");
     for (const auto& j : simulation.jobs()) {
         if (j.cls == "own") {
-            EXPECT_LT(j.begun - j.submit_at, 15'000) << j.id;
+            EXPECT_LT(j.first_run_at - j.submit_at, 15'000) << j.id;
         }
     }
 }
@@ -108,18 +109,19 @@
 // less often, and neither machines nor other jobs pay for it.
 TEST(ProvisioningFaults, JobWithAMistakeStaysKnownAndCanBeCancelled) {
     for (const std::size_t nodes : {3, 5}) {
-        auto options = calm(304);
+        auto options = fault_free_options(304);
         options.nodes = nodes;
         Simulation simulation(options);
         for (std::size_t n = 0; n < 3; ++n) {
-            auto bad = plain(numbered(n), 2, 10);
+            auto bad = batch_job(numbered_job_id(n), 2, 10);
             bad.always_fails = true;
             bad.kind = n == 2 ? "ensemble" : "sweep";
             bad.cancel_at = 120'000;
             simulation.jobs().push_back(bad);
         }
         for (std::size_t n = 10; n < 22; ++n) {
-            simulation.jobs().push_back(plain(numbered(n), 2, 8, static_cast<Millis>(n) * 3000));
+            simulation.jobs().push_back(
+                batch_job(numbered_job_id(n), 2, 8, static_cast<Millis>(n) * 3000));
         }
         simulation.at(40'000, [&] { simulation.crash(*simulation.leader(), 3000); });
         EXPECT_EQ(simulation.run(), "");
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -44,11 +44,11 @@
         // Some days crowd the fleet, some lose far more messages.
         if (i % 3 == 1) options.jobs = 30;
         if (i % 3 == 2) {
-            options.lost_answer = 0.02;
-            options.late_request = 0.02;
-            options.late_copy = 0.1;
+            options.lost_response_share = 0.02;
+            options.delayed_request_share = 0.02;
+            options.delayed_copy_share = 0.1;
         }
-        if (i % 4 == 3) options.repeats = 0.1;
+        if (i % 4 == 3) options.repeated_request_share = 0.1;
         Simulation simulation(options);
         EXPECT_EQ(simulation.run(), "") << "seed " << options.seed;
     }
@@ -88,9 +88,9 @@
         options.restart_ms = 300;
         if (GetParam().bring != nullptr) options.machines = 6;
         // With fewer of them, what unconfirmed commands guard against came about once in 500 days.
-        options.lost_answer = 0.1;
-        options.late_request = 0.15;
-        options.repeats = 0.05;
+        options.lost_response_share = 0.1;
+        options.delayed_request_share = 0.15;
+        options.repeated_request_share = 0.05;
         options.guards.*GetParam().guard = false;
         Simulation simulation(options);
         if (GetParam().bring != nullptr) GetParam().bring(simulation);
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 TEST(Safety, AllControllersRestartAtOnceAndTasksGoOn) {
-    Simulation simulation(calm(1));
-    simulation.jobs().push_back(plain("job-000001", 4, 25));
+    Simulation simulation(fault_free_options(1));
+    simulation.jobs().push_back(batch_job("job-000001", 4, 25));
     simulation.at(10'000, [&] {
         for (std::size_t n = 0; n < 3; ++n) simulation.crash(n, 2000);
     });
@@ -18,21 +18,21 @@
 }
 
 TEST(Safety, ThereIsALeaderSoonAfterTheLeaderRestarts) {
-    Simulation simulation(calm(2));
+    Simulation simulation(fault_free_options(2));
     simulation.advance(5000);
     const auto first = simulation.leader();
     ASSERT_TRUE(first);
     simulation.crash(*first, 150);
     simulation.advance(6500);
     ASSERT_TRUE(simulation.leader());
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Safety, NewLeaderReleasesNoMachineThatHasBeenUpForLong) {
     // The list that the new leader gets from the cloud shows machines far older than a boot takes,
     // and none of them has sent it a heartbeat yet.
-    Simulation simulation(calm(14));
-    auto j = plain("job-000001", 3, 200);
+    Simulation simulation(fault_free_options(14));
+    auto j = batch_job("job-000001", 3, 200);
     j.cpus = 8;      // each task fills a machine, so that none is idle
     j.spot = false;  // so that no task is moved to a cheaper machine
     simulation.jobs().push_back(j);
@@ -50,12 +50,12 @@
         EXPECT_EQ(w.gone, before.contains(name)) << name;
     }
     EXPECT_EQ(simulation.total_starts(), 3U);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Safety, ControllersCrashDuringElections) {
-    Simulation simulation(calm(3));
-    simulation.jobs().push_back(plain("job-000001", 3, 15));
+    Simulation simulation(fault_free_options(3));
+    simulation.jobs().push_back(batch_job("job-000001", 3, 15));
     for (Millis t = 6000; t < 16000; t += 700) {
         simulation.at(t, [&simulation, n = static_cast<std::size_t>(t / 700 % 3)] {
             simulation.crash(n, 400);
@@ -65,8 +65,8 @@
 }
 
 TEST(Safety, TasksSurviveAStateServiceOutageLongerThanAWorkersLease) {
-    Simulation simulation(calm(4));
-    simulation.jobs().push_back(plain("job-000001", 4, 30));
+    Simulation simulation(fault_free_options(4));
+    simulation.jobs().push_back(batch_job("job-000001", 4, 30));
     simulation.at(8000, [&] { simulation.state_outage(25'000); });
     EXPECT_EQ(simulation.run(), "");
     EXPECT_EQ(simulation.total_starts(), 4U);
@@ -74,8 +74,8 @@
 }
 
 TEST(Safety, AllControllersRestartDuringAStateServiceOutage) {
-    Simulation simulation(calm(5));
-    simulation.jobs().push_back(plain("job-000001", 4, 20));
+    Simulation simulation(fault_free_options(5));
+    simulation.jobs().push_back(batch_job("job-000001", 4, 20));
     simulation.at(8000, [&] {
         simulation.state_outage(15'000);
         for (std::size_t n = 0; n < 3; ++n) simulation.crash(n, 1000);
@@ -84,21 +84,21 @@
 }
 
 TEST(Safety, LeaderRefusedByTheStateServiceAloneIsReplaced) {
-    Simulation simulation(calm(6));
+    Simulation simulation(fault_free_options(6));
     simulation.advance(5000);
     const auto old = simulation.leader();
     ASSERT_TRUE(old);
-    simulation.refuse_node(*old, 30'000);
+    simulation.refuse_state_requests(*old, 30'000);
     simulation.advance(12'000);
     ASSERT_TRUE(simulation.leader());
     EXPECT_NE(*simulation.leader(), *old);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Safety, LeaderPartitionedFromEverythingComesBackAsAFollower) {
     for (const bool delay : {true, false}) {
-        Simulation simulation(calm(7));
-        simulation.jobs().push_back(plain("job-000001", 6, 20));
+        Simulation simulation(fault_free_options(7));
+        simulation.jobs().push_back(batch_job("job-000001", 6, 20));
         simulation.advance(5000);
         const auto old = simulation.leader();
         ASSERT_TRUE(old);
@@ -108,8 +108,8 @@
 }
 
 TEST(Safety, HungMachineIsReleasedBeforeItsTasksGoElsewhere) {
-    Simulation simulation(calm(8));
-    simulation.jobs().push_back(plain("job-000001", 3, 20));
+    Simulation simulation(fault_free_options(8));
+    simulation.jobs().push_back(batch_job("job-000001", 3, 20));
     simulation.at(9000, [&] {
         for (auto& [name, w] : simulation.workers()) {
             if (!w.tasks.empty()) {
@@ -123,8 +123,8 @@
 
 TEST(Safety, CancelRacingTheLastTask) {
     for (int i = 0; i < 25; ++i) {
-        Simulation simulation(calm(100 + static_cast<std::uint64_t>(i)));
-        auto j = plain("job-000001", 2, 6);
+        Simulation simulation(fault_free_options(100 + static_cast<std::uint64_t>(i)));
+        auto j = batch_job("job-000001", 2, 6);
         j.cancel_at = 9000 + i * 100;
         simulation.jobs().push_back(j);
         EXPECT_EQ(simulation.run(), "");
@@ -134,13 +134,13 @@
 // After a reap the worker no longer knows the attempt. A late duplicate of the direct command that
 // ran it, although answered long ago, started it again after its user had cancelled the job.
 TEST(Safety, DuplicatesOfExecutedDirectCommandsStartNothing) {
-    Simulation simulation(calm(15));
-    auto j = plain("job-000001", 4, 60);
+    Simulation simulation(fault_free_options(15));
+    auto j = batch_job("job-000001", 4, 60);
     j.cancel_at = 15'000;
     simulation.jobs().push_back(j);
-    simulation.jobs().push_back(plain("job-000002", 4, 6, 2000));
-    simulation.keep_direct();
-    simulation.at(50'000, [&] { simulation.repeat_direct(); });
+    simulation.jobs().push_back(batch_job("job-000002", 4, 6, 2000));
+    simulation.record_direct_commands();
+    simulation.at(50'000, [&] { simulation.replay_direct_commands(); });
     simulation.at(55'000, [&] {
         for (const auto& [name, w] : simulation.workers()) {
             for (const auto& t : w.tasks) EXPECT_NE(t.job, "job-000001") << name;
@@ -153,8 +153,8 @@
 }
 
 TEST(Safety, CancellationWithoutALeaderIsConfirmed) {
-    Simulation simulation(calm(9));
-    auto j = plain("job-000001", 4, 60);
+    Simulation simulation(fault_free_options(9));
+    auto j = batch_job("job-000001", 4, 60);
     j.cancel_at = 12'100;
     simulation.jobs().push_back(j);
     simulation.at(12'000, [&] {
@@ -167,9 +167,9 @@
 TEST(Safety, OneZoneAndApartCountOldAttempts) {
     // Machines are lost or hang under jobs with zone constraints; the checker sees every start.
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        Simulation simulation(calm(seed));
+        Simulation simulation(fault_free_options(seed));
         for (std::size_t i = 0; i < 6; ++i) {
-            auto j = plain(numbered(i), 4, 14, static_cast<Millis>(i * 2000));
+            auto j = batch_job(numbered_job_id(i), 4, 14, static_cast<Millis>(i * 2000));
             j.kind = i % 2 == 0 ? "ensemble" : "sweep";
             j.one_zone = i % 3 != 0;
             j.apart = !j.one_zone;
@@ -194,11 +194,11 @@
 }
 
 TEST(Safety, JobThatFailsEverywhereCausesNoMachineChurn) {
-    Simulation simulation(calm(10));
-    auto bad = plain("job-000001", 4, 10);
+    Simulation simulation(fault_free_options(10));
+    auto bad = batch_job("job-000001", 4, 10);
     bad.always_fails = true;
     simulation.jobs().push_back(bad);
-    simulation.jobs().push_back(plain("job-000002", 6, 10, 20'000));
+    simulation.jobs().push_back(batch_job("job-000002", 6, 10, 20'000));
     EXPECT_EQ(simulation.run(), "");
     // Three machines at the start and a few provisioned later: not a new one for each failure.
     EXPECT_LT(simulation.workers().size(), 8U);
@@ -206,30 +206,32 @@
 }
 
 TEST(Safety, MachineThatFailsEveryTaskIsReplaced) {
-    Simulation simulation(calm(11));
+    Simulation simulation(fault_free_options(11));
     for (std::size_t i = 0; i < 6; ++i) {
-        simulation.jobs().push_back(plain(numbered(i), 3, 8, static_cast<Millis>(i * 3000)));
+        simulation.jobs().push_back(
+            batch_job(numbered_job_id(i), 3, 8, static_cast<Millis>(i * 3000)));
     }
-    simulation.workers().begin()->second.sick = true;
+    simulation.workers().begin()->second.fails_tasks = true;
     EXPECT_EQ(simulation.run(), "");
 }
 
 TEST(Safety, BurstStaysUnderTheWriteLimit) {
-    Simulation simulation(calm(12));
+    Simulation simulation(fault_free_options(12));
     simulation.set_capacity(8);
     for (std::size_t i = 0; i < 120; ++i) {
-        simulation.jobs().push_back(plain(numbered(i), 2, 3, 10'000 + static_cast<Millis>(i * 20)));
+        simulation.jobs().push_back(
+            batch_job(numbered_job_id(i), 2, 3, 10'000 + static_cast<Millis>(i * 20)));
     }
     EXPECT_EQ(simulation.run(), "");
-    EXPECT_LE(simulation.highest_writes(), 60U);
+    EXPECT_LE(simulation.peak_writes_per_second(), 60U);
 }
 
 TEST(Safety, HundredThousandTasksStayWithinTheLimits) {
-    Simulation simulation(calm(13));
-    auto big = plain("job-000001", 100'000, 2);
+    Simulation simulation(fault_free_options(13));
+    auto big = batch_job("job-000001", 100'000, 2);
     big.cancel_at = 60'000;
     simulation.jobs().push_back(big);
-    simulation.jobs().push_back(plain("job-000002", 2, 4, 30'000));
+    simulation.jobs().push_back(batch_job("job-000002", 2, 4, 30'000));
     EXPECT_EQ(simulation.run(), "");
     EXPECT_GT(simulation.jobs()[0].done_tasks.size(), 50U);
     EXPECT_GE(simulation.jobs()[0].cancel_confirmed_at, 0);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -307,15 +307,15 @@
 // The state service limits the writes of all controllers together, so the writes for each job are
 // bounded.
 TEST(Scale, WritesToTheStateServiceForEachJobAreBounded) {
-    auto options = simulation::calm(41);
+    auto options = simulation::fault_free_options(41);
     options.machines = 40;
     options.teams = {{"core", {}, {}}};
     simulation::Simulation simulation(options);
     simulation.set_capacity(40);
     for (std::size_t number = 0; number < 60; ++number) {
         const bool gang = number % 2 == 0;
-        auto job = simulation::plain(simulation::numbered(number), gang ? 2 : 12, 20,
-                                     static_cast<Millis>(number) * 700);
+        auto job = simulation::batch_job(simulation::numbered_job_id(number), gang ? 2 : 12, 20,
+                                         static_cast<Millis>(number) * 700);
         job.kind = gang ? "ensemble" : "sweep";
         simulation.jobs().push_back(job);
     }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -31,7 +31,7 @@
 }
 
 Options services_day(std::uint64_t seed) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.machines = 6;
     options.settle_ms = 120'000;
     options.even_zones = true;
@@ -68,7 +68,7 @@
     simulation.lose_worker(simulation.workers().at(lost));
     simulation.advance(40'000);
     EXPECT_EQ(running(simulation, "job-000001"), 4);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Services, ReplicasMoveBeforeTheirMachineIsTaken) {
@@ -77,11 +77,11 @@
     simulation.jobs().push_back(job);
     simulation.advance(20'000);
     const auto going = replicas_by_machine(simulation, "job-000001").begin()->first;
-    simulation.workers().at(going).taken_at = 28'000;
+    simulation.workers().at(going).interrupted_at = 28'000;
     simulation.advance(27'000);
     EXPECT_EQ(replicas_by_machine(simulation, "job-000001").count(going), 0U);
     EXPECT_EQ(running(simulation, "job-000001"), 4);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // A replica that ends, well or not, runs again at once; one that does so again and again backs off.
@@ -93,7 +93,7 @@
         job.replicas_crash = crash;
         simulation.jobs().push_back(job);
         simulation.advance(180'000);
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         EXPECT_GT(served(simulation.jobs()[0]), 0.9);
     }
 }
@@ -101,13 +101,13 @@
 TEST(Services, CrashLoopsBackOffAndCondemnNoMachine) {
     Simulation simulation(services_day(6));
     for (std::size_t n = 1; n <= 3; ++n) {
-        auto job = service(numbered(n), 2, 1000);
+        auto job = service(numbered_job_id(n), 2, 1000);
         job.always_fails = true;
         simulation.jobs().push_back(job);
     }
     simulation.jobs().push_back(service("job-000009", 4, 1000));
     simulation.advance(150'000);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_GT(served(simulation.jobs()[3]), 0.9);
     EXPECT_LE(simulation.total_starts(), 100U);
     EXPECT_GT(simulation.total_starts(), 20U);
@@ -121,14 +121,14 @@
     options.teams = {{"core", {}, {}}};
     Simulation simulation(options);
     simulation.set_capacity(6);
-    auto low = plain("job-000001", 200, 60, 500);
+    auto low = batch_job("job-000001", 200, 60, 500);
     low.priority = "low";
     low.checkpoint_s = 0;
     simulation.jobs().push_back(low);
     simulation.jobs().push_back(service("job-000002", 4, 20'000));
     simulation.advance(30'000);
     EXPECT_EQ(running(simulation, "job-000002"), 4);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // All replicas together count against the team's limit, in any resource.
@@ -155,7 +155,7 @@
         });
         simulation.advance(50'000);
         EXPECT_EQ(running(simulation, "job-000001"), 4) << seed;
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
         EXPECT_GT(served(simulation.jobs()[0]), 0.85);
     }
 }
@@ -176,7 +176,7 @@
     simulation.at(20'000, [&simulation] { simulation.cut_zone("a", "", 22'000, false); });
     simulation.advance(38'000);
     EXPECT_EQ(running(simulation, "job-000001"), 6);
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
     EXPECT_EQ(simulation.run(), "");
 }
 
@@ -192,8 +192,8 @@
         std::mt19937_64 rng(options.seed);
         for (std::size_t n = 0; n < 5; ++n) {
             const auto at = static_cast<Millis>(rng() % 50'000);
-            auto job =
-                service(numbered(700'000 + n), static_cast<std::uint32_t>(1 + rng() % 5), at);
+            auto job = service(numbered_job_id(700'000 + n),
+                               static_cast<std::uint32_t>(1 + rng() % 5), at);
             job.apart = n % 2 == 0;
             job.spot = n == 4;
             if (n < 3) job.cancel_at = at + static_cast<Millis>(rng() % 80'000);
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -23,8 +23,8 @@
                   ? 0
                   : now_ + boot_ms_ / 2 +
                         static_cast<Millis>(random_below(static_cast<std::uint64_t>(boot_ms_)));
-    w.never = now_ > 0 && random_chance(never_);
-    w.sick = options_.faults && random_chance(0.06);
+    w.never_boots = now_ > 0 && random_chance(never_);
+    w.fails_tasks = options_.faults && random_chance(0.06);
     w.node = random_below(nodes_.size());
     workers_[w.name] = w;
 }
--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -7,7 +7,7 @@
 void Simulation::fault() {
     if (now_ >= options_.busy_ms) {
         // Everything heals: what was accepted has to end.
-        for (auto& [name, w] : workers_) w.sick = false;
+        for (auto& [name, w] : workers_) w.fails_tasks = false;
         return;
     }
     const auto node = random_below(nodes_.size());
@@ -45,7 +45,7 @@
             cut(name, "", span, delay);
             break;
         case 7:
-            refuse_node(node, span);
+            refuse_state_requests(node, span);
             break;
         case 8:
             state_outage(span);
@@ -61,7 +61,7 @@
             break;
         case 11:
             if (auto* w = random_worker())
-                w->taken_at = now_ + static_cast<Millis>(random_below(8000));
+                w->interrupted_at = now_ + static_cast<Millis>(random_below(8000));
             break;
         case 12:
             if (auto* w = random_worker()) cut(w->name, "n", span, delay);
@@ -112,7 +112,7 @@
         case 22:
             // The leader alone is refused, others confirm cancellations, then it is out for all.
             if (auto l = leader()) {
-                refuse_node(*l, span);
+                refuse_state_requests(*l, span);
                 if (random_chance(0.4)) cut(node_name(*l), "n", span + 15'000, delay);
                 const auto other = (*l + 1 + random_below(nodes_.size() - 1)) % nodes_.size();
                 at(now_ + 200 + static_cast<Millis>(random_below(1500)), [this, other, span] {
@@ -151,13 +151,13 @@
                 delay);
             break;
         default:
-            for (Millis t = 0; t < span; t += 100) at(now_ + t, [this] { odd_request(); });
+            for (Millis t = 0; t < span; t += 100) at(now_ + t, [this] { send_unusual_request(); });
             break;
     }
     at(now_ + (both ? 1 : 1500 + static_cast<Millis>(random_below(7000))), [this] { fault(); });
 }
 
-Options calm(std::uint64_t seed) {
+Options fault_free_options(std::uint64_t seed) {
     Options options;
     options.seed = seed;
     options.jobs = 0;
@@ -165,13 +165,13 @@
     return options;
 }
 
-std::string numbered(std::size_t n) {
+std::string numbered_job_id(std::size_t n) {
     char id[32];
     std::snprintf(id, sizeof id, "job-%06zu", n);
     return id;
 }
 
-Job plain(const std::string& id, std::uint32_t count, double run_s, Millis submit_at) {
+Job batch_job(const std::string& id, std::uint32_t count, double run_s, Millis submit_at) {
     Job j;
     j.id = id;
     j.count = count;
@@ -199,7 +199,7 @@
 Job random_job(std::mt19937_64& rng, std::size_t number, Millis busy_ms) {
     const auto random_below = [&](std::uint64_t n) { return rng() % n; };
     Job j;
-    j.id = numbered((number * 7919 + 13) % 1'000'000);
+    j.id = numbered_job_id((number * 7919 + 13) % 1'000'000);
     j.cls = random_below(2) == 0 ? "one" : "other";
     j.team = random_below(3) == 0 ? "side" : "core";
     j.kind = random_below(2) == 0 ? "ensemble" : "sweep";
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -101,9 +101,9 @@
         for (const auto& t : w.tasks) there[w.zone] += t.job == j.id && t.state != "exited" ? 1 : 0;
     }
     for (const auto& [name, w] : workers_) {
-        const bool well = w.up && !w.gone && !w.sick && w.hung_until <= now_ &&
+        const bool well = w.up && !w.gone && !w.fails_tasks && w.hung_until <= now_ &&
                           w.inbound_blocked_until <= now_ && w.outbound_blocked_until <= now_ &&
-                          w.taken_at < 0;
+                          w.interrupted_at < 0;
         if (!well || (w.spot && !j.spot) || (j.zone && *j.zone != w.zone)) continue;
         double cpus = kCpus;
         for (const auto& t : w.tasks) {
@@ -200,9 +200,9 @@
             served[group].first += was_served ? 1 : 0;
         }
         if (j.count == largest[j.cls] && now_ - j.submit_at > kLargestBegins &&
-            (j.begun < 0 || j.begun - j.submit_at > kLargestBegins)) {
+            (j.first_run_at < 0 || j.first_run_at - j.submit_at > kLargestBegins)) {
             fail("unserved", j.id + ", a largest one, began after " +
-                                 std::to_string(j.begun - j.submit_at) + " ms");
+                                 std::to_string(j.first_run_at - j.submit_at) + " ms");
         }
     }
     for (const auto& [group, n] : served) {
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -234,7 +234,7 @@
     fault_until(now_ + for_ms);
 }
 
-void Simulation::refuse_node(std::size_t node, Millis for_ms) {
+void Simulation::refuse_state_requests(std::size_t node, Millis for_ms) {
     refused_until_[node] = now_ + for_ms;
     fault_until(now_ + for_ms);
 }
@@ -323,10 +323,10 @@
         return;
     }
     Millis extra = 0;
-    if (messages_are_lossy() && random_chance(options_.late_request)) {
+    if (messages_are_lossy() && random_chance(options_.delayed_request_share)) {
         extra = 1000 + static_cast<Millis>(random_below(20000));
     }
-    if (messages_are_lossy() && random_chance(options_.repeats)) {
+    if (messages_are_lossy() && random_chance(options_.repeated_request_share)) {
         repeat(from, to, request, 1000 + static_cast<Millis>(random_below(90'000)));
     }
     if (keep_direct_ && request.target == "/do") direct_kept_.emplace_back(to, request);
@@ -336,7 +336,7 @@
         [this, from, to, host, finish, reset, sent = now_, request = std::move(request)] {
             serve(host_of(from), to, request, sent,
                   [this, from, host, finish, reset](const net::HttpResponse& response) {
-                      if (messages_are_lossy() && random_chance(options_.lost_answer)) {
+                      if (messages_are_lossy() && random_chance(options_.lost_response_share)) {
                           return;
                       }
                       if (host == "cloud" && now_ < lost_cloud_answers_until_ &&
@@ -399,7 +399,7 @@
             });
             return;
         }
-        if (options_.old_peers && request.target.starts_with("/peer/cancel")) {
+        if (options_.peers_without_cancel_messages && request.target.starts_with("/peer/cancel")) {
             return respond({404, ""});
         }
         trace("served", from + ">" + to, request.method + " " + request.target, request.body);
@@ -437,7 +437,7 @@
     });
 }
 
-void Simulation::repeat_direct() {
+void Simulation::replay_direct_commands() {
     for (const auto& [to, request] : direct_kept_) repeat("n0", to, request, 1);
 }
 
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -54,7 +54,7 @@
     Millis give_up_submit = 0;
     Millis responded_at = -1;  // the last poll of it that got an answer
     Millis room_since = -1;    // something of it waits, though it would fit
-    Millis begun = -1;         // gang: all tasks ran; array: one did
+    Millis first_run_at = -1;  // gang: all tasks ran; array: one did
     // What is true.
     std::set<std::uint32_t> done_tasks;
     std::map<std::uint64_t, double> progress;  // by task (gang: task 0), seconds saved
@@ -89,15 +89,15 @@
     Millis provisioned_at = 0;
     Millis up_at = 0;
     bool up = false;
-    bool never = false;
+    bool never_boots = false;
     bool gone = false;
-    bool sick = false;
+    bool fails_tasks = false;
     Millis hung_until = 0;
     Millis outbound_blocked_until = 0;  // it can open no connection to a controller
     Millis inbound_blocked_until =
         0;                      // its reports arrive, but neither answers nor commands reach it
     bool inbound_held = false;  // commands are held until then, or else lost
-    Millis taken_at = -1;
+    Millis interrupted_at = -1;
     std::uint64_t session = 1;
     std::uint64_t seq = 0;
     std::uint64_t token = 0;
@@ -124,18 +124,19 @@
     bool faults = true;
     bool lossy_messages =
         false;  // messages are lost, late and repeated on a day without other faults too
-    double lost_answer = 0.004;
-    double late_request = 0.002;
-    double late_copy = 0.01;  // of a report, by seconds up to several leases
-    double repeats = 0.01;    // of any request that was carried out, up to minutes later
+    double lost_response_share = 0.004;
+    double delayed_request_share = 0.002;
+    double delayed_copy_share = 0.01;  // of a report, by seconds up to several leases
+    double repeated_request_share =
+        0.01;  // of any request that was carried out, up to minutes later
     Millis restart_ms = 3000;
     // A run that left before its job's cancellation was known to the leader may still arrive. A
     // leader that is cut off from everything may send one while its lease is valid.
     Millis late_start_ms = 3500;
-    bool even_zones = false;   // of the first machines, or else one of them is in zone a
-    bool old_peers = false;    // none knows the messages about cancellations
+    bool even_zones = false;  // of the first machines, or else one of them is in zone a
+    bool peers_without_cancel_messages = false;  // none knows the messages about cancellations
     bool old_version = false;  // controllers begin as the version before services, see upgrade()
-    control::NextStateLimits next;  // in the settings; in force from limit_state() on
+    control::NextStateLimits next;  // in the settings; in force from apply_next_limits() on
     core::SafetyGuards guards;      // tests of a guard switch it off
     std::string policy;             // the operators'
     control::Features features;     // the operators'
@@ -159,7 +160,7 @@
     void at(Millis when, std::function<void()> fn);
     [[nodiscard]] Millis now() const { return now_; }
     void advance(Millis until);
-    [[nodiscard]] const std::string& broken() const { return broken_; }
+    [[nodiscard]] const std::string& violation() const { return broken_; }
 
     // Faults and direct access for scripted tests.
     void crash(std::size_t node, Millis back_after);
@@ -167,7 +168,7 @@
     void upgrade(std::size_t node, Millis back_after) { change_version(node, true, back_after); }
     void downgrade(std::size_t node, Millis back_after) { change_version(node, false, back_after); }
     // The limits of Options::next are in force from now on.
-    void limit_state() { limits_in_force_ = true; }
+    void apply_next_limits() { limits_in_force_ = true; }
     // Requests that the state service rejected for their size since then.
     [[nodiscard]] std::size_t rejections() const { return rejections_; }
     void cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
@@ -176,7 +177,7 @@
         outage_until_ = now_ + for_ms;
         fault_until(outage_until_);
     }
-    void refuse_node(std::size_t node, Millis for_ms);
+    void refuse_state_requests(std::size_t node, Millis for_ms);
     // The process is paused, its clocks run on, what is sent to it waits.
     void freeze(std::size_t node, Millis for_ms);
     void cloud_outage(Millis for_ms) {
@@ -225,15 +226,15 @@
     // A controller that keeps its workers and loses everything else.
     void isolate(std::size_t node, Millis for_ms, bool delay, bool refuse = false);
     // Every direct command from now on is kept, and delivered once more when asked for.
-    void keep_direct() { keep_direct_ = true; }
-    void repeat_direct();
+    void record_direct_commands() { keep_direct_ = true; }
+    void replay_direct_commands();
     [[nodiscard]] std::uint64_t total_starts() const;
     [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
     [[nodiscard]] bool node_up(std::size_t node) const {
         return nodes_[node].controller != nullptr;
     }
     std::map<std::string, std::pair<std::string, std::uint64_t>>& store() { return store_; }
-    [[nodiscard]] std::size_t highest_writes() const { return max_writes_; }
+    [[nodiscard]] std::size_t peak_writes_per_second() const { return max_writes_; }
     [[nodiscard]] std::size_t writes() const { return writes_; }
     [[nodiscard]] std::size_t direct_calls() const { return direct_calls_; }
     // Keeps a zone from another, or from everything with an empty name.
@@ -245,16 +246,16 @@
         fault_until(slow_until_);
     }
     // The state service forgets older changes, as after ten thousand newer ones.
-    void forget_changes() { forgotten_ = revision_; }
+    void compact_changes() { forgotten_ = revision_; }
     // Messages of everybody take so much longer.
     void slow_links(Millis by, Millis for_ms) {
         links_by_ = by;
         links_until_ = now_ + for_ms;
         fault_until(links_until_);
     }
-    void set_boot(Millis ms) { boot_ms_ = ms; }
+    void set_boot_time(Millis ms) { boot_ms_ = ms; }
     // That share of the machines provisioned from now on never comes up.
-    void set_never(double share) { never_ = share; }
+    void set_never_boots_share(double share) { never_ = share; }
     // Requests to the state service so far.
     [[nodiscard]] std::size_t state_requests() const { return state_requests_; }
     void set_capacity(int maximum) { capacity_ = maximum; }
@@ -265,7 +266,7 @@
     // Users cancel that many running jobs within a fifth of a second; some machines hang.
     void cancel_now(std::size_t count, Millis hang_ms);
     // Repeated submissions, cancels of what is over or unknown, jobs that can't run.
-    void odd_request();
+    void send_unusual_request();
     void submit(Job& job);
     // `sent`: when it left its sender.
     void serve(const std::string& from, const std::string& to, const net::HttpRequest& request,
@@ -302,7 +303,8 @@
     void boot(std::size_t node);
     void change_version(std::size_t node, bool current, Millis back_after);
     void measure_services();
-    // Whether a transaction is within the limits that hold since limit_state(); answers it if not.
+    // Whether a transaction is within the limits that hold since apply_next_limits(); answers it if
+    // not.
     bool within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond);
     void call(const std::string& from, const std::string& to, net::HttpRequest request,
               Millis deadline, net::OnReply on_reply);
@@ -437,10 +439,10 @@
 };
 
 // A day without jobs or faults, for scripted tests.
-Options calm(std::uint64_t seed);
+Options fault_free_options(std::uint64_t seed);
 // "job-000007"
-std::string numbered(std::size_t n);
-Job plain(const std::string& id, std::uint32_t count, double run_s, Millis submit_at = 0);
+std::string numbered_job_id(std::size_t n);
+Job batch_job(const std::string& id, std::uint32_t count, double run_s, Millis submit_at = 0);
 // A service with replicas that run until its user cancels it.
 Job service(const std::string& id, std::uint32_t replicas, Millis submit_at, Millis cancel_at = -1);
 // A job with its parts drawn at random.
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -132,10 +132,10 @@
          });
 }
 
-void Simulation::odd_request() {
+void Simulation::send_unusual_request() {
     const auto node = static_cast<std::size_t>(random_below(nodes_.size()));
-    const auto unknown = numbered(900'000 + random_below(90'000));
-    Job bad = jobs_.empty() ? plain(unknown, 1, 5) : jobs_[random_below(jobs_.size())];
+    const auto unknown = numbered_job_id(900'000 + random_below(90'000));
+    Job bad = jobs_.empty() ? batch_job(unknown, 1, 5) : jobs_[random_below(jobs_.size())];
     Job* known = jobs_.empty() ? nullptr : &jobs_[random_below(jobs_.size())];
     bad.id = unknown;
     switch (random_below(6)) {
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -27,9 +27,9 @@
     w.Uint64(++worker.seq);
     w.Key("delega");
     w.Uint64(worker.token);
-    if (worker.taken_at >= 0) {
+    if (worker.interrupted_at >= 0) {
         w.Key("preavvisoS");
-        w.Double(std::max(0.0, static_cast<double>(worker.taken_at - now_) / 1000));
+        w.Double(std::max(0.0, static_cast<double>(worker.interrupted_at - now_) / 1000));
     }
     w.Key("prove");
     w.StartArray();
@@ -178,7 +178,7 @@
     const auto sent = now_;
     const auto session = worker.session;
     const auto body = report(worker);
-    if (messages_are_lossy() && random_chance(options_.late_copy)) {
+    if (messages_are_lossy() && random_chance(options_.delayed_copy_share)) {
         const auto late =
             1000 + static_cast<Millis>(random_below(static_cast<std::uint64_t>(
                        random_chance(0.5) ? options_.lease_s * 1000 : options_.lease_s * 6000)));
@@ -236,9 +236,9 @@
 
 void Simulation::worker_tick(Worker& worker) {
     if (worker.gone) return;
-    if (worker.taken_at >= 0 && now_ >= worker.taken_at) return lose_worker(worker);
+    if (worker.interrupted_at >= 0 && now_ >= worker.interrupted_at) return lose_worker(worker);
     if (!worker.up) {
-        if (worker.never || now_ < worker.up_at) return;
+        if (worker.never_boots || now_ < worker.up_at) return;
         worker.up = true;
         worker.last_acknowledged_sent_at = now_;
     }
@@ -268,7 +268,7 @@
             t.gang_incomplete_since = now_;
             t.done_before = j.progress[gang ? 0 : t.task];
             if (!gang) t.run_since = now_;
-            if (!gang && j.begun < 0) j.begun = now_;
+            if (!gang && j.first_run_at < 0) j.first_run_at = now_;
             worker.changed = true;
         }
         if (t.state == "gathering") {
@@ -290,7 +290,7 @@
                             o.run_since = now_;
                             o.gang_incomplete_since = now_;
                             other.changed = true;
-                            if (j.begun < 0) j.begun = now_;
+                            if (j.first_run_at < 0) j.first_run_at = now_;
                         }
                     }
                 }
@@ -322,7 +322,7 @@
             continue;
         }
         if (t.state == "running") {
-            if ((worker.sick || j.always_fails) && now_ - t.run_since > 1000) {
+            if ((worker.fails_tasks || j.always_fails) && now_ - t.run_since > 1000) {
                 exit_task(worker, t, "error", false);
             } else if (j.is_service()) {
                 const bool ends = j.replica_s > 0 && progress_of(t) >= j.replica_s;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -20,8 +20,8 @@
 // Arrays and gangs whose records exceed the limits to come, of one and of two records.
 void add_large_jobs(Simulation& simulation, std::mt19937_64& rng, Millis busy_ms) {
     for (std::size_t n = 0; n < 8; ++n) {
-        auto job = plain(numbered(500'000 + n), 0, 3 + static_cast<double>(rng() % 10),
-                         static_cast<Millis>(rng() % static_cast<std::uint64_t>(busy_ms)));
+        auto job = batch_job(numbered_job_id(500'000 + n), 0, 3 + static_cast<double>(rng() % 10),
+                             static_cast<Millis>(rng() % static_cast<std::uint64_t>(busy_ms)));
         job.kind = n % 3 == 2 ? "ensemble" : "sweep";
         job.cls = "large";
         job.count =
@@ -35,7 +35,8 @@
     for (std::size_t n = 0; n < 4; ++n) {
         const auto at =
             from + static_cast<Millis>(rng() % static_cast<std::uint64_t>(until - from));
-        auto job = service(numbered(600'000 + n), static_cast<std::uint32_t>(2 + rng() % 4), at);
+        auto job =
+            service(numbered_job_id(600'000 + n), static_cast<std::uint32_t>(2 + rng() % 4), at);
         if (n % 2 == 0) job.cancel_at = at + 20'000 + static_cast<Millis>(rng() % 60'000);
         if (n == 3) job.replica_s = 6;
         simulation.jobs().push_back(job);
@@ -79,7 +80,7 @@
         add_services(simulation, rng, kRollEnds + 10'000, 100'000);
         roll(simulation, rng, seed % 2 == 0 ? 3 : 5);
         const auto limits_at = kRollEnds + 6000 + static_cast<Millis>(rng() % 40'000);
-        simulation.at(limits_at, [&simulation] { simulation.limit_state(); });
+        simulation.at(limits_at, [&simulation] { simulation.apply_next_limits(); });
         EXPECT_EQ(simulation.run(), "") << "seed " << seed;
         // Each kind of write learns of the limits by a few requests at most.
         EXPECT_LE(simulation.rejections(), 40U) << "seed " << seed;
@@ -194,34 +195,34 @@
 
 std::vector<Moment> moments() {
     return {
-        {"WhileJobsArrive", [](Simulation& w) { w.at(20'000, [&w] { w.limit_state(); }); }},
+        {"WhileJobsArrive", [](Simulation& w) { w.at(20'000, [&w] { w.apply_next_limits(); }); }},
         {"InAnElection",
          [](Simulation& w) {
              w.at(20'000, [&w] { crash_leader(w); });
-             w.at(22'500, [&w] { w.limit_state(); });
+             w.at(22'500, [&w] { w.apply_next_limits(); });
          }},
         {"InATakeOver",
          [](Simulation& w) {
              w.at(20'000, [&w] { crash_leader(w); });
-             w.at(23'300, [&w] { w.limit_state(); });
+             w.at(23'300, [&w] { w.apply_next_limits(); });
          }},
         {"InAnOutage",
          [](Simulation& w) {
              w.at(20'000, [&w] { w.state_outage(9000); });
-             w.at(25'000, [&w] { w.limit_state(); });
+             w.at(25'000, [&w] { w.apply_next_limits(); });
          }},
         {"WhileJobsAreCancelled",
          [](Simulation& w) {
-             w.at(20'000, [&w] { w.limit_state(); });
+             w.at(20'000, [&w] { w.apply_next_limits(); });
              for (Millis t = 19'000; t < 24'000; t += 500) w.at(t, [&w] { w.cancel_now(1, 0); });
          }},
         {"WhileWritesComeLate",
          [](Simulation& w) {
              w.at(15'000, [&w] { w.late_writes(0.3, 15'000); });
-             w.at(20'000, [&w] { w.limit_state(); });
+             w.at(20'000, [&w] { w.apply_next_limits(); });
          }},
         {"BeforeTheControllersKnowEachOther",
-         [](Simulation& w) { w.at(300, [&w] { w.limit_state(); }); }},
+         [](Simulation& w) { w.at(300, [&w] { w.apply_next_limits(); }); }},
     };
 }
 
@@ -231,12 +232,12 @@
 // Records stored before the limits fell are larger than what may be written: their jobs go on, end
 // and leave nothing behind.
 TEST(Upgrade, LargeStoredRecordsAreReplacedAndRemoved) {
-    auto options = calm(31);
+    auto options = fault_free_options(31);
     options.old_version = true;
     options.next = smallest_limits();
     options.machines = 12;
     Simulation simulation(options);
-    auto job = plain("job-000001", 90, 25, 1000);
+    auto job = batch_job("job-000001", 90, 25, 1000);
     job.cpus = 0.5;
     simulation.jobs().push_back(job);
     simulation.advance(12'000);
@@ -245,7 +246,7 @@
     ASSERT_GT(coarse->second.first.size(), 1024U);
     for (std::size_t n = 0; n < 3; ++n) simulation.upgrade(n, 500);
     simulation.advance(14'000);
-    simulation.limit_state();
+    simulation.apply_next_limits();
     EXPECT_EQ(simulation.run(), "");
     for (const auto& [key, value] : simulation.store())
         EXPECT_FALSE(key.starts_with("place/")) << key;
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -104,7 +104,7 @@
     for (const char* body : {"", "{}", "[]", R"({"banco":1})"}) {
         EXPECT_EQ(simulation_.ask(0, {"POST", "/agent/beat", body}).status, 400) << body;
     }
-    EXPECT_EQ(simulation_.broken(), "");
+    EXPECT_EQ(simulation_.violation(), "");
 }
 
 TEST_F(UserApi, CancelIsFinalOnEveryNode) {
@@ -135,14 +135,14 @@
     const auto reply = simulation_.ask(1, {"POST", "/v2/runs", submission()});
     EXPECT_EQ(reply.status, 200);
     EXPECT_NE(reply.body.find("done"), std::string::npos);
-    EXPECT_EQ(simulation_.broken(), "");
+    EXPECT_EQ(simulation_.violation(), "");
 }
 
 TEST_F(UserApi, NodeThatTheStateServiceRefusesAlonePassesRequestsOn) {
     const auto leader = simulation_.leader();
     ASSERT_TRUE(leader);
     const auto other = (*leader + 1) % 3;
-    simulation_.refuse_node(other, 20'000);
+    simulation_.refuse_state_requests(other, 20'000);
     simulation_.advance(simulation_.now() + 6000);
     EXPECT_EQ(simulation_.ask(other, {"POST", "/v2/runs", submission()}).status, 201);
     EXPECT_EQ(get("/v2/runs/job-000001", other).status, 200);
