--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -23,7 +23,7 @@
                   ? 0
                   : now_ + boot_ms_ / 2 +
                         static_cast<Millis>(random_below(static_cast<std::uint64_t>(boot_ms_)));
-    w.never_boots = now_ > 0 && random_chance(never_);
+    w.never_boots = now_ > 0 && random_chance(never_boots_share_);
     w.fails_tasks = options_.faults && random_chance(0.06);
     w.node = random_below(nodes_.size());
     workers_[w.name] = w;
@@ -87,7 +87,7 @@
     worker.gone = true;
     worker.up = false;
     worker.tasks.clear();
-    worker.held.clear();
+    worker.deferred.clear();
 }
 
 }  // namespace lichendrift::simulation
--- a/tests/simulation/duties.cpp
+++ b/tests/simulation/duties.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint64_t kAttemptsOfATerm = 10'000'000;  // attempt numbers hold the term in front
+constexpr std::uint64_t kAttemptsPerTerm = 10'000'000;  // attempt numbers hold the term in front
 
 std::uint64_t epoch_in(const rapidjson::Value& request) {
     return request.HasMember("epoch") ? request["epoch"].GetUint64() : 0;
@@ -20,8 +20,8 @@
 bool Simulation::refuses_epoch(const rapidjson::Value& request) {
     const auto epoch = epoch_in(request);
     if (epoch == 0) return false;
-    const bool stale = epoch < highest_epoch_requested_;
-    highest_epoch_requested_ = std::max(highest_epoch_requested_, epoch);
+    const bool stale = epoch < highest_epoch_at_cloud_;
+    highest_epoch_at_cloud_ = std::max(highest_epoch_at_cloud_, epoch);
     if (!options_.cloud_checks_epochs || !stale) return false;
     ++releases_.refused;
     return true;
@@ -29,27 +29,27 @@
 
 // A request of a leader that was replaced must name no machine that a later one has given work.
 void Simulation::release_machines(const rapidjson::Value& request) {
-    const auto term = terms_[epoch_in(request)];
+    const auto term = token_by_epoch_[epoch_in(request)];
     const auto newest =
         parsed(store_["token"].first)["t"].GetUint64() / core::kFencingTokensPerTerm;
     const bool replaced = term != 0 && term / core::kFencingTokensPerTerm < newest;
     if (replaced) ++releases_.late;
-    std::size_t there = 0;
+    std::size_t present = 0;
     for (const auto& name : request["banchi"].GetArray()) {
         auto it = workers_.find(name.GetString());
         if (it == workers_.end() || it->second.gone) continue;
-        ++there;
+        ++present;
         for (const auto& task : it->second.tasks) {
-            const bool later = task.attempt / kAttemptsOfATerm > term;
-            if (task.state != "exited" && later && epoch_in(request) != 0) {
+            const bool from_later_leader = task.attempt / kAttemptsPerTerm > term;
+            if (task.state != "exited" && from_later_leader && epoch_in(request) != 0) {
                 fail("stale_release", it->first + " is used by a later leader");
             }
         }
         lose_worker(it->second);
     }
-    if (there == 0) return;
+    if (present == 0) return;
     ++releases_.requests;
-    releases_.machines += there;
+    releases_.machines += present;
     if (replaced) ++releases_.by_replaced;
 }
 
@@ -58,15 +58,15 @@
     if (key.starts_with("duty/")) {
         if (value.empty()) return fail("duty_removed", key);
         const auto epoch = parsed(value)["e"].GetUint64();
-        if (epoch <= epochs_[key]) fail("epoch_went_back", key);
-        epochs_[key] = epoch;
+        if (epoch <= highest_epoch_by_duty_[key]) fail("epoch_went_back", key);
+        highest_epoch_by_duty_[key] = epoch;
         if (key == "duty/provisioning")
-            terms_[epoch] = parsed(store_["leader"].first)["t"].GetUint64();
+            token_by_epoch_[epoch] = parsed(store_["leader"].first)["t"].GetUint64();
     }
     if (!key.starts_with("intent/") || value.empty()) return;
     const auto doc = parsed(value);
     const auto* duty = doc.HasMember("r") ? "duty/provisioning" : "duty/reclaiming";
-    if (doc["e"].GetUint64() != epochs_[duty]) {
+    if (doc["e"].GetUint64() != highest_epoch_by_duty_[duty]) {
         fail("stale_intent", key + " is written by a holder that was replaced");
     }
 }
--- a/tests/simulation/loopback_environment.cpp
+++ b/tests/simulation/loopback_environment.cpp
@@ -114,12 +114,12 @@
 void LoopbackEnvironment::listen_for_controller(std::size_t node) {
     const auto handler = [this, node](const char* to) {
         return [this, node, to](const net::HttpRequest& request, net::Respond respond) {
-            const auto held = delay_ ? delay_(node, request) : 0;
+            const auto delay_ms = delay_ ? delay_(node, request) : 0;
             const auto carry_out = [this, node, to, request, respond = std::move(respond)] {
                 simulation_->serve(node_name(node), to, request, simulation_->now(), respond);
             };
-            if (held == 0) return carry_out();
-            loop_.after(held, carry_out);
+            if (delay_ms == 0) return carry_out();
+            loop_.after(delay_ms, carry_out);
         };
     };
     listen(own_address(host_of_node(node), kStatePort), handler("state:1"));
--- a/tests/simulation/messages.h
+++ b/tests/simulation/messages.h
@@ -11,10 +11,10 @@
 // Shared by the parts of the simulation: parsing of messages, names of hosts, size of a machine.
 namespace lichendrift::simulation {
 
-inline constexpr double kCpus = 8;       // of a machine
-inline constexpr double kPeer = 3;       // seconds in which a gang notices a lost task
-inline constexpr double kGangWait = 15;  // seconds for which a gang waits for its last task
-inline constexpr std::size_t kOps = 8;   // changes of a transaction
+inline constexpr double kMachineCpus = 8;       // of a machine
+inline constexpr double kGangPeerTimeoutS = 3;  // seconds in which a gang notices a lost task
+inline constexpr double kGangWaitS = 15;        // seconds for which a gang waits for its last task
+inline constexpr std::size_t kMaxTransactionOperations = 8;  // changes of a transaction
 using Doc = rapidjson::Document;
 using Buffer = rapidjson::StringBuffer;
 using Writer = rapidjson::Writer<Buffer>;
--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -21,7 +21,7 @@
         }
         return up.empty() ? nullptr : up[random_below(up.size())];
     };
-    const auto both = random_chance(0.25);  // a second fault at once
+    const auto second_fault_at_once = random_chance(0.25);  // a second fault at once
     switch (random_below(30)) {
         case 0:
             crash(node, options_.restart_ms);
@@ -154,7 +154,8 @@
             for (Millis t = 0; t < span; t += 100) at(now_ + t, [this] { send_unusual_request(); });
             break;
     }
-    at(now_ + (both ? 1 : 1500 + static_cast<Millis>(random_below(7000))), [this] { fault(); });
+    at(now_ + (second_fault_at_once ? 1 : 1500 + static_cast<Millis>(random_below(7000))),
+       [this] { fault(); });
 }
 
 Options fault_free_options(std::uint64_t seed) {
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Millis kUnanswered = 75'000;      // without an answer about it a job counts as forgotten
-constexpr Millis kSettled = 12'000;         // for which a leader has had a valid lease
-constexpr Millis kLeftWaiting = 90'000;     // beside a machine that it fits on
-constexpr Millis kLargestBegins = 240'000;  // after its submission
-constexpr Millis kServedFrom = 5000;        // after the acceptance of a service
+constexpr Millis kMaxUnanswered = 75'000;   // without an answer about it a job counts as forgotten
+constexpr Millis kSettleTime = 12'000;      // for which a leader has had a valid lease
+constexpr Millis kMaxWait = 90'000;         // beside a machine that it fits on
+constexpr Millis kMaxStartDelay = 240'000;  // after its submission
+constexpr Millis kServiceGracePeriod = 5000;  // after the acceptance of a service
 constexpr Millis kTick = 100;
 
 }  // namespace
@@ -57,10 +57,10 @@
             used[j.team] += j.cpus;
             // A machine that hangs past its lease kills its tasks when it goes on, and only its
             // release takes them off before; nobody can release it without a valid leader lease.
-            const bool dead =
+            const bool lease_expired =
                 w.hung_until > now_ &&
                 now_ - w.last_acknowledged_sent_at > static_cast<Millis>(options_.lease_s * 1000);
-            if (dead && now_ - unsettled_at_ < kSettled) continue;
+            if (lease_expired && now_ - last_unsettled_at_ < kSettleTime) continue;
             if (j.cancel_confirmed_at >= 0 &&
                 now_ - j.cancel_confirmed_at > static_cast<Millis>(options_.cancel_s * 1000)) {
                 fail("ran_cancelled", j.id + " is still on " + name);
@@ -78,48 +78,49 @@
     for (const auto& j : jobs_) {
         if (j.accepted < 0) continue;
         const auto since = std::max({j.responded_at, j.accepted, faults_over_at_});
-        if (now_ - since > kUnanswered) fail("forgotten", j.id + " gets no answer");
+        if (now_ - since > kMaxUnanswered) fail("forgotten", j.id + " gets no answer");
     }
 }
 
 // Whether all of a gang, or one task of an array, fits into what is free, by zones where these
 // count.
 bool Simulation::has_room(const Job& j, const std::map<std::string, double>& used) const {
-    std::map<std::string, int> there;  // its tasks that count against its zones already
+    std::map<std::string, int> tasks_in_zone;  // its tasks that count against its zones already
     const bool gang = j.kind == "ensemble";
     const auto need = static_cast<int>(gang ? j.count : 1);
     for (const auto& team : options_.teams) {
         const auto limit = static_cast<double>(team.limit.cpus) / 1000;
         const auto it = used.find(j.team);
-        const auto now_used = it == used.end() ? 0.0 : it->second;
-        if (team.name == j.team && limit > 0 && now_used + need * j.cpus > limit + 1e-9) {
+        const auto quota_used = it == used.end() ? 0.0 : it->second;
+        if (team.name == j.team && limit > 0 && quota_used + need * j.cpus > limit + 1e-9) {
             return false;
         }
     }
-    std::map<std::string, int> fit;  // by zone
+    std::map<std::string, int> slots;  // by zone
     for (const auto& [name, w] : workers_) {
-        for (const auto& t : w.tasks) there[w.zone] += t.job == j.id && t.state != "exited" ? 1 : 0;
+        for (const auto& t : w.tasks)
+            tasks_in_zone[w.zone] += t.job == j.id && t.state != "exited" ? 1 : 0;
     }
     for (const auto& [name, w] : workers_) {
-        const bool well = w.up && !w.gone && !w.fails_tasks && w.hung_until <= now_ &&
-                          w.inbound_blocked_until <= now_ && w.outbound_blocked_until <= now_ &&
-                          w.interrupted_at < 0;
-        if (!well || (w.spot && !j.spot) || (j.zone && *j.zone != w.zone)) continue;
-        double cpus = kCpus;
+        const bool usable = w.up && !w.gone && !w.fails_tasks && w.hung_until <= now_ &&
+                            w.inbound_blocked_until <= now_ && w.outbound_blocked_until <= now_ &&
+                            w.interrupted_at < 0;
+        if (!usable || (w.spot && !j.spot) || (j.zone && *j.zone != w.zone)) continue;
+        double cpus = kMachineCpus;
         for (const auto& t : w.tasks) {
             if (t.state == "exited") continue;
             for (const auto& other : jobs_) {
                 if (other.id == t.job) cpus -= other.cpus;
             }
         }
-        fit[w.zone] += static_cast<int>((cpus + 1e-9) / j.cpus);
+        slots[w.zone] += static_cast<int>((cpus + 1e-9) / j.cpus);
     }
     int maximum = 0;
     int sum = 0;
-    for (const auto& [zone, n] : fit) {
+    for (const auto& [zone, n] : slots) {
         maximum = std::max(maximum, n);
-        const int half = (static_cast<int>(j.count) + 1) / 2;
-        sum += j.apart ? std::min(n, std::max(0, half - there[zone])) : n;
+        const int max_per_zone = (static_cast<int>(j.count) + 1) / 2;
+        sum += j.apart ? std::min(n, std::max(0, max_per_zone - tasks_in_zone[zone])) : n;
     }
     return (j.one_zone && gang ? maximum : sum) >= need;
 }
@@ -127,9 +128,9 @@
 // Whether one replica has not been placed for too long; others may come and go meanwhile.
 bool Simulation::replica_waits(const Job& j) const {
     for (std::uint32_t task = 0; task < j.count; ++task) {
-        const auto seen = j.replica_seen.find(task);
-        const auto since = seen == j.replica_seen.end() ? j.accepted : seen->second;
-        if (now_ - std::max(since, faults_over_at_) > kLeftWaiting) return true;
+        const auto seen = j.replica_last_placed_at.find(task);
+        const auto since = seen == j.replica_last_placed_at.end() ? j.accepted : seen->second;
+        if (now_ - std::max(since, faults_over_at_) > kMaxWait) return true;
     }
     return false;
 }
@@ -150,15 +151,15 @@
         // Of an array a single task may be left behind while the others have long ended.
         auto served = placed[j.id];
         served.insert(j.done_tasks.begin(), j.done_tasks.end());
-        const bool left = j.kind == "ensemble" ? served.empty() : served.size() < j.count;
-        for (auto task : placed[j.id]) j.replica_seen[task] = now_;
+        const bool incomplete = j.kind == "ensemble" ? served.empty() : served.size() < j.count;
+        for (auto task : placed[j.id]) j.replica_last_placed_at[task] = now_;
         const bool waits = j.accepted >= 0 && j.cancel_requested_at < 0 && !j.done_reported &&
-                           j.done_tasks.size() < j.count && left;
+                           j.done_tasks.size() < j.count && incomplete;
         if (!waits || !has_room(j, used)) {
-            j.room_since = -1;
-        } else if (j.room_since < 0) {
-            j.room_since = now_;
-        } else if (now_ - j.room_since > kLeftWaiting && (!j.is_service() || replica_waits(j))) {
+            j.fits_since = -1;
+        } else if (j.fits_since < 0) {
+            j.fits_since = now_;
+        } else if (now_ - j.fits_since > kMaxWait && (!j.is_service() || replica_waits(j))) {
             fail("left_waiting", j.id + " beside room that fits");
         }
     }
@@ -169,7 +170,7 @@
 void Simulation::measure_services() {
     for (auto& j : jobs_) {
         const bool due = j.is_service() && j.accepted >= 0 && j.cancel_requested_at < 0 &&
-                         now_ >= j.accepted + kServedFrom;
+                         now_ >= j.accepted + kServiceGracePeriod;
         if (!due) continue;
         std::set<std::uint32_t> up;
         for (const auto& [name, w] : workers_) {
@@ -199,8 +200,8 @@
                                                    : j.done_tasks.size() == j.count;
             served[group].first += was_served ? 1 : 0;
         }
-        if (j.count == largest[j.cls] && now_ - j.submit_at > kLargestBegins &&
-            (j.first_run_at < 0 || j.first_run_at - j.submit_at > kLargestBegins)) {
+        if (j.count == largest[j.cls] && now_ - j.submit_at > kMaxStartDelay &&
+            (j.first_run_at < 0 || j.first_run_at - j.submit_at > kMaxStartDelay)) {
             fail("unserved", j.id + ", a largest one, began after " +
                                  std::to_string(j.first_run_at - j.submit_at) + " ms");
         }
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -25,7 +25,7 @@
                           request.method + " " + request.target, request.body, deadline);
         simulation_.trace("bound", node_name(node_), "", "", request.not_after);
         simulation_.call(node_name(node_), address, std::move(request), deadline,
-                         guard(std::move(on_reply)));
+                         if_alive(std::move(on_reply)));
     }
     net::TimerId after(Millis delay, std::function<void()> fn) override {
         const auto id = ++next_;
@@ -59,7 +59,7 @@
                            fn();
                        });
     }
-    net::OnReply guard(net::OnReply fn) {
+    net::OnReply if_alive(net::OnReply fn) {
         return [this, fn = std::move(fn), alive = std::weak_ptr<bool>(alive_)](net::HttpReply got) {
             if (alive.expired()) return;
             simulation_.trace("reply", node_name(node_), got.sent ? "sent" : "unsent", got.body,
@@ -81,7 +81,7 @@
     if (Trace::reporter() && !options_.external) trace_ = std::make_unique<Trace>();
     nodes_.resize(options_.nodes);
     for (auto& node : nodes_) node.current = !options_.old_version;
-    refused_until_.resize(options_.nodes);
+    state_refused_until_.resize(options_.nodes);
     if (options_.teams.empty()) {
         options_.teams = {{"core", {8000, 0, 0}, {40000, 0, 0}},
                           {"side", {8000, 0, 0}, {24000, 0, 0}}};
@@ -112,7 +112,7 @@
 }
 
 void Simulation::advance(Millis until) {
-    while (!events_.empty() && events_.top().at <= until && broken_.empty()) {
+    while (!events_.empty() && events_.top().at <= until && violation_.empty()) {
         auto event = events_.top();
         events_.pop();
         now_ = std::max(now_, event.at);
@@ -123,7 +123,7 @@
 
 std::string Simulation::run() {
     advance(options_.busy_ms + options_.settle_ms);
-    if (!broken_.empty()) return broken_;
+    if (!violation_.empty()) return violation_;
     for (auto& j : jobs_) {
         if (j.accepted < 0 || j.always_fails) continue;
         if (j.is_service()) continue;
@@ -135,7 +135,7 @@
     if (total_starts() == 0) fail("nothing_ran", "no task was started");
     check_served();
     check_duties_at_end();
-    return broken_;
+    return violation_;
 }
 
 std::uint64_t Simulation::total_starts() const {
@@ -145,9 +145,9 @@
 }
 
 void Simulation::fail(const std::string& rule, const std::string& what) {
-    if (broken_.empty()) {
-        broken_ = rule + ": " + what + " at " + std::to_string(now_) + " ms, seed " +
-                  std::to_string(options_.seed);
+    if (violation_.empty()) {
+        violation_ = rule + ": " + what + " at " + std::to_string(now_) + " ms, seed " +
+                     std::to_string(options_.seed);
     }
 }
 
@@ -175,11 +175,11 @@
     s.report_s = options_.report_s;
     s.lease_s = options_.lease_s;
     s.cancel_s = options_.cancel_s;
-    s.gang_peer_s = kPeer;
-    s.gang_wait_s = kGangWait;
+    s.gang_peer_s = kGangPeerTimeoutS;
+    s.gang_wait_s = kGangWaitS;
     s.state_rps = 150;
     s.state_write_rps = 60;
-    s.state_transaction_operations = kOps;
+    s.state_transaction_operations = kMaxTransactionOperations;
     s.cloud_rps = 6;
     s.guards = options_.guards;
     s.guards.current_version &= nodes_[n].current;
@@ -235,13 +235,13 @@
 }
 
 void Simulation::refuse_state_requests(std::size_t node, Millis for_ms) {
-    refused_until_[node] = now_ + for_ms;
+    state_refused_until_[node] = now_ + for_ms;
     fault_until(now_ + for_ms);
 }
 
-void Simulation::block_inbound(Worker& worker, Millis for_ms, bool held) {
+void Simulation::block_inbound(Worker& worker, Millis for_ms, bool delay) {
     worker.inbound_blocked_until = now_ + for_ms;
-    worker.inbound_held = held;
+    worker.inbound_delayed = delay;
     fault_until(now_ + for_ms);
 }
 
@@ -285,20 +285,20 @@
         }
         return;
     }
-    if (now_ < links_until_) {
-        extra += links_by_ / 2 +
-                 static_cast<Millis>(random_below(static_cast<std::uint64_t>(links_by_)));
+    if (now_ < link_delay_until_) {
+        extra += link_delay_ / 2 +
+                 static_cast<Millis>(random_below(static_cast<std::uint64_t>(link_delay_)));
     }
     at(now_ + 1 + static_cast<Millis>(random_below(4)) + extra, std::move(deliver));
 }
 
 void Simulation::call(const std::string& from, const std::string& to, net::HttpRequest request,
                       Millis deadline, net::OnReply on_reply) {
-    auto open = std::make_shared<net::OnReply>(std::move(on_reply));
-    const auto finish = [open](net::HttpReply reply) {
-        if (!*open) return;
-        auto fn = std::move(*open);
-        *open = nullptr;
+    auto pending_reply = std::make_shared<net::OnReply>(std::move(on_reply));
+    const auto finish = [pending_reply](net::HttpReply reply) {
+        if (!*pending_reply) return;
+        auto fn = std::move(*pending_reply);
+        *pending_reply = nullptr;
         fn(std::move(reply));
     };
     at(now_ + deadline, [finish] { finish({0, "", true}); });
@@ -329,7 +329,8 @@
     if (messages_are_lossy() && random_chance(options_.repeated_request_share)) {
         repeat(from, to, request, 1000 + static_cast<Millis>(random_below(90'000)));
     }
-    if (keep_direct_ && request.target == "/do") direct_kept_.emplace_back(to, request);
+    if (record_direct_commands_ && request.target == "/do")
+        recorded_direct_commands_.emplace_back(to, request);
     const auto reset = [finish] { finish({0, "", true}); };
     transmit(
         from, host, extra,
@@ -340,7 +341,7 @@
                           return;
                       }
                       if (host == "cloud" && now_ < lost_cloud_answers_until_ &&
-                          random_chance(lost_cloud_answers_)) {
+                          random_chance(lost_cloud_answers_share_)) {
                           return;
                       }
                       transmit(
@@ -373,14 +374,14 @@
 void Simulation::serve(const std::string& from, const std::string& to,
                        const net::HttpRequest& request, Millis sent, net::Respond respond) {
     const auto host = host_of(to);
-    if (host == "state" && now_ < slow_until_) {
-        at(now_ + slow_by_ / 2 +
-               static_cast<Millis>(random_below(static_cast<std::uint64_t>(slow_by_))),
+    if (host == "state" && now_ < state_delay_until_) {
+        at(now_ + state_delay_ / 2 +
+               static_cast<Millis>(random_below(static_cast<std::uint64_t>(state_delay_))),
            [this, from, request, respond] { serve_state(from, request, respond); });
         return;
     }
     if (host == "state" && request.target == "/txn" && now_ < late_writes_until_ &&
-        random_chance(late_writes_)) {
+        random_chance(late_writes_share_)) {
         // No answer, and carried out after newer ones of the same controller.
         at(now_ + 2000 + static_cast<Millis>(random_below(10'000)),
            [this, from, request] { serve_state(from, request, [](const net::HttpResponse&) {}); });
@@ -393,8 +394,8 @@
         auto& node = nodes_[number];
         if (options_.external) return options_.external(number, request, std::move(respond));
         if (!node.controller) return;
-        if (const auto thaw = node.runtime->frozen_until(); thaw > now_) {
-            at(thaw, [this, from, to, request, sent, respond] {
+        if (const auto resumes_at = node.runtime->frozen_until(); resumes_at > now_) {
+            at(resumes_at, [this, from, to, request, sent, respond] {
                 serve(from, to, request, sent, respond);
             });
             return;
@@ -416,13 +417,13 @@
     if (it == workers_.end() || it->second.gone || !it->second.up) return;
     Worker& worker = it->second;
     if (worker.inbound_blocked_until > now_) {
-        if (!worker.inbound_held) return;
+        if (!worker.inbound_delayed) return;
         at(worker.inbound_blocked_until + 1,
            [this, from, to, request, sent, respond] { serve(from, to, request, sent, respond); });
         return;
     }
     if (worker.hung_until > now_) {
-        worker.held.push_back([this, host, request, sent, respond] {
+        worker.deferred.push_back([this, host, request, sent, respond] {
             serve_worker(workers_.at(host), request, sent, respond);
         });
         return;
@@ -438,7 +439,7 @@
 }
 
 void Simulation::replay_direct_commands() {
-    for (const auto& [to, request] : direct_kept_) repeat("n0", to, request, 1);
+    for (const auto& [to, request] : recorded_direct_commands_) repeat("n0", to, request, 1);
 }
 
 void Simulation::send_counted(std::size_t node, net::HttpRequest request) {
@@ -451,15 +452,15 @@
     call("user", node_name(node) + ":1", std::move(request), wait_ms,
          [&](net::HttpReply reply) { out = std::move(reply); });
     const auto end = now_ + wait_ms + 10;
-    while (!out && now_ < end && broken_.empty()) advance(now_ + 1);
+    while (!out && now_ < end && violation_.empty()) advance(now_ + 1);
     return out.value_or(net::HttpReply{});
 }
 
 void Simulation::tick() {
     for (auto& [id, lease] : leases_) {
         // Leases do not expire during an outage and have their full time again after it.
-        if (now_ < outage_until_)
-            lease.second = std::max(lease.second, outage_until_ + lease.first);
+        if (now_ < state_outage_until_)
+            lease.second = std::max(lease.second, state_outage_until_ + lease.first);
     }
     std::vector<std::uint64_t> ended;
     for (auto& [id, lease] : leases_) {
@@ -477,7 +478,7 @@
     wake_watches();
     for (auto& [name, worker] : workers_) worker_tick(worker);
     for (auto& j : jobs_) user_tick(j);
-    note_settled();
+    update_unsettled_time();
     check();
     measure_services();
     check_answers();
@@ -485,16 +486,16 @@
     at(now_ + 100, [this] { tick(); });
 }
 
-void Simulation::note_settled() {
+void Simulation::update_unsettled_time() {
     const auto leading = leader();
     const auto token = leading ? nodes_[*leading].controller->token() : 0;
     const bool cut = leading && (cut_between(node_name(*leading), "state") != nullptr ||
                                  cut_between(node_name(*leading), "cloud") != nullptr ||
-                                 refused_until_[*leading] > now_ ||
+                                 state_refused_until_[*leading] > now_ ||
                                  nodes_[*leading].runtime->frozen_until() > now_);
-    if (!leading || token != settled_token_ || cut || now_ < outage_until_ ||
+    if (!leading || token != settled_token_ || cut || now_ < state_outage_until_ ||
         now_ < cloud_outage_until_) {
-        unsettled_at_ = now_;
+        last_unsettled_at_ = now_;
     }
     settled_token_ = token;
 }
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -53,7 +53,7 @@
     bool done_reported = false;
     Millis give_up_submit = 0;
     Millis responded_at = -1;  // the last poll of it that got an answer
-    Millis room_since = -1;    // something of it waits, though it would fit
+    Millis fits_since = -1;    // something of it waits, though it would fit
     Millis first_run_at = -1;  // gang: all tasks ran; array: one did
     // What is true.
     std::set<std::uint32_t> done_tasks;
@@ -62,7 +62,7 @@
     // Of a service, from some seconds after its acceptance: replica time that was due and served.
     Millis replica_due_ms = 0;
     Millis replica_up_ms = 0;
-    std::map<std::uint32_t, Millis> replica_seen;  // when it was placed last
+    std::map<std::uint32_t, Millis> replica_last_placed_at;  // when it was placed last
     [[nodiscard]] bool is_service() const { return kind == "service"; }
 };
 
@@ -71,11 +71,11 @@
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
     std::string state;  // pulling, gathering, running, saving, exited
-    std::string why;
+    std::string exit_reason;
     bool stored = false;
-    Millis image_at = 0;
+    Millis image_ready_at = 0;
     Millis run_since = 0;
-    double done_before = 0;
+    double restored_progress_s = 0;
     Millis save_until = 0;
     Millis gang_incomplete_since = 0;
 };
@@ -95,8 +95,8 @@
     Millis hung_until = 0;
     Millis outbound_blocked_until = 0;  // it can open no connection to a controller
     Millis inbound_blocked_until =
-        0;                      // its reports arrive, but neither answers nor commands reach it
-    bool inbound_held = false;  // commands are held until then, or else lost
+        0;                         // its reports arrive, but neither answers nor commands reach it
+    bool inbound_delayed = false;  // commands are held until then, or else lost
     Millis interrupted_at = -1;
     std::uint64_t session = 1;
     std::uint64_t seq = 0;
@@ -108,7 +108,7 @@
     bool changed = false;
     Millis last_heartbeat = 0;
     std::vector<Task> tasks;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
 };
 
 struct Options {
@@ -160,7 +160,7 @@
     void at(Millis when, std::function<void()> fn);
     [[nodiscard]] Millis now() const { return now_; }
     void advance(Millis until);
-    [[nodiscard]] const std::string& violation() const { return broken_; }
+    [[nodiscard]] const std::string& violation() const { return violation_; }
 
     // Faults and direct access for scripted tests.
     void crash(std::size_t node, Millis back_after);
@@ -174,8 +174,8 @@
     void cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
              bool refuse = false);
     void state_outage(Millis for_ms) {
-        outage_until_ = now_ + for_ms;
-        fault_until(outage_until_);
+        state_outage_until_ = now_ + for_ms;
+        fault_until(state_outage_until_);
     }
     void refuse_state_requests(std::size_t node, Millis for_ms);
     // The process is paused, its clocks run on, what is sent to it waits.
@@ -193,7 +193,7 @@
     void observe(Observer observer) { observer_ = std::move(observer); }
     // That share of the cloud's answers is lost, though the request is carried out.
     void lose_cloud_answers(double share, Millis for_ms) {
-        lost_cloud_answers_ = share;
+        lost_cloud_answers_share_ = share;
         lost_cloud_answers_until_ = now_ + for_ms;
         fault_until(lost_cloud_answers_until_);
     }
@@ -212,21 +212,21 @@
     void send_counted(std::size_t node, net::HttpRequest request);
     [[nodiscard]] std::size_t counted_replies() const { return counted_replies_; }
     net::HttpReply ask(std::size_t node, net::HttpRequest request, Millis wait_ms = 5000);
-    void block_inbound(Worker& worker, Millis for_ms, bool held);
+    void block_inbound(Worker& worker, Millis for_ms, bool delay);
     void block_outbound(Worker& worker, Millis for_ms) {
         worker.outbound_blocked_until = now_ + for_ms;
         fault_until(worker.outbound_blocked_until);
     }
     // That share of the transactions gets no answer and is carried out 2 to 12 s later.
     void late_writes(double share, Millis for_ms) {
-        late_writes_ = share;
+        late_writes_share_ = share;
         late_writes_until_ = now_ + for_ms;
         fault_until(late_writes_until_ + 12'000);
     }
     // A controller that keeps its workers and loses everything else.
     void isolate(std::size_t node, Millis for_ms, bool delay, bool refuse = false);
     // Every direct command from now on is kept, and delivered once more when asked for.
-    void record_direct_commands() { keep_direct_ = true; }
+    void record_direct_commands() { record_direct_commands_ = true; }
     void replay_direct_commands();
     [[nodiscard]] std::uint64_t total_starts() const;
     [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
@@ -234,28 +234,28 @@
         return nodes_[node].controller != nullptr;
     }
     std::map<std::string, std::pair<std::string, std::uint64_t>>& store() { return store_; }
-    [[nodiscard]] std::size_t peak_writes_per_second() const { return max_writes_; }
+    [[nodiscard]] std::size_t peak_writes_per_second() const { return peak_writes_per_second_; }
     [[nodiscard]] std::size_t writes() const { return writes_; }
     [[nodiscard]] std::size_t direct_calls() const { return direct_calls_; }
     // Keeps a zone from another, or from everything with an empty name.
     void cut_zone(const std::string& zone, const std::string& other, Millis for_ms, bool delay);
     // Answers of the state service take so much longer.
     void slow_state(Millis by, Millis for_ms) {
-        slow_by_ = by;
-        slow_until_ = now_ + for_ms;
-        fault_until(slow_until_);
+        state_delay_ = by;
+        state_delay_until_ = now_ + for_ms;
+        fault_until(state_delay_until_);
     }
     // The state service forgets older changes, as after ten thousand newer ones.
-    void compact_changes() { forgotten_ = revision_; }
+    void compact_changes() { compacted_revision_ = revision_; }
     // Messages of everybody take so much longer.
     void slow_links(Millis by, Millis for_ms) {
-        links_by_ = by;
-        links_until_ = now_ + for_ms;
-        fault_until(links_until_);
+        link_delay_ = by;
+        link_delay_until_ = now_ + for_ms;
+        fault_until(link_delay_until_);
     }
     void set_boot_time(Millis ms) { boot_ms_ = ms; }
     // That share of the machines provisioned from now on never comes up.
-    void set_never_boots_share(double share) { never_ = share; }
+    void set_never_boots_share(double share) { never_boots_share_ = share; }
     // Requests to the state service so far.
     [[nodiscard]] std::size_t state_requests() const { return state_requests_; }
     void set_capacity(int maximum) { capacity_ = maximum; }
@@ -305,7 +305,7 @@
     void measure_services();
     // Whether a transaction is within the limits that hold since apply_next_limits(); answers it if
     // not.
-    bool within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond);
+    bool within_next_limits(const rapidjson::Value& then, const net::Respond& respond);
     void call(const std::string& from, const std::string& to, net::HttpRequest request,
               Millis deadline, net::OnReply on_reply);
     void transmit(const std::string& from, const std::string& to, Millis extra,
@@ -337,14 +337,14 @@
     std::string report(Worker& worker);
     void start_task(Worker& worker, const std::string& name, std::uint64_t attempt, Millis sent);
     void halt_task(Worker& worker, const std::string& name, std::uint64_t attempt, double grace);
-    void exit_task(Worker& worker, Task& task, const std::string& why, bool stored);
+    void exit_task(Worker& worker, Task& task, const std::string& exit_reason, bool stored);
     void save_progress(const Task& task, bool all);
     double progress_of(const Task& task);
     void check();
     void check_start(const Worker& worker, const Job& job, std::uint32_t task, Millis sent);
     void check_waiting();
     [[nodiscard]] bool replica_waits(const Job& job) const;
-    void note_settled();
+    void update_unsettled_time();
     [[nodiscard]] bool has_room(const Job& job, const std::map<std::string, double>& used) const;
     void check_answers();
     void check_served();
@@ -378,13 +378,13 @@
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : number > o.number; }
     };
     std::priority_queue<Event> events_;
-    std::string broken_;
+    std::string violation_;
     Millis faults_over_at_ = 0;
     std::vector<Node> nodes_;
     std::vector<Cut> cuts_;
-    std::vector<Millis> refused_until_;
-    Millis outage_until_ = 0;
-    Millis unsettled_at_ = 0;  // when there was no leader with a valid lease for the last time
+    std::vector<Millis> state_refused_until_;
+    Millis state_outage_until_ = 0;
+    Millis last_unsettled_at_ = 0;  // when there was no leader with a valid lease for the last time
     std::uint64_t settled_token_ = 0;
     Millis reply_sent_ = 0;  // when the answer that is being delivered left its sender
     Millis cloud_outage_until_ = 0;
@@ -397,27 +397,27 @@
     std::vector<Change> changes_;
     std::vector<Watch> watches_;
     std::map<Millis, std::size_t> writes_in_second_;
-    std::size_t max_writes_ = 0;
+    std::size_t peak_writes_per_second_ = 0;
     std::size_t writes_ = 0;
     std::size_t direct_calls_ = 0;
-    bool keep_direct_ = false;
-    std::vector<std::pair<std::string, net::HttpRequest>> direct_kept_;
+    bool record_direct_commands_ = false;
+    std::vector<std::pair<std::string, net::HttpRequest>> recorded_direct_commands_;
     std::size_t counted_replies_ = 0;
-    std::uint64_t forgotten_ = 0;
-    double late_writes_ = 0;
+    std::uint64_t compacted_revision_ = 0;
+    double late_writes_share_ = 0;
     Millis late_writes_until_ = 0;
-    Millis links_by_ = 0;
-    Millis links_until_ = 0;
-    Millis slow_by_ = 0;
-    Millis slow_until_ = 0;
+    Millis link_delay_ = 0;
+    Millis link_delay_until_ = 0;
+    Millis state_delay_ = 0;
+    Millis state_delay_until_ = 0;
     // Duties.
     Observer observer_;
-    std::map<std::uint64_t, std::uint64_t> terms_;  // of the holders, by epoch
-    std::map<std::string, std::uint64_t> epochs_;   // highest written, by duty
-    std::uint64_t highest_epoch_requested_ = 0;
+    std::map<std::uint64_t, std::uint64_t> token_by_epoch_;       // of the holders, by epoch
+    std::map<std::string, std::uint64_t> highest_epoch_by_duty_;  // highest written, by duty
+    std::uint64_t highest_epoch_at_cloud_ = 0;
     Releases releases_;
     std::size_t freezes_ = 0;
-    double lost_cloud_answers_ = 0;
+    double lost_cloud_answers_share_ = 0;
     Millis lost_cloud_answers_until_ = 0;
     // Cloud and workers.
     std::map<std::string, std::vector<std::string>> provisions_;
@@ -425,7 +425,7 @@
     std::vector<std::pair<Millis, std::string>> listings_;
     std::uint64_t next_worker_ = 0;
     Millis boot_ms_ = 6000;
-    double never_ = 0.04;
+    double never_boots_share_ = 0.04;
     std::size_t state_requests_ = 0;
     bool limits_in_force_ = false;
     std::size_t rejections_ = 0;
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr int kMaxRejected = 6;  // writes of one key until its writer has adapted to the limits
+constexpr int kMaxRejectionsPerKey =
+    6;  // writes of one key until its writer has adapted to the limits
 
 }  // namespace
 
@@ -67,11 +68,11 @@
 }
 
 void Simulation::wake_watches() {
-    if (now_ < outage_until_) return;
+    if (now_ < state_outage_until_) return;
     std::vector<Watch> due;
     std::erase_if(watches_, [&](const Watch& watch) {
         if (watch.from[0] == 'n' &&
-            refused_until_[static_cast<std::size_t>(watch.from[1] - '0')] > now_) {
+            state_refused_until_[static_cast<std::size_t>(watch.from[1] - '0')] > now_) {
             return false;
         }
         const bool news = std::any_of(changes_.rbegin(), changes_.rend(), [&](const Change& c) {
@@ -86,17 +87,17 @@
 
 // The limits of Options::next, from the moment at which they hold. Nothing may be sent again and
 // again that they do not allow.
-bool Simulation::within_limits_to_come(const rapidjson::Value& then, const net::Respond& respond) {
+bool Simulation::within_next_limits(const rapidjson::Value& then, const net::Respond& respond) {
     const auto reject = [&](const std::string& key) {
         ++rejections_;
-        if (++rejected_keys_[key] > kMaxRejected) fail("rejected_again", key);
+        if (++rejected_keys_[key] > kMaxRejectionsPerKey) fail("rejected_again", key);
         respond({400, "{}"});
         return false;
     };
     const auto key_of = [](const rapidjson::Value& change) {
         return std::string(change[change.HasMember("set") ? "set" : "remove"].GetString());
     };
-    if (then.Size() > options_.next.transaction_operations.value_or(kOps))
+    if (then.Size() > options_.next.transaction_operations.value_or(kMaxTransactionOperations))
         return reject(key_of(then[0]));
     const auto maximum = options_.next.value_kb.value_or(8) * 1024;
     for (const auto& change : then.GetArray()) {
@@ -120,8 +121,9 @@
 void Simulation::serve_state(const std::string& from, const net::HttpRequest& request,
                              net::Respond respond) {
     ++state_requests_;
-    if (now_ < outage_until_ ||
-        (from.size() == 2 && refused_until_[static_cast<std::size_t>(from[1] - '0')] > now_)) {
+    if (now_ < state_outage_until_ ||
+        (from.size() == 2 &&
+         state_refused_until_[static_cast<std::size_t>(from[1] - '0')] > now_)) {
         return respond({503, "{}"});
     }
     const auto& target = request.target;
@@ -155,7 +157,8 @@
         return respond({200, R"({"items":[)" + items + R"(],"more":)" + (more ? "true" : "false") +
                                  R"(,"registro":)" + std::to_string(revision_) + "}"});
     }
-    if (target.starts_with("/watch?") && std::stoull(query(target, "since")) < forgotten_) {
+    if (target.starts_with("/watch?") &&
+        std::stoull(query(target, "since")) < compacted_revision_) {
         return respond({410, "{}"});
     }
     if (target.starts_with("/watch?")) {
@@ -185,13 +188,15 @@
         const rapidjson::Value none(rapidjson::kArrayType);
         const auto& then = doc.HasMember("then") ? doc["then"] : none;
         const auto& when = doc["when"];
-        if (then.Size() > kOps || when.Size() > 4 * kOps || request.body.size() > 65536) {
+        if (then.Size() > kMaxTransactionOperations ||
+            when.Size() > 4 * kMaxTransactionOperations || request.body.size() > 65536) {
             fail("state_limits", "a transaction is too large");
             return respond({400, "{}"});
         }
-        if (limits_in_force_ && !within_limits_to_come(then, respond)) return;
+        if (limits_in_force_ && !within_next_limits(then, respond)) return;
         writes_ += then.Size();
-        max_writes_ = std::max(max_writes_, writes_in_second_[now_ / 1000] += then.Size());
+        peak_writes_per_second_ =
+            std::max(peak_writes_per_second_, writes_in_second_[now_ / 1000] += then.Size());
         std::string failed;
         for (const auto& c : when.GetArray()) {
             const std::string key = c["path"].GetString();
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -50,18 +50,18 @@
     j.via.reset();
     call("user", node_name(node) + ":1", {"POST", "/v2/runs", description(j)}, 5000,
          [this, id](const net::HttpReply& reply) {
-             Job& me = *job(id);
+             Job& current = *job(id);
              if (reply.status == 201 || reply.status == 200) {
-                 if (me.accepted < 0) me.accepted = now_;
+                 if (current.accepted < 0) current.accepted = now_;
                  const std::string state = parsed(reply.body)["stato"].GetString();
-                 if (me.cancel_confirmed_at >= 0 && state != "aborted") fail("went_back", id);
+                 if (current.cancel_confirmed_at >= 0 && state != "aborted") fail("went_back", id);
                  return;
              }
              if (reply.status == 400 || reply.status == 422) {
-                 if (me.accepted >= 0) fail("forgotten", id + " refused after acceptance");
+                 if (current.accepted >= 0) fail("forgotten", id + " refused after acceptance");
                  return;
              }
-             if (now_ < me.give_up_submit) {
+             if (now_ < current.give_up_submit) {
                  at(now_ + 1000, [this, id] { submit(*job(id)); });
              }
          });
@@ -73,22 +73,22 @@
     const auto at_node = node ? *node : static_cast<std::size_t>(random_below(nodes_.size()));
     call("user", node_name(at_node) + ":1", {"POST", "/v2/runs/" + id + "/cancel", ""}, 5000,
          [this, id](const net::HttpReply& reply) {
-             Job& me = *job(id);
+             Job& current = *job(id);
              if (reply.status == 200) {
                  const std::string state = parsed(reply.body)["stato"].GetString();
                  if (state == "aborted") {
-                     if (me.done_reported) fail("went_back", id + " cancelled after done");
-                     if (me.cancel_confirmed_at < 0) me.cancel_confirmed_at = now_;
+                     if (current.done_reported) fail("went_back", id + " cancelled after done");
+                     if (current.cancel_confirmed_at < 0) current.cancel_confirmed_at = now_;
                  } else if (state == "done") {
-                     if (me.cancel_confirmed_at >= 0)
+                     if (current.cancel_confirmed_at >= 0)
                          fail("went_back", id + " done after cancelled");
-                     me.done_reported = true;
+                     current.done_reported = true;
                  } else {
                      fail("went_back", id + " answers a cancel with " + state);
                  }
                  return;
              }
-             if (reply.status == 404 && me.accepted >= 0) fail("forgotten", id + " at cancel");
+             if (reply.status == 404 && current.accepted >= 0) fail("forgotten", id + " at cancel");
              if (reply.status != 404) at(now_ + 1000, [this, id] { cancel(*job(id)); });
          });
 }
@@ -140,7 +140,7 @@
     bad.id = unknown;
     switch (random_below(6)) {
         case 0:
-            bad.cpus = kCpus + 1;
+            bad.cpus = kMachineCpus + 1;
             return expect(node, {"POST", "/v2/runs", description(bad)}, 422, "");
         case 1:
             bad.team = "nobody";
@@ -173,23 +173,25 @@
     const bool done = j.done_reported;
     call("user", node_name(random_below(nodes_.size())) + ":1", {"GET", "/v2/runs/" + id, ""}, 2000,
          [this, id, accepted, cancelled, done](const net::HttpReply& reply) {
-             Job& me = *job(id);
+             Job& current = *job(id);
              if (reply.status == 404) {
                  if (accepted) fail("forgotten", id + " gets 404");
                  return;
              }
              if (reply.status != 200) return;
-             me.responded_at = now_;
-             if (!me.submitted) fail("invented", id);
+             current.responded_at = now_;
+             if (!current.submitted) fail("invented", id);
              const std::string state = parsed(reply.body)["stato"].GetString();
              if (state == "done") {
-                 if (me.is_service() || me.done_tasks.size() < me.count) fail("not_done", id);
+                 if (current.is_service() || current.done_tasks.size() < current.count)
+                     fail("not_done", id);
                  if (cancelled) fail("went_back", id + " done after cancelled");
-                 me.done_reported = true;
+                 current.done_reported = true;
              } else if (state == "aborted") {
-                 if (me.cancel_requested_at < 0) fail("went_back", id + " cancelled by nobody");
+                 if (current.cancel_requested_at < 0)
+                     fail("went_back", id + " cancelled by nobody");
                  if (done) fail("went_back", id + " cancelled after done");
-                 if (me.cancel_confirmed_at < 0) me.cancel_confirmed_at = now_;
+                 if (current.cancel_confirmed_at < 0) current.cancel_confirmed_at = now_;
              } else if (cancelled || done) {
                  fail("went_back", id + " is " + state + " again");
              }
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -40,7 +40,7 @@
         w.Uint64(t.attempt);
         text("stato", t.state);
         if (t.state == "exited") {
-            text("esito", t.why);
+            text("esito", t.exit_reason);
             w.Key("stored");
             w.Bool(t.stored);
         }
@@ -78,7 +78,7 @@
     t.job = name.substr(0, slash);
     t.task = static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)));
     t.attempt = attempt;
-    double cpus = kCpus;
+    double cpus = kMachineCpus;
     bool busy = false;
     for (const auto& other : worker.tasks) {
         if (other.job == t.job && other.task == t.task) {
@@ -92,16 +92,16 @@
     worker.changed = true;
     t.state = "exited";
     if (j == nullptr || !j->submitted) {
-        t.why = "unknown";
+        t.exit_reason = "unknown";
     } else if (busy) {
-        t.why = "busy";
+        t.exit_reason = "busy";
     } else if (j->cpus > cpus + 1e-9) {
-        t.why = "full";
+        t.exit_reason = "full";
     } else {
         check_start(worker, *j, t.task, sent);
         ++job(t.job)->starts;
         t.state = "pulling";
-        t.image_at = now_ + 300 + static_cast<Millis>(random_below(1500));
+        t.image_ready_at = now_ + 300 + static_cast<Millis>(random_below(1500));
         worker.tasks.push_back(t);
         return;
     }
@@ -110,7 +110,7 @@
 
 double Simulation::progress_of(const Task& task) {
     const auto ran = task.run_since > 0 ? static_cast<double>(now_ - task.run_since) / 1000 : 0;
-    return task.done_before + ran;
+    return task.restored_progress_s + ran;
 }
 
 void Simulation::save_progress(const Task& task, bool all) {
@@ -122,13 +122,14 @@
     saved = std::max(saved, kept);
 }
 
-void Simulation::exit_task(Worker& worker, Task& task, const std::string& why, bool stored) {
-    if (why != "done") save_progress(task, stored);
+void Simulation::exit_task(Worker& worker, Task& task, const std::string& exit_reason,
+                           bool stored) {
+    if (exit_reason != "done") save_progress(task, stored);
     task.state = "exited";
-    task.why = why;
+    task.exit_reason = exit_reason;
     task.stored = stored;
     worker.changed = true;
-    if (why != "done") return;
+    if (exit_reason != "done") return;
     Job& j = *job(task.job);
     if (j.is_service()) return;
     j.done_tasks.insert(task.task);
@@ -203,33 +204,35 @@
              if (w.gone) return;
              auto reply = got;
              if (w.inbound_blocked_until > now_) reply = {0, "", true};
-             const auto act = [this, name, sent, session, reply, responded_at = reply_sent_] {
-                 Worker& me = workers_.at(name);
-                 me.in_flight = false;
-                 if (me.gone || me.session != session) return;
+             const auto handle_reply = [this, name, sent, session, reply,
+                                        responded_at = reply_sent_] {
+                 Worker& current = workers_.at(name);
+                 current.in_flight = false;
+                 if (current.gone || current.session != session) return;
                  if (reply.status != 200) {
                      const auto doc = parsed(reply.body);
-                     me.node = (me.node + 1) % nodes_.size();
-                     me.next_heartbeat = now_ + 1000;
+                     current.node = (current.node + 1) % nodes_.size();
+                     current.next_heartbeat = now_ + 1000;
                      if (reply.status == 421 && doc.HasMember("riferireA")) {
                          const std::string to = doc["riferireA"].GetString();
-                         me.node = static_cast<std::size_t>(to.at(1) - '0');
-                         me.next_heartbeat = now_ + static_cast<Millis>(random_below(500));
+                         current.node = static_cast<std::size_t>(to.at(1) - '0');
+                         current.next_heartbeat = now_ + static_cast<Millis>(random_below(500));
                      }
                      return;
                  }
                  if (now_ - sent > 4000) return;
                  const auto doc = parsed(reply.body);
-                 if (!doc.HasMember("delega") || doc["delega"].GetUint64() < me.token) return;
-                 if (doc["delega"].GetUint64() > me.token) me.changed = true;
-                 me.token = doc["delega"].GetUint64();
-                 me.last_acknowledged_sent_at = std::max(me.last_acknowledged_sent_at, sent);
-                 commands(me, reply.body, responded_at);
+                 if (!doc.HasMember("delega") || doc["delega"].GetUint64() < current.token) return;
+                 if (doc["delega"].GetUint64() > current.token) current.changed = true;
+                 current.token = doc["delega"].GetUint64();
+                 current.last_acknowledged_sent_at =
+                     std::max(current.last_acknowledged_sent_at, sent);
+                 commands(current, reply.body, responded_at);
              };
              if (w.hung_until > now_) {
-                 w.held.push_back(act);
+                 w.deferred.push_back(handle_reply);
              } else {
-                 act();
+                 handle_reply();
              }
          });
 }
@@ -253,26 +256,26 @@
         worker.changed = true;
         worker.in_flight = false;
     }
-    for (auto held = std::move(worker.held); auto& fn : held) fn();
-    worker.held.clear();
+    for (auto deferred = std::move(worker.deferred); auto& fn : deferred) fn();
+    worker.deferred.clear();
     for (auto& t : worker.tasks) {
         if (t.state == "exited") continue;
         Job& j = *job(t.job);
         const bool gang = j.kind == "ensemble";
-        if (t.state == "pulling" && now_ >= t.image_at) {
+        if (t.state == "pulling" && now_ >= t.image_ready_at) {
             if (j.done_tasks.contains(t.task)) {
                 exit_task(worker, t, "done", false);
                 continue;
             }
             t.state = gang ? "gathering" : "running";
             t.gang_incomplete_since = now_;
-            t.done_before = j.progress[gang ? 0 : t.task];
+            t.restored_progress_s = j.progress[gang ? 0 : t.task];
             if (!gang) t.run_since = now_;
             if (!gang && j.first_run_at < 0) j.first_run_at = now_;
             worker.changed = true;
         }
         if (t.state == "gathering") {
-            if (now_ - t.gang_incomplete_since > static_cast<Millis>(kGangWait * 1000)) {
+            if (now_ - t.gang_incomplete_since > static_cast<Millis>(kGangWaitS * 1000)) {
                 exit_task(worker, t, "alone", false);
                 continue;
             }
@@ -296,23 +299,25 @@
                 }
             }
         }
-        bool whole = true;  // a gang goes on only while all of it is there and none is stopped
+        bool gang_complete =
+            true;  // a gang goes on only while all of it is there and none is stopped
         if (gang && (t.state == "running" || t.state == "saving")) {
             std::uint32_t running = 0;
-            std::uint32_t there = 0;
+            std::uint32_t present = 0;
             for (auto& [name, other] : workers_) {
                 if (other.hung_until > now_) continue;
                 for (auto& o : other.tasks) {
                     running += o.job == t.job && o.attempt == t.attempt && o.state == "running";
-                    there += o.job == t.job && o.attempt == t.attempt &&
-                             (o.state == "running" || o.state == "saving" ||
-                              (o.state == "exited" && o.why == "done"));
+                    present += o.job == t.job && o.attempt == t.attempt &&
+                               (o.state == "running" || o.state == "saving" ||
+                                (o.state == "exited" && o.exit_reason == "done"));
                 }
             }
-            whole = running == j.count;
-            if (there == j.count) {
+            gang_complete = running == j.count;
+            if (present == j.count) {
                 t.gang_incomplete_since = now_;
-            } else if (now_ - t.gang_incomplete_since > static_cast<Millis>(kPeer * 1000)) {
+            } else if (now_ - t.gang_incomplete_since >
+                       static_cast<Millis>(kGangPeerTimeoutS * 1000)) {
                 exit_task(worker, t, "peers", false);
                 continue;
             }
@@ -327,7 +332,7 @@
             } else if (j.is_service()) {
                 const bool ends = j.replica_s > 0 && progress_of(t) >= j.replica_s;
                 if (ends) exit_task(worker, t, j.replicas_crash ? "error" : "done", false);
-            } else if (whole && progress_of(t) >= j.run_s) {
+            } else if (gang_complete && progress_of(t) >= j.run_s) {
                 if (gang) {
                     for (auto& [name, other] : workers_) {
                         for (auto& o : other.tasks) {
