--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -125,7 +125,7 @@
         if (job.done_reported) continue;
         ADD_FAILURE() << job.id << " submitted " << job.submitted << " at " << job.submit_at
                       << ", accepted " << job.accepted << ", tasks done " << job.done_tasks.size()
-                      << ", answered " << job.responded_at << ", now " << simulation.now();
+                      << ", answered " << job.last_answered_at << ", now " << simulation.now();
     }
     EXPECT_EQ(simulation.violation(), "");
     EXPECT_GT(provisioning_epoch(simulation), round_count());
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -77,7 +77,7 @@
     if (now_ % 1000 != 0) return;
     for (const auto& j : jobs_) {
         if (j.accepted < 0) continue;
-        const auto since = std::max({j.responded_at, j.accepted, faults_over_at_});
+        const auto since = std::max({j.last_answered_at, j.accepted, faults_over_at_});
         if (now_ - since > kMaxUnanswered) fail("forgotten", j.id + " gets no answer");
     }
 }
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -52,9 +52,9 @@
     Millis cancel_confirmed_at = -1;
     bool done_reported = false;
     Millis give_up_submit = 0;
-    Millis responded_at = -1;  // the last poll of it that got an answer
-    Millis fits_since = -1;    // something of it waits, though it would fit
-    Millis first_run_at = -1;  // gang: all tasks ran; array: one did
+    Millis last_answered_at = -1;  // the last poll of it that got an answer
+    Millis fits_since = -1;        // something of it waits, though it would fit
+    Millis first_run_at = -1;      // gang: all tasks ran; array: one did
     // What is true.
     std::set<std::uint32_t> done_tasks;
     std::map<std::uint64_t, double> progress;  // by task (gang: task 0), seconds saved
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -179,7 +179,7 @@
                  return;
              }
              if (reply.status != 200) return;
-             current.responded_at = now_;
+             current.last_answered_at = now_;
              if (!current.submitted) fail("invented", id);
              const std::string state = parsed(reply.body)["stato"].GetString();
              if (state == "done") {
