--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -15,9 +15,9 @@
 #include "control/controller.h"
 #include "simulation/trace.h"
 
-// The environment of the controllers in virtual time: state service, cloud, workers, users and the
-// network between them, as the protocol page describes them, with a checker of the protocol's
-// rules.
+// Simulates the environment of the controllers in virtual time: the state service, the cloud,
+// workers, users and the network between them, as the protocol page describes them. Checks the
+// protocol's rules throughout a run.
 namespace lichendrift::simulation {
 
 using core::Millis;
@@ -40,29 +40,30 @@
     std::optional<std::string> zone;
     Millis submit_at = 0;
     Millis cancel_at = -1;
-    std::optional<std::size_t> via;  // the controller of the first request; none: any
-    bool cancel_at_end = false;      // at the very moment at which its last task ends
+    std::optional<std::size_t> via;  // controller that gets the first submission; none: random
+    bool cancel_at_end = false;      // the user cancels at the moment the last task completes
     bool always_fails = false;
-    double replica_s = 0;  // of a service: how long a replica runs before it ends by itself; 0: on
-    bool replicas_crash = false;  // of a service: they end with an error rather than well
-    // What the user knows.
+    double replica_s = 0;         // services: run time after which a replica exits; 0: never
+    bool replicas_crash = false;  // services: replicas exit with an error instead of success
+    // State as the user has observed it.
     bool submitted = false;
     Millis accepted = -1;
     Millis cancel_requested_at = -1;
     Millis cancel_confirmed_at = -1;
     bool done_reported = false;
     Millis give_up_submit = 0;
-    Millis last_answered_at = -1;  // the last poll of it that got an answer
-    Millis fits_since = -1;        // something of it waits, though it would fit
-    Millis first_run_at = -1;      // gang: all tasks ran; array: one did
-    // What is true.
+    Millis last_answered_at = -1;  // time of the last poll that was answered
+    Millis fits_since = -1;        // since when some of it has been waiting though it would fit
+    Millis first_run_at = -1;      // first time that a gang ran as a whole, or any task of an array
+    // Actual state.
     std::set<std::uint32_t> done_tasks;
-    std::map<std::uint64_t, double> progress;  // by task (gang: task 0), seconds saved
+    std::map<std::uint64_t, double> progress;  // saved seconds by task; a gang uses task 0
     std::uint64_t starts = 0;
-    // Of a service, from some seconds after its acceptance: replica time that was due and served.
+    // Services: replica time that was due and that was served, counted from a few seconds after
+    // acceptance.
     Millis replica_due_ms = 0;
     Millis replica_up_ms = 0;
-    std::map<std::uint32_t, Millis> replica_last_placed_at;  // when it was placed last
+    std::map<std::uint32_t, Millis> replica_last_placed_at;  // by replica
     [[nodiscard]] bool is_service() const { return kind == "service"; }
 };
 
@@ -93,11 +94,11 @@
     bool gone = false;
     bool fails_tasks = false;
     Millis hung_until = 0;
-    Millis outbound_blocked_until = 0;  // it can open no connection to a controller
-    Millis inbound_blocked_until =
-        0;                         // its reports arrive, but neither answers nor commands reach it
-    bool inbound_delayed = false;  // commands are held until then, or else lost
-    Millis interrupted_at = -1;
+    Millis outbound_blocked_until = 0;  // cannot connect to any controller
+    // Its reports arrive, but neither responses nor commands reach it.
+    Millis inbound_blocked_until = 0;
+    bool inbound_delayed = false;  // commands are delivered after the block, otherwise lost
+    Millis interrupted_at = -1;    // when the cloud takes the machine away; negative: never
     std::uint64_t session = 1;
     std::uint64_t seq = 0;
     std::uint64_t token = 0;
@@ -108,7 +109,7 @@
     bool changed = false;
     Millis last_heartbeat = 0;
     std::vector<Task> tasks;
-    std::vector<std::function<void()>> deferred;
+    std::vector<std::function<void()>> deferred;  // messages that arrived while it hung
 };
 
 struct Options {
@@ -119,33 +120,38 @@
     double cancel_s = 20;
     std::size_t machines = 3;  // up at the start
     std::size_t jobs = 14;
-    Millis busy_ms = 70'000;     // jobs and faults arrive
-    Millis settle_ms = 260'000;  // everything heals and has to end
+    Millis busy_ms = 70'000;     // first phase: jobs are submitted and faults occur
+    Millis settle_ms = 260'000;  // second phase: no new faults; accepted jobs must end
     bool faults = true;
-    bool lossy_messages =
-        false;  // messages are lost, late and repeated on a day without other faults too
+    // Messages are lost, delayed and repeated even if `faults` is off.
+    bool lossy_messages = false;
     double lost_response_share = 0.004;
     double delayed_request_share = 0.002;
-    double delayed_copy_share = 0.01;  // of a report, by seconds up to several leases
-    double repeated_request_share =
-        0.01;  // of any request that was carried out, up to minutes later
+    // Reports of which a second copy arrives seconds to several leases later.
+    double delayed_copy_share = 0.01;
+    // Requests that are delivered again up to 91 s later.
+    double repeated_request_share = 0.01;
     Millis restart_ms = 3000;
-    // A run that left before its job's cancellation was known to the leader may still arrive. A
-    // leader that is cut off from everything may send one while its lease is valid.
+    // How long after a cancellation was confirmed a run command for the job may still be sent. The
+    // leader may not know of the cancellation yet, and one that is partitioned from everything may
+    // send run commands while its lease is valid.
     Millis late_start_ms = 3500;
-    bool even_zones = false;  // of the first machines, or else one of them is in zone a
-    bool peers_without_cancel_messages = false;  // none knows the messages about cancellations
-    bool old_version = false;  // controllers begin as the version before services, see upgrade()
-    control::NextStateLimits next;  // in the settings; in force from apply_next_limits() on
-    core::SafetyGuards guards;      // tests of a guard switch it off
-    std::string policy;             // the operators'
-    control::Features features;     // the operators'
-    // Set if the controllers are real processes: passes them a request. The simulation then has
-    // none of its own, and its time is the test's.
+    // The initial machines alternate between the zones; otherwise only the first is in zone a.
+    bool even_zones = false;
+    // Controllers answer peer messages about cancellations with 404.
+    bool peers_without_cancel_messages = false;
+    // Controllers start as the previous version, which has no services; see upgrade().
+    bool old_version = false;
+    control::NextStateLimits next;  // set from the start; enforced after apply_next_limits()
+    core::SafetyGuards guards;      // a test of a guard disables it to show that it is needed
+    std::string policy;             // text of the operators' policy
+    control::Features features;     // features that the operators have enabled
+    // Set if the controllers are real processes: forwards a request to one of them. The simulation
+    // then runs no controllers itself, and the test advances its time.
     std::function<void(std::size_t node, const net::HttpRequest&, net::Respond)> external;
-    // The address of a machine, if it is not its name.
+    // Returns the address of a machine; if unset, it is derived from the machine's name.
     std::function<std::string(const std::string& machine)> endpoint;
-    bool cloud_checks_epochs = false;  // it refuses requests under an epoch that was replaced
+    bool cloud_checks_epochs = false;  // the cloud refuses requests with a superseded epoch
     std::vector<core::Team> teams;
 };
 
@@ -154,7 +160,7 @@
     explicit Simulation(Options options);
     ~Simulation();
 
-    // Runs to the end; the first broken rule, or an empty text.
+    // Runs both phases and returns the first rule violation, or an empty string.
     std::string run();
     std::vector<Job>& jobs() { return jobs_; }
     void at(Millis when, std::function<void()> fn);
@@ -164,13 +170,16 @@
 
     // Faults and direct access for scripted tests.
     void crash(std::size_t node, Millis back_after);
-    // It ends and comes back as the other version. One that ends otherwise comes back as it was.
+    // Restarts a controller as the other version. After crash() it keeps its version.
     void upgrade(std::size_t node, Millis back_after) { change_version(node, true, back_after); }
     void downgrade(std::size_t node, Millis back_after) { change_version(node, false, back_after); }
-    // The limits of Options::next are in force from now on.
+    // Enforces the limits of Options::next from now on.
     void apply_next_limits() { limits_in_force_ = true; }
-    // Requests that the state service rejected for their size since then.
+    // Transactions that the state service rejected for their size since apply_next_limits().
     [[nodiscard]] std::size_t rejections() const { return rejections_; }
+    // Partitions all hosts whose names start with `a` from those whose names start with `b`.
+    // Messages are delivered after the partition if `delay` is set and reset otherwise; with
+    // `refuse` no connection can be opened.
     void cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
              bool refuse = false);
     void state_outage(Millis for_ms) {
@@ -178,7 +187,7 @@
         fault_until(state_outage_until_);
     }
     void refuse_state_requests(std::size_t node, Millis for_ms);
-    // The process is paused, its clocks run on, what is sent to it waits.
+    // Pauses the process; its clock continues, and messages to it are delivered afterwards.
     void freeze(std::size_t node, Millis for_ms);
     void cloud_outage(Millis for_ms) {
         cloud_outage_until_ = now_ + for_ms;
@@ -188,10 +197,10 @@
     void add_worker(const std::string& zone, bool spot);
     void lose_worker(Worker& worker);
     std::optional<std::size_t> leader() const;
-    // Sees each request of a controller just before it leaves.
+    // Called with each request of a controller just before it is sent.
     using Observer = std::function<void(std::size_t node, const net::HttpRequest& request)>;
     void observe(Observer observer) { observer_ = std::move(observer); }
-    // That share of the cloud's answers is lost, though the request is carried out.
+    // Loses this share of the cloud's responses; the requests are still executed.
     void lose_cloud_answers(double share, Millis for_ms) {
         lost_cloud_answers_share_ = share;
         lost_cloud_answers_until_ = now_ + for_ms;
@@ -199,33 +208,35 @@
     }
     // Outcomes of requests to release machines, for the tests of duties.
     struct Releases {
-        std::size_t late = 0;      // that came from a leader that was replaced, whatever they did
-        std::size_t requests = 0;  // that named a machine which was there
-        std::size_t machines = 0;
-        std::size_t by_replaced = 0;  // of the requests, those of a leader that was replaced
-        std::size_t refused = 0;      // as their epoch was replaced
+        std::size_t late = 0;         // requests of a replaced leader, with or without effect
+        std::size_t requests = 0;     // requests that named at least one existing machine
+        std::size_t machines = 0;     // machines released
+        std::size_t by_replaced = 0;  // the part of `requests` sent by a replaced leader
+        std::size_t refused = 0;      // requests refused for a superseded epoch
     };
     [[nodiscard]] const Releases& releases() const { return releases_; }
     [[nodiscard]] std::size_t freezes() const { return freezes_; }
     control::Controller* controller(std::size_t node) { return nodes_[node].controller.get(); }
-    // Sends a request and only counts its answer.
+    // Sends a request and only counts its response, see counted_replies().
     void send_counted(std::size_t node, net::HttpRequest request);
     [[nodiscard]] std::size_t counted_replies() const { return counted_replies_; }
+    // Sends a user's request and advances the simulation until it is answered or times out.
     net::HttpReply ask(std::size_t node, net::HttpRequest request, Millis wait_ms = 5000);
     void block_inbound(Worker& worker, Millis for_ms, bool delay);
     void block_outbound(Worker& worker, Millis for_ms) {
         worker.outbound_blocked_until = now_ + for_ms;
         fault_until(worker.outbound_blocked_until);
     }
-    // That share of the transactions gets no answer and is carried out 2 to 12 s later.
+    // This share of the transactions gets no response and is executed 2 to 12 s later.
     void late_writes(double share, Millis for_ms) {
         late_writes_share_ = share;
         late_writes_until_ = now_ + for_ms;
         fault_until(late_writes_until_ + 12'000);
     }
-    // A controller that keeps its workers and loses everything else.
+    // Partitions a controller from the state service and from its peers, but not from workers.
     void isolate(std::size_t node, Millis for_ms, bool delay, bool refuse = false);
-    // Every direct command from now on is kept, and delivered once more when asked for.
+    // Records every command sent directly to a worker from now on, so that
+    // replay_direct_commands() can deliver it a second time.
     void record_direct_commands() { record_direct_commands_ = true; }
     void replay_direct_commands();
     [[nodiscard]] std::uint64_t total_starts() const;
@@ -237,38 +248,42 @@
     [[nodiscard]] std::size_t peak_writes_per_second() const { return peak_writes_per_second_; }
     [[nodiscard]] std::size_t writes() const { return writes_; }
     [[nodiscard]] std::size_t direct_calls() const { return direct_calls_; }
-    // Keeps a zone from another, or from everything with an empty name.
+    // Partitions a zone from the other zone or, if `other` is empty, from everything outside it.
     void cut_zone(const std::string& zone, const std::string& other, Millis for_ms, bool delay);
-    // Answers of the state service take so much longer.
+    // Delays each request to the state service by 0.5 to 1.5 times `by`.
     void slow_state(Millis by, Millis for_ms) {
         state_delay_ = by;
         state_delay_until_ = now_ + for_ms;
         fault_until(state_delay_until_);
     }
-    // The state service forgets older changes, as after ten thousand newer ones.
+    // The state service discards its change history, as it does after 10,000 newer changes, so that
+    // watches from an older revision fail.
     void compact_changes() { compacted_revision_ = revision_; }
-    // Messages of everybody take so much longer.
+    // Delays every message by an additional 0.5 to 1.5 times `by`.
     void slow_links(Millis by, Millis for_ms) {
         link_delay_ = by;
         link_delay_until_ = now_ + for_ms;
         fault_until(link_delay_until_);
     }
+    // Machines provisioned from now on boot within 0.5 to 1.5 times this time.
     void set_boot_time(Millis ms) { boot_ms_ = ms; }
-    // That share of the machines provisioned from now on never comes up.
+    // This share of the machines provisioned from now on never boots.
     void set_never_boots_share(double share) { never_boots_share_ = share; }
     // Requests to the state service so far.
     [[nodiscard]] std::size_t state_requests() const { return state_requests_; }
     void set_capacity(int maximum) { capacity_ = maximum; }
-    // As in the protocol, what the cloud has is counted zone by zone.
+    // Limits the machines in each zone, since the protocol defines capacity by zone.
     void set_zone_capacity(int maximum) { zone_capacity_ = maximum; }
-    // Through a controller that the load balancer picks, or through this one first.
+    // Cancels a job through this controller, or else a random one; retries go to a random one.
     void cancel(Job& job, std::optional<std::size_t> node = std::nullopt);
-    // Users cancel that many running jobs within a fifth of a second; some machines hang.
+    // Users cancel up to `count` running jobs within 200 ms. If `hang_ms` is not 0, up to 8 of the
+    // machines that run them hang for that time.
     void cancel_now(std::size_t count, Millis hang_ms);
-    // Repeated submissions, cancels of what is over or unknown, jobs that can't run.
+    // Sends a random request of these: a repeated submission, a cancellation of a finished or
+    // unknown job, or an invalid submission.
     void send_unusual_request();
     void submit(Job& job);
-    // `sent`: when it left its sender.
+    // Delivers a request to its target host. `sent`: when the sender sent it.
     void serve(const std::string& from, const std::string& to, const net::HttpRequest& request,
                Millis sent, net::Respond respond);
 
@@ -277,14 +292,14 @@
     struct Node {
         std::unique_ptr<NodeRuntime> runtime;
         std::unique_ptr<control::Controller> controller;
-        bool current = true;  // of this version, or else of the one before services
+        bool current = true;  // the current version, or else the previous one without services
     };
     struct Cut {
         std::string a;
         std::string b;
         Millis until = 0;
         bool delay = false;
-        bool refuse = false;  // no connection comes about at all
+        bool refuse = false;  // connections are refused
     };
     struct Watch {
         std::string prefix;
@@ -303,8 +318,7 @@
     void boot(std::size_t node);
     void change_version(std::size_t node, bool current, Millis back_after);
     void measure_services();
-    // Whether a transaction is within the limits that hold since apply_next_limits(); answers it if
-    // not.
+    // Whether a transaction is within the limits of Options::next; responds with an error if not.
     bool within_next_limits(const rapidjson::Value& then, const net::Respond& respond);
     void call(const std::string& from, const std::string& to, net::HttpRequest request,
               Millis deadline, net::OnReply on_reply);
@@ -348,6 +362,7 @@
     [[nodiscard]] bool has_room(const Job& job, const std::map<std::string, double>& used) const;
     void check_answers();
     void check_served();
+    // Records that a fault lasts until this time; some rules apply only once all faults are over.
     void fault_until(Millis until) { faults_over_at_ = std::max(faults_over_at_, until); }
     void fault();
     void user_tick(Job& job);
@@ -362,12 +377,12 @@
     std::uint64_t random_below(std::uint64_t n) { return rng_() % n; }
     bool random_chance(double p) { return static_cast<double>(rng_() % 1'000'000) < p * 1e6; }
 
-    // One event of the trace, if one is kept.
+    // Adds one event to the trace, if there is one.
     void trace(std::string_view kind, std::string_view peer, std::string_view target,
                std::string_view body, std::int64_t number = 0);
 
     Options options_;
-    std::unique_ptr<Trace> trace_;  // none unless digests are wanted
+    std::unique_ptr<Trace> trace_;  // null unless a reporter is set
     std::mt19937_64 rng_;
     Millis now_ = 0;
     std::uint64_t event_number_ = 0;
@@ -384,15 +399,17 @@
     std::vector<Cut> cuts_;
     std::vector<Millis> state_refused_until_;
     Millis state_outage_until_ = 0;
-    Millis last_unsettled_at_ = 0;  // when there was no leader with a valid lease for the last time
+    // Last time at which there was no leader with a valid lease, it changed, or it could not reach
+    // the state service or the cloud.
+    Millis last_unsettled_at_ = 0;
     std::uint64_t settled_token_ = 0;
-    Millis reply_sent_ = 0;  // when the answer that is being delivered left its sender
+    Millis reply_sent_ = 0;  // when the response being delivered was sent
     Millis cloud_outage_until_ = 0;
     // State service.
     std::uint64_t revision_ = 0;
     std::map<std::string, std::pair<std::string, std::uint64_t>> store_;
     std::map<std::string, std::uint64_t> key_lease_;
-    std::map<std::uint64_t, std::pair<Millis, Millis>> leases_;  // ttl, ends
+    std::map<std::uint64_t, std::pair<Millis, Millis>> leases_;  // TTL, expiry
     std::uint64_t next_lease_ = 0;
     std::vector<Change> changes_;
     std::vector<Watch> watches_;
@@ -412,8 +429,8 @@
     Millis state_delay_until_ = 0;
     // Duties.
     Observer observer_;
-    std::map<std::uint64_t, std::uint64_t> token_by_epoch_;       // of the holders, by epoch
-    std::map<std::string, std::uint64_t> highest_epoch_by_duty_;  // highest written, by duty
+    std::map<std::uint64_t, std::uint64_t> token_by_epoch_;  // holders' fencing tokens
+    std::map<std::string, std::uint64_t> highest_epoch_by_duty_;
     std::uint64_t highest_epoch_at_cloud_ = 0;
     Releases releases_;
     std::size_t freezes_ = 0;
@@ -438,14 +455,15 @@
     std::map<std::string, std::size_t> job_index_;
 };
 
-// A day without jobs or faults, for scripted tests.
+// Options without random jobs or faults, for scripted tests.
 Options fault_free_options(std::uint64_t seed);
-// "job-000007"
+// Returns a job id such as "job-000007".
 std::string numbered_job_id(std::size_t n);
+// An array of `count` tasks that run for `run_s` each.
 Job batch_job(const std::string& id, std::uint32_t count, double run_s, Millis submit_at = 0);
-// A service with replicas that run until its user cancels it.
+// A service whose replicas run until the user cancels it.
 Job service(const std::string& id, std::uint32_t replicas, Millis submit_at, Millis cancel_at = -1);
-// A job with its parts drawn at random.
+// A job with random properties, submitted within the first `busy_ms`.
 Job random_job(std::mt19937_64& rng, std::size_t number, Millis busy_ms);
 
 }  // namespace lichendrift::simulation
