--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -13,7 +13,7 @@
   public:
     NodeRuntime(Simulation& simulation, std::size_t node) : simulation_(simulation), node_(node) {}
     Millis now() override {
-        // Steady clocks drift apart.
+        // The steady clocks of the controllers drift apart by 0.025% per node index.
         return simulation_.now_ + simulation_.now_ * static_cast<Millis>(node_) / 4000;
     }
     Millis read_clock() override { return now(); }
@@ -35,7 +35,7 @@
         });
         return id;
     }
-    // Pauses until then, while its clock runs on and messages pile up.
+    // Pauses the process until then; its clock continues, and messages to it are queued.
     void freeze(Millis until) { frozen_until_ = std::max(frozen_until_, until); }
     [[nodiscard]] Millis frozen_until() const { return frozen_until_; }
     void cancel(net::TimerId id) override { timers_.erase(id); }
@@ -44,7 +44,7 @@
     }
     void plan(std::function<core::Snapshot()> take, std::function<void(core::Plan)> done) override {
         auto plan = core::make_plan(take());
-        // Planning takes its time, and the cluster state moves on meanwhile.
+        // Planning takes up to 40 ms, during which the cluster state changes.
         after(static_cast<Millis>(simulation_.random_below(40)),
               [plan = std::move(plan), done = std::move(done)] { done(plan); });
     }
@@ -77,7 +77,7 @@
 };
 
 Simulation::Simulation(Options options) : options_(std::move(options)), rng_(options_.seed) {
-    // Controllers that are processes of their own run in real time.
+    // No trace with external controllers, because they run in real time.
     if (Trace::reporter() && !options_.external) trace_ = std::make_unique<Trace>();
     nodes_.resize(options_.nodes);
     for (auto& node : nodes_) node.current = !options_.old_version;
@@ -309,7 +309,7 @@
     }
     if (from.size() == 2 && from[0] == 'n') {
         const auto node = static_cast<std::size_t>(from[1] - '0');
-        // The observer may replace itself.
+        // Calls a copy, because the observer may replace itself.
         if (const auto observer = observer_) observer(node, request);
     }
     const bool down = to_node && !options_.external &&
@@ -356,8 +356,8 @@
         reset);
 }
 
-// The request for a peer's version is repeated until it is answered, so neither delay nor loss
-// matters. It draws no random number, so that the days of older seeds stay as they were.
+// A peer's version and features are requested again until it answers, so delay and loss need not be
+// simulated. No random number is drawn, so that existing seeds keep producing the same runs.
 void Simulation::ask_version(const std::string& from, const std::string& host,
                              const net::HttpRequest& request,
                              const std::function<void(net::HttpReply)>& finish) {
@@ -382,7 +382,7 @@
     }
     if (host == "state" && request.target == "/txn" && now_ < late_writes_until_ &&
         random_chance(late_writes_share_)) {
-        // No answer, and carried out after newer ones of the same controller.
+        // Executed without a response, after newer transactions of the same controller.
         at(now_ + 2000 + static_cast<Millis>(random_below(10'000)),
            [this, from, request] { serve_state(from, request, [](const net::HttpResponse&) {}); });
         return;
@@ -458,7 +458,7 @@
 
 void Simulation::tick() {
     for (auto& [id, lease] : leases_) {
-        // Leases do not expire during an outage and have their full time again after it.
+        // Leases do not expire during an outage and get their full TTL again after it.
         if (now_ < state_outage_until_)
             lease.second = std::max(lease.second, state_outage_until_ + lease.first);
     }
