--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -1,4 +1,4 @@
-// The cloud of the simulation: machines are provisioned, listed late, released and lost.
+// The simulated cloud: provisions, lists, releases and loses machines.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -68,7 +68,7 @@
         release_machines(doc);
         return respond({200, "{}"});
     }
-    // The list lags and at times goes back.
+    // Each list is 2 to 4 s out of date, so it may show an older state than the previous list.
     const auto lag = static_cast<Millis>(2000 + random_below(2000));
     std::string items;
     for (const auto& [name, w] : workers_) {
