--- a/tests/simulation/duties.cpp
+++ b/tests/simulation/duties.cpp
@@ -1,4 +1,4 @@
-// Checks of fenced duties: whose requests the cloud executes, and on which machines.
+// Checks of fenced duties: which holders' requests the cloud executes, and on which machines.
 #include <algorithm>
 
 #include "simulation/messages.h"
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr std::uint64_t kAttemptsPerTerm = 10'000'000;  // attempt numbers hold the term in front
+// An attempt number is the fencing token times this, plus a counter.
+constexpr std::uint64_t kAttemptsPerToken = 10'000'000;
 
 std::uint64_t epoch_in(const rapidjson::Value& request) {
     return request.HasMember("epoch") ? request["epoch"].GetUint64() : 0;
@@ -16,7 +17,8 @@
 
 }  // namespace
 
-// A cloud that understands the field refuses requests of a replaced holder.
+// Whether the cloud refuses a request because its epoch is lower than the highest one it has seen.
+// Only a cloud that checks epochs does.
 bool Simulation::refuses_epoch(const rapidjson::Value& request) {
     const auto epoch = epoch_in(request);
     if (epoch == 0) return false;
@@ -27,12 +29,13 @@
     return true;
 }
 
-// A request of a leader that was replaced must name no machine that a later one has given work.
+// Releases machines. Checks that a replaced leader's request names no machine that runs a task
+// placed by a later leader.
 void Simulation::release_machines(const rapidjson::Value& request) {
-    const auto term = token_by_epoch_[epoch_in(request)];
-    const auto newest =
+    const auto token = token_by_epoch_[epoch_in(request)];
+    const auto newest_term =
         parsed(store_["token"].first)["t"].GetUint64() / core::kFencingTokensPerTerm;
-    const bool replaced = term != 0 && term / core::kFencingTokensPerTerm < newest;
+    const bool replaced = token != 0 && token / core::kFencingTokensPerTerm < newest_term;
     if (replaced) ++releases_.late;
     std::size_t present = 0;
     for (const auto& name : request["banchi"].GetArray()) {
@@ -40,7 +43,7 @@
         if (it == workers_.end() || it->second.gone) continue;
         ++present;
         for (const auto& task : it->second.tasks) {
-            const bool from_later_leader = task.attempt / kAttemptsPerTerm > term;
+            const bool from_later_leader = task.attempt / kAttemptsPerToken > token;
             if (task.state != "exited" && from_later_leader && epoch_in(request) != 0) {
                 fail("stale_release", it->first + " is used by a later leader");
             }
@@ -53,7 +56,8 @@
     if (replaced) ++releases_.by_replaced;
 }
 
-// Epochs only ever rise, and an intent is written by the holder of its duty alone.
+// Checks that the epoch of a duty only increases, and that only the current holder of a duty writes
+// its intents.
 void Simulation::check_duty_change(const std::string& key, const std::string& value) {
     if (key.starts_with("duty/")) {
         if (value.empty()) return fail("duty_removed", key);
@@ -71,7 +75,8 @@
     }
 }
 
-// With all faults over no intent is left unfinished, and no machine is unknown to the leader.
+// Checks after all faults are over that every machine named in a release intent is gone, and that
+// the leader knows every machine.
 void Simulation::check_duties_at_end() {
     const bool fenced =
         std::all_of(nodes_.begin(), nodes_.end(), [](const Node& node) { return node.current; });
