--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -1,4 +1,4 @@
-// Random days: what happens on them, and the jobs that the tests submit.
+// Random days: simulated runs with random jobs and faults. Also the jobs that tests submit.
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -6,7 +6,7 @@
 
 void Simulation::fault() {
     if (now_ >= options_.busy_ms) {
-        // Everything heals: what was accepted has to end.
+        // No more faults from here on, so that every accepted job can end.
         for (auto& [name, w] : workers_) w.fails_tasks = false;
         return;
     }
@@ -21,7 +21,7 @@
         }
         return up.empty() ? nullptr : up[random_below(up.size())];
     };
-    const auto second_fault_at_once = random_chance(0.25);  // a second fault at once
+    const auto second_fault_at_once = random_chance(0.25);
     switch (random_below(30)) {
         case 0:
             crash(node, options_.restart_ms);
@@ -83,7 +83,8 @@
             if (auto l = leader()) isolate(*l, span, delay, random_chance(0.33));
             break;
         case 17:
-            // Gone and back within moments, again during the election.
+            // The leader restarts within 350 ms; it or another one restarts again during the
+            // election.
             if (auto l = leader()) {
                 crash(*l, 50 + static_cast<Millis>(random_below(300)));
                 const auto again = random_chance(0.5) ? *l : node;
@@ -95,7 +96,7 @@
             freeze(node, span);
             break;
         case 19:
-            // Paused as the leader, as a candidate, or during its failover.
+            // The leader crashes, and controllers are paused during the election and failover.
             if (auto l = leader()) {
                 crash(*l, options_.restart_ms);
                 for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -110,7 +111,8 @@
             break;
         case 21:
         case 22:
-            // The leader alone is refused, others confirm cancellations, then it is out for all.
+            // The state service refuses only the leader, others confirm cancellations, and then it
+            // has an outage for all.
             if (auto l = leader()) {
                 refuse_state_requests(*l, span);
                 if (random_chance(0.4)) cut(node_name(*l), "n", span + 15'000, delay);
@@ -139,7 +141,7 @@
             cancel_now(1 + random_below(3), random_chance(0.6) ? span : 0);
             break;
         case 27:
-            // All are away for longer than a lease.
+            // All controllers are down for longer than a lease.
             for (std::size_t n = 0; n < nodes_.size(); ++n) {
                 crash(n, static_cast<Millis>(options_.lease_s * 1000) + span);
             }
