--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -1,4 +1,4 @@
-// The rule checker: the rules of the protocol after each step, and what a day has to achieve.
+// The rule checker: the protocol's rules at each step, and what must be served by the end of a run.
 #include <algorithm>
 
 #include "simulation/messages.h"
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Millis kMaxUnanswered = 75'000;   // without an answer about it a job counts as forgotten
-constexpr Millis kSettleTime = 12'000;      // for which a leader has had a valid lease
-constexpr Millis kMaxWait = 90'000;         // beside a machine that it fits on
-constexpr Millis kMaxStartDelay = 240'000;  // after its submission
-constexpr Millis kServiceGracePeriod = 5000;  // after the acceptance of a service
+constexpr Millis kMaxUnanswered = 75'000;     // longest time in which no poll of a job is answered
+constexpr Millis kSettleTime = 12'000;        // a leader must have had a valid lease for this time
+constexpr Millis kMaxWait = 90'000;           // for a job that fits on free machines
+constexpr Millis kMaxStartDelay = 240'000;    // of a largest job, from its submission
+constexpr Millis kServiceGracePeriod = 5000;  // from the acceptance of a service
 constexpr Millis kTick = 100;
 
 }  // namespace
@@ -55,8 +55,8 @@
             if (t.state == "exited") continue;
             const Job& j = *job(t.job);
             used[j.team] += j.cpus;
-            // A machine that hangs past its lease kills its tasks when it goes on, and only its
-            // release takes them off before; nobody can release it without a valid leader lease.
+            // A machine that hangs past its lease stops its tasks only when it resumes. Until then
+            // they end only if the machine is released, which needs a leader with a valid lease.
             const bool lease_expired =
                 w.hung_until > now_ &&
                 now_ - w.last_acknowledged_sent_at > static_cast<Millis>(options_.lease_s * 1000);
@@ -82,10 +82,10 @@
     }
 }
 
-// Whether all of a gang, or one task of an array, fits into what is free, by zones where these
-// count.
+// Whether a whole gang, or one task of an array, fits on the free capacity within its team's quota
+// and its zone constraints.
 bool Simulation::has_room(const Job& j, const std::map<std::string, double>& used) const {
-    std::map<std::string, int> tasks_in_zone;  // its tasks that count against its zones already
+    std::map<std::string, int> tasks_in_zone;  // tasks of the job that are already on machines
     const bool gang = j.kind == "ensemble";
     const auto need = static_cast<int>(gang ? j.count : 1);
     for (const auto& team : options_.teams) {
@@ -125,7 +125,8 @@
     return (j.one_zone && gang ? maximum : sum) >= need;
 }
 
-// Whether one replica has not been placed for too long; others may come and go meanwhile.
+// Whether any single replica has not been placed for too long, even if others are placed and end
+// meanwhile.
 bool Simulation::replica_waits(const Job& j) const {
     for (std::uint32_t task = 0; task < j.count; ++task) {
         const auto seen = j.replica_last_placed_at.find(task);
@@ -135,20 +136,20 @@
     return false;
 }
 
-// Once all faults are over nothing waits for long beside a machine that it fits on.
+// Checks that once all faults are over no job waits for long while it fits on free machines.
 void Simulation::check_waiting() {
     if (now_ % 1000 != 0 || now_ < std::max(faults_over_at_, options_.busy_ms)) return;
     std::map<std::string, double> used;
     std::map<std::string, std::set<std::uint32_t>> placed;  // tasks, by job
     for (const auto& [name, w] : workers_) {
         for (const auto& t : w.tasks) {
-            // A replica that has ended waits again.
+            // A replica that has exited waits for placement again.
             if (t.state != "exited" || !job(t.job)->is_service()) placed[t.job].insert(t.task);
             if (t.state != "exited") used[job(t.job)->team] += job(t.job)->cpus;
         }
     }
     for (auto& j : jobs_) {
-        // Of an array a single task may be left behind while the others have long ended.
+        // In an array, a single task may still be waiting long after the others have ended.
         auto served = placed[j.id];
         served.insert(j.done_tasks.begin(), j.done_tasks.end());
         const bool incomplete = j.kind == "ensemble" ? served.empty() : served.size() < j.count;
@@ -165,8 +166,8 @@
     }
 }
 
-// The share of replica time served counts from a few seconds after the acceptance until the user
-// cancels the service.
+// Measures replica time due and served, from kServiceGracePeriod after the acceptance of a service
+// until the user cancels it.
 void Simulation::measure_services() {
     for (auto& j : jobs_) {
         const bool due = j.is_service() && j.accepted >= 0 && j.cancel_requested_at < 0 &&
@@ -184,10 +185,10 @@
     }
 }
 
-// At the end of a day at least half of each class, of each team and of each class's largest jobs
-// has to be served, and the largest have to begin in time.
+// Checks at the end of a run that at least half of the jobs of each class, of each team, and of the
+// largest jobs of each class were served, and that the largest jobs started in time.
 void Simulation::check_served() {
-    std::map<std::string, std::pair<int, int>> served;  // of all
+    std::map<std::string, std::pair<int, int>> served;  // by group: served, all
     std::map<std::string, std::uint32_t> largest;
     for (const auto& j : jobs_) largest[j.cls] = std::max(largest[j.cls], j.count);
     for (const auto& j : jobs_) {
