--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -1,4 +1,4 @@
-// The state service of the simulation: keys, transactions, leases and watches.
+// The simulated state service: keys, transactions, leases and watches.
 #include <algorithm>
 
 #include "simulation/messages.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr int kMaxRejectionsPerKey =
-    6;  // writes of one key until its writer has adapted to the limits
+// Rejected writes of one key that are tolerated before its writer must have adapted to the limits.
+constexpr int kMaxRejectionsPerKey = 6;
 
 }  // namespace
 
@@ -85,8 +85,8 @@
     for (const auto& watch : due) answer_watch(watch);
 }
 
-// The limits of Options::next, from the moment at which they hold. Nothing may be sent again and
-// again that they do not allow.
+// Rejects a transaction that exceeds the limits of Options::next. Fails the run if writes of the
+// same key keep being rejected.
 bool Simulation::within_next_limits(const rapidjson::Value& then, const net::Respond& respond) {
     const auto reject = [&](const std::string& key) {
         ++rejections_;
