--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,4 +1,4 @@
-// The users of the simulation: submissions, polls and cancellations.
+// The simulated users: submissions, polls and cancellations.
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -103,7 +103,7 @@
             for (const auto& t : w.tasks) {
                 if (t.job != j.id || t.state != "running") continue;
                 runs = true;
-                // Two in a row would hang for longer than any bound.
+                // Two hangs in a row would last longer than any bound that is checked.
                 if (hang_ms > 0 && w.hung_until + 3000 < now_ && ++hung <= 8) {
                     w.hung_until = now_ + hang_ms;
                     fault_until(w.hung_until);
@@ -116,7 +116,8 @@
     }
 }
 
-// One answer is right, to be refused for now or to get no answer is allowed as well.
+// Sends a request that must be answered with this status and state. A 503 and no response at all
+// are allowed as well.
 void Simulation::expect(std::size_t node, net::HttpRequest request, int status,
                         const std::string& state) {
     const auto what = request.method + " " + request.target;
