--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -1,4 +1,4 @@
-// The workers of the simulation: reports, commands, leases, tasks and gangs.
+// The simulated workers: reports, commands, leases, tasks and gangs.
 #include <algorithm>
 #include <cmath>
 
@@ -299,8 +299,8 @@
                 }
             }
         }
-        bool gang_complete =
-            true;  // a gang goes on only while all of it is there and none is stopped
+        // A gang completes only while all its tasks are running.
+        bool gang_complete = true;
         if (gang && (t.state == "running" || t.state == "saving")) {
             std::uint32_t running = 0;
             std::uint32_t present = 0;
