--- a/tests/simulation/messages.h
+++ b/tests/simulation/messages.h
@@ -8,17 +8,18 @@
 
 #include "core/types.h"
 
-// Shared by the parts of the simulation: parsing of messages, names of hosts, size of a machine.
+// Shared by the parts of the simulation: message parsing, host names, sizes and limits.
 namespace lichendrift::simulation {
 
-inline constexpr double kMachineCpus = 8;       // of a machine
-inline constexpr double kGangPeerTimeoutS = 3;  // seconds in which a gang notices a lost task
-inline constexpr double kGangWaitS = 15;        // seconds for which a gang waits for its last task
-inline constexpr std::size_t kMaxTransactionOperations = 8;  // changes of a transaction
+inline constexpr double kMachineCpus = 8;       // CPUs of a machine
+inline constexpr double kGangPeerTimeoutS = 3;  // time in which a gang detects a lost task
+inline constexpr double kGangWaitS = 15;        // time for which a gang waits for its last task
+inline constexpr std::size_t kMaxTransactionOperations = 8;  // most writes in one transaction
 using Doc = rapidjson::Document;
 using Buffer = rapidjson::StringBuffer;
 using Writer = rapidjson::Writer<Buffer>;
 
+// Parses a JSON object; returns an empty object if the text is anything else.
 inline Doc parsed(const std::string& body) {
     Doc doc;
     doc.Parse(body.c_str(), body.size());
@@ -33,6 +34,7 @@
     return b.GetString();
 }
 
+// Value of a query parameter of a request target, or an empty string.
 inline std::string query(const std::string& target, const std::string& name) {
     const auto at = target.find(name + "=");
     if (at == std::string::npos) return "";
