--- a/tests/simulation/processes.h
+++ b/tests/simulation/processes.h
@@ -5,18 +5,18 @@
 #include <string>
 #include <vector>
 
-// Real processes of the program, for the tests over loopback.
+// Runs the program in real processes, for the tests over loopback.
 namespace lichendrift::simulation {
 
-// Starts the program with arguments; its output goes to a file.
+// Starts the program; its output is written to `log_file`.
 pid_t spawn_program(const std::vector<std::string>& arguments, const std::string& log_level,
                     const std::string& log_file);
 
-// A loopback address of this test process alone, so that tests that run side by side never meet:
-// no port has to be searched for.
+// A loopback address that only this test process uses, so that tests can run in parallel without
+// searching for a free port.
 std::string own_address(unsigned host, unsigned port);
 
-// Ends the process that the test started, however it is.
+// Kills a process that the test started, even if it is stopped, and waits until it has ended.
 void end_process(pid_t pid);
 
 }  // namespace lichendrift::simulation
