--- a/tests/simulation/loopback_environment.cpp
+++ b/tests/simulation/loopback_environment.cpp
@@ -18,10 +18,10 @@
 constexpr unsigned kStatePort = 7003;
 constexpr unsigned kCloudPort = 7004;
 constexpr unsigned kMachinePort = 7009;
-constexpr unsigned kFirstMachine = 20;  // hosts of the test's own network
+constexpr unsigned kFirstMachineHost = 20;  // host number in the addresses of machines
 constexpr unsigned kMachineHosts = 200;
 constexpr std::size_t kMaxBody = std::size_t{1} << 20;
-constexpr Millis kStep = 5;
+constexpr Millis kStepMs = 5;
 
 unsigned host_of_node(std::size_t node) { return static_cast<unsigned>(node) + 1; }
 
@@ -32,7 +32,7 @@
                  ("lichendrift-region-" + std::to_string(::getpid()))),
       client_(loop_, budget_),
       options_(std::move(options)),
-      began_(net::EventLoop::steady_clock()) {
+      started_at_(net::EventLoop::steady_clock()) {
     budget_.max_sockets = 2000;
     std::filesystem::create_directories(directory_);
     options_.external = [this](std::size_t node, const net::HttpRequest& request,
@@ -57,7 +57,7 @@
                            "--config", (directory_ / (name + ".toml")).string()},
                           "info", (directory_ / (name + ".log")).string());
     }
-    loop_.after(kStep, [this] { tick(); });
+    loop_.after(kStepMs, [this] { tick(); });
 }
 
 LoopbackEnvironment::~LoopbackEnvironment() {
@@ -67,15 +67,15 @@
 }
 
 void LoopbackEnvironment::tick() {
-    simulation_->advance(net::EventLoop::steady_clock() - began_);
-    loop_.after(kStep, [this] { tick(); });
+    simulation_->advance(net::EventLoop::steady_clock() - started_at_);
+    loop_.after(kStepMs, [this] { tick(); });
 }
 
 bool LoopbackEnvironment::run_until(const std::function<bool()>& condition, Millis timeout_ms) {
     const auto until = net::EventLoop::steady_clock() + timeout_ms;
     while (net::EventLoop::steady_clock() < until) {
         if (condition()) return true;
-        loop_.turn(kStep);
+        loop_.turn(kStepMs);
     }
     return condition();
 }
@@ -110,7 +110,8 @@
     }
 }
 
-// State service and cloud have an address for each controller, so that the sender is known.
+// The state service and the cloud listen on a separate address for each controller, which
+// identifies the sender of a request.
 void LoopbackEnvironment::listen_for_controller(std::size_t node) {
     const auto handler = [this, node](const char* to) {
         return [this, node, to](const net::HttpRequest& request, net::Respond respond) {
@@ -128,8 +129,8 @@
 
 std::string LoopbackEnvironment::listen_for_machine(const std::string& machine) {
     const auto number = machines_++;
-    auto address =
-        own_address(kFirstMachine + number % kMachineHosts, kMachinePort + number / kMachineHosts);
+    auto address = own_address(kFirstMachineHost + number % kMachineHosts,
+                               kMachinePort + number / kMachineHosts);
     listen(address, [this, machine](const net::HttpRequest& request, net::Respond respond) {
         simulation_->serve("n0", machine + ":9", request, simulation_->now(), std::move(respond));
     });
--- a/tests/simulation/loopback_environment.h
+++ b/tests/simulation/loopback_environment.h
@@ -11,18 +11,18 @@
 
 namespace lichendrift::simulation {
 
-// The simulated state service, cloud, workers and users in real time, over loopback, with
-// controllers that are real processes. All rules are checked as in virtual time.
+// Runs the simulated state service, cloud, workers and users in real time over loopback, against
+// controllers in real processes. All rules are checked as in virtual time.
 class LoopbackEnvironment {
   public:
-    // `features`: path of a features file.
+    // `features`: path of the features file passed to every controller.
     LoopbackEnvironment(Options options, const std::string& features);
     ~LoopbackEnvironment();
     LoopbackEnvironment(const LoopbackEnvironment&) = delete;
     LoopbackEnvironment& operator=(const LoopbackEnvironment&) = delete;
 
     Simulation& simulation() { return *simulation_; }
-    // Goes on until the condition holds; false if it does not within that time.
+    // Runs the event loop until the condition holds; false on a timeout.
     bool run_until(const std::function<bool()>& condition, Millis timeout_ms);
     void run_for(Millis time) {
         run_until([] { return false; }, time);
@@ -32,12 +32,12 @@
     void stop(std::size_t node);
     void resume(std::size_t node);
     [[nodiscard]] bool stopped(std::size_t node) const { return controllers_[node].stopped; }
-    // Sends SIGTERM; true once the process has ended.
+    // Sends SIGTERM; true if the process exits with status 0 before the timeout.
     bool terminate(std::size_t node, Millis timeout_ms);
     [[nodiscard]] std::size_t size() const { return controllers_.size(); }
 
-    // Sees each request of a controller before it is carried out, and may hold it back: it is
-    // carried out that many milliseconds later.
+    // Called with each request of a controller to the state service or the cloud; returns by how
+    // many milliseconds its execution is delayed.
     using Delay = std::function<Millis(std::size_t node, const net::HttpRequest& request)>;
     void delay(Delay delay) { delay_ = std::move(delay); }
 
@@ -59,7 +59,7 @@
     net::HttpClient client_;
     std::vector<std::unique_ptr<net::HttpServer>> servers_;
     Options options_;
-    Millis began_;
+    Millis started_at_;
     std::unique_ptr<Simulation> simulation_;
     std::vector<ControllerProcess> controllers_;
     Delay delay_;
