--- a/tests/simulation/trace.cpp
+++ b/tests/simulation/trace.cpp
@@ -1,4 +1,4 @@
-// Trace digests, which show that two builds behave alike.
+// Trace digests, which show whether two builds behave alike.
 #include "simulation/trace.h"
 
 #include <xxhash.h>
@@ -12,7 +12,7 @@
 
 Trace::~Trace() = default;
 
-void Trace::Free::operator()(XXH3_state_s* state) const { XXH3_freeState(state); }
+void Trace::FreeState::operator()(XXH3_state_s* state) const { XXH3_freeState(state); }
 
 void Trace::add(std::int64_t at_ms, std::string_view kind, std::string_view peer,
                 std::string_view target, std::string_view body, std::int64_t number) {
