--- a/tests/simulation/duty_requests.h
+++ b/tests/simulation/duty_requests.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Requests of controllers that belong to fenced duties.
+/// Predicates for controller requests that belong to fenced duties.
 
 #include "net/runtime.h"
 
