--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -109,7 +109,7 @@
         }
         // Cuts off users, because their requests would make the controller refresh its copy.
         simulation.at(18'000, [&] {
-            simulation.cut(node_name(*cleanup_holder(simulation)), "user", 60'000, false);
+            simulation.partition(node_name(*cleanup_holder(simulation)), "user", 60'000, false);
         });
         simulation.advance(70'000);
         for (std::size_t n = 0; n < simulation.node_count(); ++n) {
@@ -169,7 +169,7 @@
         const bool removes = request.target == "/txn" &&
                              request.body.find("\"remove\":\"place/") != std::string::npos;
         if (!removes || ++removals > 1) return;
-        simulation.cut(node_name(node), "state", 45'000, true);
+        simulation.partition(node_name(node), "state", 45'000, true);
         simulation.freeze(node, 44'000);
         simulation.at(simulation.now() + 45'500, [&] {
             late_removal_refused =
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -61,7 +61,7 @@
             simulation.at(t, [&simulation, span] {
                 const auto leader = simulation.leader();
                 if (!leader) return;
-                simulation.cut(node_name(*leader), "cloud", span + 4000, true);
+                simulation.partition(node_name(*leader), "cloud", span + 4000, true);
                 simulation.freeze(*leader, span);
             });
         }
@@ -126,7 +126,7 @@
             if (injected || !writes_intent(request) || simulation.now() < 9000) return;
             injected = true;
             simulation.slow_state(700, 12'000);
-            simulation.cut(node_name(node), "cloud", 3000, false);
+            simulation.partition(node_name(node), "cloud", 3000, false);
             simulation.at(simulation.now() + 900,
                           [&simulation, node] { simulation.crash(node, 20'000); });
         });
@@ -320,7 +320,7 @@
             if (crashed < 0) {
                 crashed = simulation.now();
                 holder = node;
-                simulation.cut(node_name(node), "cloud", 30'000, true);
+                simulation.partition(node_name(node), "cloud", 30'000, true);
                 simulation.at(simulation.now() + 1,
                               [&simulation, node] { simulation.crash(node, 30'000); });
             } else if (acted < 0 && node != holder) {
--- a/tests/duties_loopback_test.cpp
+++ b/tests/duties_loopback_test.cpp
@@ -124,8 +124,9 @@
     for (const auto& job : simulation.jobs()) {
         if (job.done_reported) continue;
         ADD_FAILURE() << job.id << " submitted " << job.submitted << " at " << job.submit_at
-                      << ", accepted " << job.accepted << ", tasks done " << job.done_tasks.size()
-                      << ", answered " << job.last_answered_at << ", now " << simulation.now();
+                      << ", accepted " << job.accepted_at << ", tasks done "
+                      << job.done_tasks.size() << ", answered " << job.last_answered_at << ", now "
+                      << simulation.now();
     }
     EXPECT_EQ(simulation.violation(), "");
     EXPECT_GT(provisioning_epoch(simulation), round_count());
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -37,7 +37,7 @@
             const auto leader = simulation.leader();
             const auto node = leader && draw % 4 != 0 ? *leader : (draw >> 4U) % 3;
             const auto span = 200 + static_cast<Millis>((draw >> 8U) % 6000);
-            if (draw % 3 == 0) simulation.cut(node_name(node), "cloud", span * 5, true);
+            if (draw % 3 == 0) simulation.partition(node_name(node), "cloud", span * 5, true);
             simulation.freeze(node, span);
         });
     }
@@ -69,8 +69,8 @@
             if ((!to_cloud && !concerns_intent) || simulation.now() > until || rng() % 3 != 0)
                 return;
             if (to_cloud) {
-                simulation.cut(node_name(node), "cloud", 5000 + static_cast<Millis>(rng() % 40'000),
-                               true);
+                simulation.partition(node_name(node), "cloud",
+                                     5000 + static_cast<Millis>(rng() % 40'000), true);
             }
             simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
         });
@@ -133,12 +133,13 @@
             simulation.jobs().push_back(job);
         }
     }
-    simulation.observe([&simulation, &rng, until](std::size_t node,
-                                                  const net::HttpRequest& request) {
-        if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
-        simulation.cut(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000), true);
-        simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
-    });
+    simulation.observe(
+        [&simulation, &rng, until](std::size_t node, const net::HttpRequest& request) {
+            if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
+            simulation.partition(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000),
+                                 true);
+            simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
+        });
 }
 
 Options idle_between_waves_options(std::uint64_t seed) {
@@ -256,7 +257,7 @@
 }
 
 void delay_and_freeze(Simulation& simulation, std::size_t leader) {
-    simulation.cut(node_name(leader), "cloud", 14'000, true);
+    simulation.partition(node_name(leader), "cloud", 14'000, true);
     simulation.freeze(leader, 9000);
 }
 
@@ -267,14 +268,14 @@
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
     {"LeaderCrashesAfterReleaseRequestTimedOut", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         simulation.cut(node_name(leader), "cloud", 20'000, true);
+         simulation.partition(node_name(leader), "cloud", 20'000, true);
          simulation.at(simulation.now() + 8000,
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
      9000, &core::SafetyGuards::keep_release_intents},
     {"ReleaseRequestDelayedForMoreThanAMinute", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         simulation.cut(node_name(leader), "cloud", 75'000, true);
+         simulation.partition(node_name(leader), "cloud", 75'000, true);
          simulation.freeze(leader, 9000);
      },
      68'000},
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -44,12 +44,12 @@
         const auto other = (*leader + 1) % gap.nodes;
         for (auto& [name, w] : simulation.workers()) w.node = *leader;
         simulation.refuse_state_requests(*leader, 60'000);
-        if (gap.apart) simulation.cut("n" + std::to_string(*leader), "n", 60'000, false);
+        if (gap.apart) simulation.partition("n" + std::to_string(*leader), "n", 60'000, false);
         if (gap.lost && !gap.back) {
-            simulation.cut("n" + std::to_string(*leader), "n" + std::to_string(other), 60'000,
-                           false);
+            simulation.partition("n" + std::to_string(*leader), "n" + std::to_string(other), 60'000,
+                                 false);
         }
-        if (gap.back) simulation.cut("n" + std::to_string(other), "n", 790, false);
+        if (gap.back) simulation.partition("n" + std::to_string(other), "n", 790, false);
         simulation.advance(20'300);
         for (std::size_t n = 0; n < 4; ++n) simulation.cancel(simulation.jobs()[n], other);
         simulation.advance(20'800);
@@ -195,7 +195,7 @@
             for (std::size_t n = 0; n < 6; ++n)
                 simulation.jobs().push_back(batch_job(numbered_job_id(n), 1, 60));
             simulation.advance(15'000);
-            simulation.cancel_now(2, 60'000);
+            simulation.cancel_running_jobs(2, 60'000);
             simulation.advance(15'000 + later);
             simulation.crash(*simulation.leader(), 3000);
             simulation.advance(80'000);
@@ -323,7 +323,7 @@
                      // To every other node, so that whichever wins gets them late.
                      for (auto* m : some(w, 2)) {
                          for (std::size_t n = 0; n < nodes; ++n) {
-                             if (n != l) w.cut(m->name, "n" + std::to_string(n), 9000, true);
+                             if (n != l) w.partition(m->name, "n" + std::to_string(n), 9000, true);
                          }
                      }
                      w.at(w.now() + 1500, [&w] { crash_leader(w, 3000); });
@@ -376,7 +376,7 @@
                      bool unreachable = t % 2 == 0;
                      for (auto* m : some(w, 2)) {
                          if (unreachable) w.block_inbound(*m, 12'000, t % 3 == 0);
-                         if (!unreachable) w.cut(m->name, "n", 12'000, t % 3 == 0);
+                         if (!unreachable) w.partition(m->name, "n", 12'000, t % 3 == 0);
                          unreachable = !unreachable;
                      }
                      crash_leader(w, 4000);
@@ -391,17 +391,17 @@
                      if (const auto l = w.leader()) w.isolate(*l, 20'000, t == 12'000);
                  });
                  for (Millis c = 500; c < 20'000; c += 2500) {
-                     w.at(t + c, [&w] { w.cancel_now(1, 0); });
+                     w.at(t + c, [&w] { w.cancel_running_jobs(1, 0); });
                  }
              }
          }},
         {"ZoneWithAControllerCutOff",
          {},
          [](Simulation& w, std::size_t) {
-             w.at(10'000, [&w] { w.cut_zone("a", "", 14'000, true); });
-             w.at(12'000, [&w] { w.cancel_now(2, 0); });
-             w.at(40'000, [&w] { w.cut_zone("b", "", 14'000, false); });
-             w.at(42'000, [&w] { w.cancel_now(2, 0); });
+             w.at(10'000, [&w] { w.partition_zone("a", "", 14'000, true); });
+             w.at(12'000, [&w] { w.cancel_running_jobs(2, 0); });
+             w.at(40'000, [&w] { w.partition_zone("b", "", 14'000, false); });
+             w.at(42'000, [&w] { w.cancel_running_jobs(2, 0); });
          }},
         {"TeamAtItsLimitWhenTheLeaderChanges",
          [](Options& o) {
@@ -410,13 +410,13 @@
          [](Simulation& w, std::size_t) {
              for (Millis t = 10'000; t < 60'000; t += 15'000) {
                  w.at(t, [&w] {
-                     for (auto* m : some(w, 2)) w.cut(m->name, "n", 9000, false);
+                     for (auto* m : some(w, 2)) w.partition(m->name, "n", 9000, false);
                      crash_leader(w, 3000);
                  });
                  // Also between the reads of the failover.
                  for (Millis c = 100; c < 5000; c += 350) {
                      w.at(t + c, [&w, c] {
-                         if (c % 700 == 100) w.cancel_now(1, 0);
+                         if (c % 700 == 100) w.cancel_running_jobs(1, 0);
                      });
                  }
              }
@@ -437,7 +437,7 @@
              });
              for (Millis t = 9000; t < 26'000; t += 600) {
                  w.at(t, [&w, t] {
-                     if (t % 1800 == 0) w.cancel_now(1, 0);
+                     if (t % 1800 == 0) w.cancel_running_jobs(1, 0);
                      w.send_unusual_request();
                  });
              }
@@ -468,7 +468,7 @@
                          }
                      }
                      if (t % 18'000 == 8000) crash_leader(w, 2000);
-                     w.cancel_now(1, 0);
+                     w.cancel_running_jobs(1, 0);
                  });
              }
          }},
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -140,7 +140,7 @@
     simulation.advance(30'000);
     const auto old = simulation.leader();
     ASSERT_TRUE(old);
-    simulation.cut("n" + std::to_string(*old), "", 40'000, true);
+    simulation.partition("n" + std::to_string(*old), "", 40'000, true);
     simulation.advance(90'000);
     EXPECT_EQ(simulation.violation(), "");
     EXPECT_EQ(simulation.total_starts(), 12U);
@@ -185,7 +185,7 @@
                 simulation.jobs().push_back(j);
             }
             simulation.at(12'000, [&, apart, delay] {
-                simulation.cut_zone("a", apart ? "b" : "", 30'000, delay);
+                simulation.partition_zone("a", apart ? "b" : "", 30'000, delay);
             });
             EXPECT_EQ(simulation.run(), "") << apart << delay;
         }
@@ -372,10 +372,11 @@
         const auto leader = simulation.leader();
         ASSERT_TRUE(leader);
         const auto near = (*leader + 1) % 3;
-        simulation.cut("n" + std::to_string(near), "n" + std::to_string(*leader), 40'000, delay);
+        simulation.partition("n" + std::to_string(near), "n" + std::to_string(*leader), 40'000,
+                             delay);
         for (auto& [name, w] : simulation.workers()) {
             w.node = near;
-            simulation.cut(name, "n" + std::to_string(*leader), 40'000, delay);
+            simulation.partition(name, "n" + std::to_string(*leader), 40'000, delay);
         }
         simulation.advance(100'000);
         EXPECT_EQ(simulation.violation(), "");
@@ -396,7 +397,7 @@
     j.spot = false;
     simulation.jobs().push_back(j);
     simulation.advance(10'000);
-    simulation.cut("n", "n", 40'000, false);
+    simulation.partition("n", "n", 40'000, false);
     simulation.advance(110'000);
     EXPECT_EQ(simulation.violation(), "");
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -150,7 +150,7 @@
         std::size_t lost_leases = 0;
         for (const auto& [name, w] : simulation.workers()) lost_leases += w.session > 1 ? 1 : 0;
         EXPECT_EQ(lost_leases, 0U) << nodes;
-        for (const auto& j : simulation.jobs()) EXPECT_GE(j.accepted, 0) << j.id;
+        for (const auto& j : simulation.jobs()) EXPECT_GE(j.accepted_at, 0) << j.id;
         EXPECT_EQ(simulation.total_starts(), 1960U) << nodes;
         // Direct commands: a raise for each machine, a start for each task, few more.
         EXPECT_LE(simulation.direct_calls(), std::size_t{4} * kMany + std::size_t{2} * 1960);
@@ -201,7 +201,7 @@
         settle(simulation, 15'000);
         EXPECT_EQ(simulation.total_starts(), 19U);
         EXPECT_EQ(simulation.workers().size(), 19U);
-        simulation.cut_zone("a", "", 40'000, delay);
+        simulation.partition_zone("a", "", 40'000, delay);
         if (crash) {
             // The next leader has no heartbeat of them; it knows them by the list.
             simulation.at(18'000, [&] { simulation.crash(*simulation.leader(), 3000); });
@@ -240,16 +240,17 @@
             }
             const char* const others[] = {"state", "n", "host", ""};
             for (std::size_t i = 0; i < 4; ++i) {
-                simulation.at(10'000 + static_cast<Millis>(i) * 22'000, [&simulation, &others, i,
-                                                                         delay, refuse] {
-                    const auto leader = simulation.leader().value_or(0);
-                    simulation.cut("n" + std::to_string(leader), others[i], 20'000, delay, refuse);
-                });
+                simulation.at(10'000 + static_cast<Millis>(i) * 22'000,
+                              [&simulation, &others, i, delay, refuse] {
+                                  const auto leader = simulation.leader().value_or(0);
+                                  simulation.partition("n" + std::to_string(leader), others[i],
+                                                       20'000, delay, refuse);
+                              });
             }
-            simulation.at(100'000, [&] { simulation.cut_zone("a", "", 15'000, delay); });
-            simulation.at(118'000, [&] { simulation.cut_zone("b", "", 15'000, delay); });
-            simulation.at(136'000, [&] { simulation.cut_zone("a", "b", 15'000, delay); });
-            simulation.at(152'000, [&] { simulation.cut("n", "n", 15'000, false, true); });
+            simulation.at(100'000, [&] { simulation.partition_zone("a", "", 15'000, delay); });
+            simulation.at(118'000, [&] { simulation.partition_zone("b", "", 15'000, delay); });
+            simulation.at(136'000, [&] { simulation.partition_zone("a", "b", 15'000, delay); });
+            simulation.at(152'000, [&] { simulation.partition("n", "n", 15'000, false, true); });
             EXPECT_EQ(simulation.run(), "") << delay << refuse;
         }
     }
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -102,7 +102,7 @@
         simulation.advance(5000);
         const auto old = simulation.leader();
         ASSERT_TRUE(old);
-        simulation.cut("n" + std::to_string(*old), "", 20'000, delay);
+        simulation.partition("n" + std::to_string(*old), "", 20'000, delay);
         EXPECT_EQ(simulation.run(), "");
     }
 }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -34,7 +34,7 @@
     auto options = fault_free_options(seed);
     options.machines = 6;
     options.settle_ms = 120'000;
-    options.even_zones = true;
+    options.alternate_zones = true;
     return options;
 }
 
@@ -139,8 +139,8 @@
     simulation.jobs().push_back(service("job-000001", 4, 1000));
     simulation.jobs().push_back(service("job-000002", 3, 1000));
     simulation.advance(20'000);
-    EXPECT_LT(simulation.jobs()[0].accepted, 0);
-    EXPECT_GE(simulation.jobs()[1].accepted, 0);
+    EXPECT_LT(simulation.jobs()[0].accepted_at, 0);
+    EXPECT_GE(simulation.jobs()[1].accepted_at, 0);
     EXPECT_EQ(running(simulation, "job-000002"), 3);
 }
 
@@ -173,7 +173,7 @@
     simulation.at(8000, [&simulation] {
         if (simulation.leader() == std::optional<std::size_t>(0)) simulation.crash(0, 2000);
     });
-    simulation.at(20'000, [&simulation] { simulation.cut_zone("a", "", 22'000, false); });
+    simulation.at(20'000, [&simulation] { simulation.partition_zone("a", "", 22'000, false); });
     simulation.advance(38'000);
     EXPECT_EQ(running(simulation, "job-000001"), 6);
     EXPECT_EQ(simulation.violation(), "");
--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -33,16 +33,16 @@
             for (std::size_t n = 0; n < nodes_.size(); ++n) crash(n, options_.restart_ms);
             break;
         case 3:
-            cut(name, "state", span, delay);
+            partition(name, "state", span, delay);
             break;
         case 4:
-            cut(name, "host", span, delay);
+            partition(name, "host", span, delay);
             break;
         case 5:
-            cut(name, "n", span, delay);
+            partition(name, "n", span, delay);
             break;
         case 6:
-            cut(name, "", span, delay);
+            partition(name, "", span, delay);
             break;
         case 7:
             refuse_state_requests(node, span);
@@ -64,11 +64,11 @@
                 w->interrupted_at = now_ + static_cast<Millis>(random_below(8000));
             break;
         case 12:
-            if (auto* w = random_worker()) cut(w->name, "n", span, delay);
+            if (auto* w = random_worker()) partition(w->name, "n", span, delay);
             break;
         case 13:
             if (auto l = leader()) {
-                cut(node_name(*l), random_chance(0.5) ? "state" : "host", span, delay);
+                partition(node_name(*l), random_chance(0.5) ? "state" : "host", span, delay);
             }
             break;
         case 14:
@@ -115,10 +115,10 @@
             // has an outage for all.
             if (auto l = leader()) {
                 refuse_state_requests(*l, span);
-                if (random_chance(0.4)) cut(node_name(*l), "n", span + 15'000, delay);
+                if (random_chance(0.4)) partition(node_name(*l), "n", span + 15'000, delay);
                 const auto other = (*l + 1 + random_below(nodes_.size() - 1)) % nodes_.size();
                 at(now_ + 200 + static_cast<Millis>(random_below(1500)), [this, other, span] {
-                    cancel_now(1 + random_below(3), 0);
+                    cancel_running_jobs(1 + random_below(3), 0);
                     if (random_chance(0.3))
                         crash(other, 100 + static_cast<Millis>(random_below(30'000)));
                     at(now_ + 300 + static_cast<Millis>(random_below(1500)),
@@ -138,7 +138,7 @@
             }
             break;
         case 26:
-            cancel_now(1 + random_below(3), random_chance(0.6) ? span : 0);
+            cancel_running_jobs(1 + random_below(3), random_chance(0.6) ? span : 0);
             break;
         case 27:
             // All controllers are down for longer than a lease.
@@ -147,7 +147,7 @@
             }
             break;
         case 28:
-            cut_zone(
+            partition_zone(
                 random_chance(0.5) ? "a" : "b", "",
                 random_chance(0.5) ? span : span + static_cast<Millis>(options_.lease_s * 1000),
                 delay);
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -76,8 +76,8 @@
 void Simulation::check_answers() {
     if (now_ % 1000 != 0) return;
     for (const auto& j : jobs_) {
-        if (j.accepted < 0) continue;
-        const auto since = std::max({j.last_answered_at, j.accepted, faults_over_at_});
+        if (j.accepted_at < 0) continue;
+        const auto since = std::max({j.last_answered_at, j.accepted_at, faults_over_at_});
         if (now_ - since > kMaxUnanswered) fail("forgotten", j.id + " gets no answer");
     }
 }
@@ -130,7 +130,7 @@
 bool Simulation::replica_waits(const Job& j) const {
     for (std::uint32_t task = 0; task < j.count; ++task) {
         const auto seen = j.replica_last_placed_at.find(task);
-        const auto since = seen == j.replica_last_placed_at.end() ? j.accepted : seen->second;
+        const auto since = seen == j.replica_last_placed_at.end() ? j.accepted_at : seen->second;
         if (now_ - std::max(since, faults_over_at_) > kMaxWait) return true;
     }
     return false;
@@ -154,7 +154,7 @@
         served.insert(j.done_tasks.begin(), j.done_tasks.end());
         const bool incomplete = j.kind == "ensemble" ? served.empty() : served.size() < j.count;
         for (auto task : placed[j.id]) j.replica_last_placed_at[task] = now_;
-        const bool waits = j.accepted >= 0 && j.cancel_requested_at < 0 && !j.done_reported &&
+        const bool waits = j.accepted_at >= 0 && j.cancel_requested_at < 0 && !j.done_reported &&
                            j.done_tasks.size() < j.count && incomplete;
         if (!waits || !has_room(j, used)) {
             j.fits_since = -1;
@@ -170,8 +170,8 @@
 // until the user cancels it.
 void Simulation::measure_services() {
     for (auto& j : jobs_) {
-        const bool due = j.is_service() && j.accepted >= 0 && j.cancel_requested_at < 0 &&
-                         now_ >= j.accepted + kServiceGracePeriod;
+        const bool due = j.is_service() && j.accepted_at >= 0 && j.cancel_requested_at < 0 &&
+                         now_ >= j.accepted_at + kServiceGracePeriod;
         if (!due) continue;
         std::set<std::uint32_t> up;
         for (const auto& [name, w] : workers_) {
@@ -192,7 +192,7 @@
     std::map<std::string, std::uint32_t> largest;
     for (const auto& j : jobs_) largest[j.cls] = std::max(largest[j.cls], j.count);
     for (const auto& j : jobs_) {
-        if (j.accepted < 0 || j.cancel_requested_at >= 0 || j.always_fails) continue;
+        if (j.accepted_at < 0 || j.cancel_requested_at >= 0 || j.always_fails) continue;
         std::vector<std::string> groups{"class " + j.cls, "team " + j.team};
         if (j.count == largest[j.cls]) groups.push_back("largest of " + j.cls);
         for (const auto& group : groups) {
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -87,7 +87,7 @@
                           {"side", {8000, 0, 0}, {24000, 0, 0}}};
     }
     for (std::size_t i = 0; i < options_.machines; ++i) {
-        add_worker((options_.even_zones ? i % 2 == 0 : i == 0) ? "a" : "b", false);
+        add_worker((options_.alternate_zones ? i % 2 == 0 : i == 0) ? "a" : "b", false);
     }
     for (std::size_t n = 0; n < nodes_.size() && !options_.external; ++n) boot(n);
     for (std::size_t i = 0; i < options_.jobs; ++i) {
@@ -125,7 +125,7 @@
     advance(options_.busy_ms + options_.settle_ms);
     if (!violation_.empty()) return violation_;
     for (auto& j : jobs_) {
-        if (j.accepted < 0 || j.always_fails) continue;
+        if (j.accepted_at < 0 || j.always_fails) continue;
         if (j.is_service()) continue;
         if (j.cancel_confirmed_at < 0 && !j.done_reported) {
             fail("unfinished", j.id + " has " + std::to_string(j.done_tasks.size()) + " of " +
@@ -221,8 +221,8 @@
 
 // ---- network ----
 
-void Simulation::cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
-                     bool refuse) {
+void Simulation::partition(const std::string& a, const std::string& b, Millis for_ms, bool delay,
+                           bool refuse) {
     cuts_.push_back({a, b, now_ + for_ms, delay, refuse});
     fault_until(now_ + for_ms);
 }
@@ -245,8 +245,8 @@
     fault_until(now_ + for_ms);
 }
 
-void Simulation::cut_zone(const std::string& zone, const std::string& other, Millis for_ms,
-                          bool delay) {
+void Simulation::partition_zone(const std::string& zone, const std::string& other, Millis for_ms,
+                                bool delay) {
     std::vector<std::string> here;
     std::vector<std::string> there;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -255,13 +255,13 @@
     for (const auto& [name, w] : workers_) (w.zone == zone ? here : there).push_back(name);
     if (other.empty()) there.insert(there.end(), {"state", "cloud", "user"});
     for (const auto& a : here) {
-        for (const auto& b : there) cut(a, b, for_ms, delay);
+        for (const auto& b : there) partition(a, b, for_ms, delay);
     }
 }
 
 void Simulation::isolate(std::size_t node, Millis for_ms, bool delay, bool refuse) {
-    cut(node_name(node), "state", for_ms, delay, refuse);
-    cut(node_name(node), "n", for_ms, delay, refuse);
+    partition(node_name(node), "state", for_ms, delay, refuse);
+    partition(node_name(node), "n", for_ms, delay, refuse);
 }
 
 const Simulation::Cut* Simulation::cut_between(const std::string& a, const std::string& b) const {
@@ -447,7 +447,8 @@
          [this](const net::HttpReply& reply) { counted_replies_ += reply.status != 0 ? 1 : 0; });
 }
 
-net::HttpReply Simulation::ask(std::size_t node, net::HttpRequest request, Millis wait_ms) {
+net::HttpReply Simulation::send_and_wait(std::size_t node, net::HttpRequest request,
+                                         Millis wait_ms) {
     std::optional<net::HttpReply> out;
     call("user", node_name(node) + ":1", std::move(request), wait_ms,
          [&](net::HttpReply reply) { out = std::move(reply); });
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -47,7 +47,7 @@
     bool replicas_crash = false;  // services: replicas exit with an error instead of success
     // State as the user has observed it.
     bool submitted = false;
-    Millis accepted = -1;
+    Millis accepted_at = -1;
     Millis cancel_requested_at = -1;
     Millis cancel_confirmed_at = -1;
     bool done_reported = false;
@@ -137,7 +137,7 @@
     // send run commands while its lease is valid.
     Millis late_start_ms = 3500;
     // The initial machines alternate between the zones; otherwise only the first is in zone a.
-    bool even_zones = false;
+    bool alternate_zones = false;
     // Controllers answer peer messages about cancellations with 404.
     bool peers_without_cancel_messages = false;
     // Controllers start as the previous version, which has no services; see upgrade().
@@ -180,8 +180,8 @@
     // Partitions all hosts whose names start with `a` from those whose names start with `b`.
     // Messages are delivered after the partition if `delay` is set and reset otherwise; with
     // `refuse` no connection can be opened.
-    void cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
-             bool refuse = false);
+    void partition(const std::string& a, const std::string& b, Millis for_ms, bool delay,
+                   bool refuse = false);
     void state_outage(Millis for_ms) {
         state_outage_until_ = now_ + for_ms;
         fault_until(state_outage_until_);
@@ -221,7 +221,7 @@
     void send_counted(std::size_t node, net::HttpRequest request);
     [[nodiscard]] std::size_t counted_replies() const { return counted_replies_; }
     // Sends a user's request and advances the simulation until it is answered or times out.
-    net::HttpReply ask(std::size_t node, net::HttpRequest request, Millis wait_ms = 5000);
+    net::HttpReply send_and_wait(std::size_t node, net::HttpRequest request, Millis wait_ms = 5000);
     void block_inbound(Worker& worker, Millis for_ms, bool delay);
     void block_outbound(Worker& worker, Millis for_ms) {
         worker.outbound_blocked_until = now_ + for_ms;
@@ -249,7 +249,8 @@
     [[nodiscard]] std::size_t writes() const { return writes_; }
     [[nodiscard]] std::size_t direct_calls() const { return direct_calls_; }
     // Partitions a zone from the other zone or, if `other` is empty, from everything outside it.
-    void cut_zone(const std::string& zone, const std::string& other, Millis for_ms, bool delay);
+    void partition_zone(const std::string& zone, const std::string& other, Millis for_ms,
+                        bool delay);
     // Delays each request to the state service by 0.5 to 1.5 times `by`.
     void slow_state(Millis by, Millis for_ms) {
         state_delay_ = by;
@@ -278,7 +279,7 @@
     void cancel(Job& job, std::optional<std::size_t> node = std::nullopt);
     // Users cancel up to `count` running jobs within 200 ms. If `hang_ms` is not 0, up to 8 of the
     // machines that run them hang for that time.
-    void cancel_now(std::size_t count, Millis hang_ms);
+    void cancel_running_jobs(std::size_t count, Millis hang_ms);
     // Sends a random request of these: a repeated submission, a cancellation of a finished or
     // unknown job, or an invalid submission.
     void send_unusual_request();
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -52,13 +52,13 @@
          [this, id](const net::HttpReply& reply) {
              Job& current = *job(id);
              if (reply.status == 201 || reply.status == 200) {
-                 if (current.accepted < 0) current.accepted = now_;
+                 if (current.accepted_at < 0) current.accepted_at = now_;
                  const std::string state = parsed(reply.body)["stato"].GetString();
                  if (current.cancel_confirmed_at >= 0 && state != "aborted") fail("went_back", id);
                  return;
              }
              if (reply.status == 400 || reply.status == 422) {
-                 if (current.accepted >= 0) fail("forgotten", id + " refused after acceptance");
+                 if (current.accepted_at >= 0) fail("forgotten", id + " refused after acceptance");
                  return;
              }
              if (now_ < current.give_up_submit) {
@@ -88,16 +88,17 @@
                  }
                  return;
              }
-             if (reply.status == 404 && current.accepted >= 0) fail("forgotten", id + " at cancel");
+             if (reply.status == 404 && current.accepted_at >= 0)
+                 fail("forgotten", id + " at cancel");
              if (reply.status != 404) at(now_ + 1000, [this, id] { cancel(*job(id)); });
          });
 }
 
-void Simulation::cancel_now(std::size_t count, Millis hang_ms) {
+void Simulation::cancel_running_jobs(std::size_t count, Millis hang_ms) {
     std::size_t hung = 0;
     for (auto& j : jobs_) {
         if (count == 0) break;
-        if (j.accepted < 0 || j.cancel_requested_at >= 0 || j.done_reported) continue;
+        if (j.accepted_at < 0 || j.cancel_requested_at >= 0 || j.done_reported) continue;
         bool runs = false;
         for (auto& [name, w] : workers_) {
             for (const auto& t : w.tasks) {
@@ -159,7 +160,7 @@
             if (known == nullptr || !known->done_reported) return;
             return expect(node, {"POST", "/v2/runs/" + known->id + "/cancel", ""}, 200, "done");
         default:
-            if (known == nullptr || known->accepted < 0) return;
+            if (known == nullptr || known->accepted_at < 0) return;
             return expect(node, {"POST", "/v2/runs", description(*known)}, 200,
                           known->cancel_confirmed_at >= 0 ? "aborted"
                           : known->done_reported          ? "done"
@@ -169,7 +170,7 @@
 
 void Simulation::poll(Job& j) {
     const auto id = j.id;
-    const bool accepted = j.accepted >= 0;
+    const bool accepted = j.accepted_at >= 0;
     const bool cancelled = j.cancel_confirmed_at >= 0;
     const bool done = j.done_reported;
     call("user", node_name(random_below(nodes_.size())) + ":1", {"GET", "/v2/runs/" + id, ""}, 2000,
@@ -204,7 +205,8 @@
         j.give_up_submit = now_ + 60000;
         submit(j);
     }
-    if (j.cancel_at >= 0 && j.cancel_requested_at < 0 && now_ >= j.cancel_at && j.accepted >= 0) {
+    if (j.cancel_at >= 0 && j.cancel_requested_at < 0 && now_ >= j.cancel_at &&
+        j.accepted_at >= 0) {
         cancel(j);
     }
     const auto phase = static_cast<Millis>(std::hash<std::string>{}(j.id) % 20) * 100;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -214,7 +214,8 @@
         {"WhileJobsAreCancelled",
          [](Simulation& w) {
              w.at(20'000, [&w] { w.apply_next_limits(); });
-             for (Millis t = 19'000; t < 24'000; t += 500) w.at(t, [&w] { w.cancel_now(1, 0); });
+             for (Millis t = 19'000; t < 24'000; t += 500)
+                 w.at(t, [&w] { w.cancel_running_jobs(1, 0); });
          }},
         {"WhileWritesComeLate",
          [](Simulation& w) {
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -33,10 +33,10 @@
         simulation_.advance(4000);
     }
     int submit(const std::string& body) {
-        return simulation_.ask(0, {"POST", "/v2/runs", body}).status;
+        return simulation_.send_and_wait(0, {"POST", "/v2/runs", body}).status;
     }
     net::HttpReply get(const std::string& target, std::size_t node = 1) {
-        return simulation_.ask(node, {"GET", target, ""});
+        return simulation_.send_and_wait(node, {"GET", target, ""});
     }
     Simulation simulation_;
 };
@@ -95,28 +95,28 @@
     EXPECT_EQ(get("/nothing").status, 404);
     EXPECT_EQ(get("/v2/runs").status, 405);
     EXPECT_EQ(get("/v2/runs/job-000001/cancel").status, 405);
-    EXPECT_EQ(simulation_.ask(0, {"DELETE", "/v2/runs/job-000001", ""}).status, 405);
+    EXPECT_EQ(simulation_.send_and_wait(0, {"DELETE", "/v2/runs/job-000001", ""}).status, 405);
     EXPECT_EQ(get("/v2/runs/job-000001/x").status, 404);
     EXPECT_EQ(get("/healthz").status, 200);
 }
 
 TEST_F(UserApi, MalformedBeatsGet400AndChangeNothing) {
     for (const char* body : {"", "{}", "[]", R"({"banco":1})"}) {
-        EXPECT_EQ(simulation_.ask(0, {"POST", "/agent/beat", body}).status, 400) << body;
+        EXPECT_EQ(simulation_.send_and_wait(0, {"POST", "/agent/beat", body}).status, 400) << body;
     }
     EXPECT_EQ(simulation_.violation(), "");
 }
 
 TEST_F(UserApi, CancelIsFinalOnEveryNode) {
     EXPECT_EQ(submit(submission()), 201);
-    const auto reply = simulation_.ask(2, {"POST", "/v2/runs/job-000001/cancel", ""});
+    const auto reply = simulation_.send_and_wait(2, {"POST", "/v2/runs/job-000001/cancel", ""});
     EXPECT_EQ(reply.status, 200);
     EXPECT_NE(reply.body.find("aborted"), std::string::npos);
     for (std::size_t n = 0; n < 3; ++n) {
         EXPECT_NE(get("/v2/runs/job-000001", n).body.find("aborted"), std::string::npos);
-        EXPECT_EQ(simulation_.ask(n, {"POST", "/v2/runs", submission()}).status, 200);
+        EXPECT_EQ(simulation_.send_and_wait(n, {"POST", "/v2/runs", submission()}).status, 200);
     }
-    EXPECT_EQ(simulation_.ask(0, {"POST", "/v2/runs/job-000077/cancel", ""}).status, 404);
+    EXPECT_EQ(simulation_.send_and_wait(0, {"POST", "/v2/runs/job-000077/cancel", ""}).status, 404);
 }
 
 TEST_F(UserApi, RetryOfAJobThatIsLongOver) {
@@ -127,12 +127,12 @@
     j.count = 2;
     j.run_s = 3;
     j.submitted = true;
-    j.accepted = simulation_.now();
+    j.accepted_at = simulation_.now();
     simulation_.jobs().push_back(j);
     simulation_.advance(simulation_.now() + 30'000);
     for (std::size_t n = 0; n < 3; ++n) simulation_.crash(n, 500);
     simulation_.advance(simulation_.now() + 10'000);
-    const auto reply = simulation_.ask(1, {"POST", "/v2/runs", submission()});
+    const auto reply = simulation_.send_and_wait(1, {"POST", "/v2/runs", submission()});
     EXPECT_EQ(reply.status, 200);
     EXPECT_NE(reply.body.find("done"), std::string::npos);
     EXPECT_EQ(simulation_.violation(), "");
@@ -144,7 +144,7 @@
     const auto other = (*leader + 1) % 3;
     simulation_.refuse_state_requests(other, 20'000);
     simulation_.advance(simulation_.now() + 6000);
-    EXPECT_EQ(simulation_.ask(other, {"POST", "/v2/runs", submission()}).status, 201);
+    EXPECT_EQ(simulation_.send_and_wait(other, {"POST", "/v2/runs", submission()}).status, 201);
     EXPECT_EQ(get("/v2/runs/job-000001", other).status, 200);
     // It serves users, so it stays in turn; also when it restarts meanwhile.
     EXPECT_EQ(get("/healthz", other).status, 200);
@@ -158,8 +158,8 @@
     const auto leader = simulation_.leader();
     ASSERT_TRUE(leader);
     const auto other = (*leader + 1) % 3;
-    simulation_.cut("n" + std::to_string(other), "state", 20'000, true);
-    simulation_.cut("n" + std::to_string(other), "n", 20'000, true);
+    simulation_.partition("n" + std::to_string(other), "state", 20'000, true);
+    simulation_.partition("n" + std::to_string(other), "n", 20'000, true);
     simulation_.advance(simulation_.now() + 9000);
     EXPECT_EQ(get("/healthz", other).status, 503);
     simulation_.advance(simulation_.now() + 20'000);
@@ -171,11 +171,11 @@
     simulation_.advance(simulation_.now() + 1500);
     // Users who are refused ask nothing of the state service; the node has to find out itself.
     for (std::size_t n = 0; n < 3; ++n) {
-        EXPECT_EQ(simulation_.ask(n, {"POST", "/v2/runs", submission()}).status, 503);
+        EXPECT_EQ(simulation_.send_and_wait(n, {"POST", "/v2/runs", submission()}).status, 503);
     }
     simulation_.advance(simulation_.now() + 4500);
     for (std::size_t n = 0; n < 3; ++n) {
-        const auto reply = simulation_.ask(n, {"POST", "/v2/runs", submission()});
+        const auto reply = simulation_.send_and_wait(n, {"POST", "/v2/runs", submission()});
         EXPECT_TRUE(reply.status == 201 || reply.status == 200) << n << ": " << reply.status;
         EXPECT_EQ(get("/healthz", n).status, 200) << n;
     }
