--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -4,7 +4,7 @@
 
 namespace lichendrift::simulation {
 
-void Simulation::fault() {
+void Simulation::inject_fault() {
     if (now_ >= options_.busy_ms) {
         // No more faults from here on, so that every accepted job can end.
         for (auto& [name, w] : workers_) w.fails_tasks = false;
@@ -157,7 +157,7 @@
             break;
     }
     at(now_ + (second_fault_at_once ? 1 : 1500 + static_cast<Millis>(random_below(7000))),
-       [this] { fault(); });
+       [this] { inject_fault(); });
 }
 
 Options fault_free_options(std::uint64_t seed) {
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -94,7 +94,7 @@
         jobs_.push_back(random_job(rng_, i, options_.busy_ms));
     }
     at(0, [this] { tick(); });
-    if (options_.faults) at(4000, [this] { fault(); });
+    if (options_.faults) at(4000, [this] { inject_fault(); });
 }
 
 Simulation::~Simulation() {
@@ -144,9 +144,9 @@
     return n;
 }
 
-void Simulation::fail(const std::string& rule, const std::string& what) {
+void Simulation::fail(const std::string& rule, const std::string& detail) {
     if (violation_.empty()) {
-        violation_ = rule + ": " + what + " at " + std::to_string(now_) + " ms, seed " +
+        violation_ = rule + ": " + detail + " at " + std::to_string(now_) + " ms, seed " +
                      std::to_string(options_.seed);
     }
 }
@@ -223,7 +223,7 @@
 
 void Simulation::partition(const std::string& a, const std::string& b, Millis for_ms, bool delay,
                            bool refuse) {
-    cuts_.push_back({a, b, now_ + for_ms, delay, refuse});
+    partitions_.push_back({a, b, now_ + for_ms, delay, refuse});
     fault_until(now_ + for_ms);
 }
 
@@ -264,8 +264,9 @@
     partition(node_name(node), "n", for_ms, delay, refuse);
 }
 
-const Simulation::Cut* Simulation::cut_between(const std::string& a, const std::string& b) const {
-    for (const auto& c : cuts_) {
+const Simulation::Partition* Simulation::partition_between(const std::string& a,
+                                                           const std::string& b) const {
+    for (const auto& c : partitions_) {
         if (c.until <= now_) continue;
         if ((a.starts_with(c.a) && b.starts_with(c.b)) ||
             (a.starts_with(c.b) && b.starts_with(c.a))) {
@@ -277,7 +278,7 @@
 
 void Simulation::transmit(const std::string& from, const std::string& to, Millis extra,
                           std::function<void()> deliver, std::function<void()> reset) {
-    if (const auto* c = cut_between(from, to)) {
+    if (const auto* c = partition_between(from, to)) {
         if (c->delay) {
             at(c->until + 1 + static_cast<Millis>(random_below(5)), std::move(deliver));
         } else {
@@ -318,7 +319,7 @@
         if (random_chance(0.5)) at(now_ + 2, [finish] { finish({0, "", false}); });
         return;
     }
-    if (const auto* c = cut_between(from, host); c != nullptr && c->refuse) {
+    if (const auto* c = partition_between(from, host); c != nullptr && c->refuse) {
         at(now_ + 2, [finish] { finish({0, "", false}); });
         return;
     }
@@ -361,7 +362,7 @@
 void Simulation::ask_version(const std::string& from, const std::string& host,
                              const net::HttpRequest& request,
                              const std::function<void(net::HttpReply)>& finish) {
-    if (cut_between(from, host) != nullptr) return;
+    if (partition_between(from, host) != nullptr) return;
     at(now_ + 2, [this, host, request, finish] {
         const auto& node = nodes_[static_cast<std::size_t>(host[1] - '0')];
         if (!node.controller || node.runtime->frozen_until() > now_) return;
@@ -490,15 +491,16 @@
 void Simulation::update_unsettled_time() {
     const auto leading = leader();
     const auto token = leading ? nodes_[*leading].controller->token() : 0;
-    const bool cut = leading && (cut_between(node_name(*leading), "state") != nullptr ||
-                                 cut_between(node_name(*leading), "cloud") != nullptr ||
-                                 state_refused_until_[*leading] > now_ ||
-                                 nodes_[*leading].runtime->frozen_until() > now_);
-    if (!leading || token != settled_token_ || cut || now_ < state_outage_until_ ||
+    const bool disconnected =
+        leading &&
+        (partition_between(node_name(*leading), "state") != nullptr ||
+         partition_between(node_name(*leading), "cloud") != nullptr ||
+         state_refused_until_[*leading] > now_ || nodes_[*leading].runtime->frozen_until() > now_);
+    if (!leading || token != last_leader_token_ || disconnected || now_ < state_outage_until_ ||
         now_ < cloud_outage_until_) {
         last_unsettled_at_ = now_;
     }
-    settled_token_ = token;
+    last_leader_token_ = token;
 }
 
 }  // namespace lichendrift::simulation
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -51,7 +51,7 @@
     Millis cancel_requested_at = -1;
     Millis cancel_confirmed_at = -1;
     bool done_reported = false;
-    Millis give_up_submit = 0;
+    Millis submit_deadline = 0;
     Millis last_answered_at = -1;  // time of the last poll that was answered
     Millis fits_since = -1;        // since when some of it has been waiting though it would fit
     Millis first_run_at = -1;      // first time that a gang ran as a whole, or any task of an array
@@ -295,7 +295,7 @@
         std::unique_ptr<control::Controller> controller;
         bool current = true;  // the current version, or else the previous one without services
     };
-    struct Cut {
+    struct Partition {
         std::string a;
         std::string b;
         Millis until = 0;
@@ -330,7 +330,7 @@
                      const std::function<void(net::HttpReply)>& finish);
     void repeat(const std::string& from, const std::string& to, const net::HttpRequest& request,
                 Millis late);
-    const Cut* cut_between(const std::string& a, const std::string& b) const;
+    const Partition* partition_between(const std::string& a, const std::string& b) const;
 
     void serve_state(const std::string& from, const net::HttpRequest& request,
                      net::Respond respond);
@@ -348,7 +348,7 @@
     void tick();
     void worker_tick(Worker& worker);
     void heartbeat(Worker& worker);
-    void commands(Worker& worker, const std::string& body, Millis sent);
+    void execute_commands(Worker& worker, const std::string& body, Millis sent);
     std::string report(Worker& worker);
     void start_task(Worker& worker, const std::string& name, std::uint64_t attempt, Millis sent);
     void halt_task(Worker& worker, const std::string& name, std::uint64_t attempt, double grace);
@@ -365,12 +365,12 @@
     void check_served();
     // Records that a fault lasts until this time; some rules apply only once all faults are over.
     void fault_until(Millis until) { faults_over_at_ = std::max(faults_over_at_, until); }
-    void fault();
+    void inject_fault();
     void user_tick(Job& job);
     void poll(Job& job);
     static std::string description(const Job& job);
     void expect(std::size_t node, net::HttpRequest request, int status, const std::string& state);
-    void fail(const std::string& rule, const std::string& what);
+    void fail(const std::string& rule, const std::string& detail);
     Job* job(const std::string& id);
     [[nodiscard]] bool messages_are_lossy() const {
         return (options_.faults || options_.lossy_messages) && now_ < options_.busy_ms;
@@ -397,13 +397,13 @@
     std::string violation_;
     Millis faults_over_at_ = 0;
     std::vector<Node> nodes_;
-    std::vector<Cut> cuts_;
+    std::vector<Partition> partitions_;
     std::vector<Millis> state_refused_until_;
     Millis state_outage_until_ = 0;
     // Last time at which there was no leader with a valid lease, it changed, or it could not reach
     // the state service or the cloud.
     Millis last_unsettled_at_ = 0;
-    std::uint64_t settled_token_ = 0;
+    std::uint64_t last_leader_token_ = 0;
     Millis reply_sent_ = 0;  // when the response being delivered was sent
     Millis cloud_outage_until_ = 0;
     // State service.
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -61,7 +61,7 @@
                  if (current.accepted_at >= 0) fail("forgotten", id + " refused after acceptance");
                  return;
              }
-             if (now_ < current.give_up_submit) {
+             if (now_ < current.submit_deadline) {
                  at(now_ + 1000, [this, id] { submit(*job(id)); });
              }
          });
@@ -121,15 +121,15 @@
 // are allowed as well.
 void Simulation::expect(std::size_t node, net::HttpRequest request, int status,
                         const std::string& state) {
-    const auto what = request.method + " " + request.target;
+    const auto request_line = request.method + " " + request.target;
     call("user", node_name(node) + ":1", std::move(request), 5000,
-         [this, what, status, state](const net::HttpReply& reply) {
+         [this, request_line, status, state](const net::HttpReply& reply) {
              if (reply.status == 0 || reply.status == 503) return;
              if (reply.status != status) {
-                 return fail("odd_answer", what + " gets " + std::to_string(reply.status));
+                 return fail("odd_answer", request_line + " gets " + std::to_string(reply.status));
              }
              if (!state.empty() && parsed(reply.body)["stato"].GetString() != state) {
-                 fail("odd_answer", what + " gets " + reply.body);
+                 fail("odd_answer", request_line + " gets " + reply.body);
              }
          });
 }
@@ -202,7 +202,7 @@
 
 void Simulation::user_tick(Job& j) {
     if (!j.submitted && now_ >= j.submit_at) {
-        j.give_up_submit = now_ + 60000;
+        j.submit_deadline = now_ + 60000;
         submit(j);
     }
     if (j.cancel_at >= 0 && j.cancel_requested_at < 0 && now_ >= j.cancel_at &&
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -51,7 +51,7 @@
     return b.GetString();
 }
 
-void Simulation::commands(Worker& worker, const std::string& body, Millis sent) {
+void Simulation::execute_commands(Worker& worker, const std::string& body, Millis sent) {
     const auto doc = parsed(body);
     if (!doc.HasMember("ordini")) return;
     for (const auto& o : doc["ordini"].GetArray()) {
@@ -164,7 +164,7 @@
     }
     if (doc["delega"].GetUint64() > worker.token) worker.changed = true;
     worker.token = doc["delega"].GetUint64();
-    commands(worker, request.body, sent);
+    execute_commands(worker, request.body, sent);
     respond({200, report(worker)});
 }
 
@@ -227,7 +227,7 @@
                  current.token = doc["delega"].GetUint64();
                  current.last_acknowledged_sent_at =
                      std::max(current.last_acknowledged_sent_at, sent);
-                 commands(current, reply.body, responded_at);
+                 execute_commands(current, reply.body, responded_at);
              };
              if (w.hung_until > now_) {
                  w.deferred.push_back(handle_reply);
