--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -257,8 +257,8 @@
         state_delay_until_ = now_ + for_ms;
         fault_until(state_delay_until_);
     }
-    // The state service discards its change history, as it does after 10,000 newer changes, so that
-    // watches from an older revision fail.
+    // The state service discards its change history, as after 10,000 newer changes, so that watches
+    // from an older revision fail.
     void compact_changes() { compacted_revision_ = revision_; }
     // Delays every message by an additional 0.5 to 1.5 times `by`.
     void slow_links(Millis by, Millis for_ms) {
