--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -37,7 +37,7 @@
             const auto leader = simulation.leader();
             const auto node = leader && draw % 4 != 0 ? *leader : (draw >> 4U) % 3;
             const auto span = 200 + static_cast<Millis>((draw >> 8U) % 6000);
-            if (draw % 3 == 0) simulation.cut(node_name(node), "cloud", span * 5, true);
+            if (draw % 3 == 0) simulation.partition(node_name(node), "cloud", span * 5, true);
             simulation.freeze(node, span);
         });
     }
@@ -69,8 +69,8 @@
             if ((!to_cloud && !concerns_intent) || simulation.now() > until || rng() % 3 != 0)
                 return;
             if (to_cloud) {
-                simulation.cut(node_name(node), "cloud", 5000 + static_cast<Millis>(rng() % 40'000),
-                               true);
+                simulation.partition(node_name(node), "cloud",
+                                     5000 + static_cast<Millis>(rng() % 40'000), true);
             }
             simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
         });
@@ -127,18 +127,19 @@
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
         for (std::size_t n = 0; n < 8; ++n) {
-            auto job = plain(numbered(number++), 1, 3 + static_cast<double>(rng() % 3),
-                             wave + static_cast<Millis>(rng() % 6000));
+            auto job = batch_job(numbered_job_id(number++), 1, 3 + static_cast<double>(rng() % 3),
+                                 wave + static_cast<Millis>(rng() % 6000));
             job.cpus = 4;
             simulation.jobs().push_back(job);
         }
     }
-    simulation.observe([&simulation, &rng, until](std::size_t node,
-                                                  const net::HttpRequest& request) {
-        if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
-        simulation.cut(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000), true);
-        simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
-    });
+    simulation.observe(
+        [&simulation, &rng, until](std::size_t node, const net::HttpRequest& request) {
+            if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
+            simulation.partition(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000),
+                                 true);
+            simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
+        });
 }
 
 Options idle_between_waves_options(std::uint64_t seed) {
@@ -200,7 +201,7 @@
 constexpr std::size_t kBurst = 14;
 
 Options scenario_options(const FaultScenario& scenario, std::uint64_t seed) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.nodes = seed % 2 == 0 ? 3 : 5;
     options.features.fenced_duties = true;
     options.machines = scenario.when == FaultScenario::When::ProvisionRequested ? 0 : kFleet;
@@ -224,7 +225,7 @@
 
 void submit_burst(Simulation& simulation, Millis at) {
     for (std::size_t n = 0; n < kBurst; ++n) {
-        auto job = plain(numbered(800'000 + n), 1, 14, at);
+        auto job = batch_job(numbered_job_id(800'000 + n), 1, 14, at);
         job.cpus = 8;
         simulation.jobs().push_back(job);
     }
@@ -236,7 +237,8 @@
                          const std::function<void(Simulation&)>& after = nullptr) {
     Simulation simulation(options);
     simulation.set_capacity(static_cast<int>(kFleet));
-    if (options.machines > 0) simulation.jobs().push_back(plain(numbered(1), 1, 2, 1000));
+    if (options.machines > 0)
+        simulation.jobs().push_back(batch_job(numbered_job_id(1), 1, 2, 1000));
     bool injected = false;
     simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
         if (injected || simulation.now() < kIdleFrom || !matches(scenario.when, request)) return;
@@ -255,7 +257,7 @@
 }
 
 void delay_and_freeze(Simulation& simulation, std::size_t leader) {
-    simulation.cut(node_name(leader), "cloud", 14'000, true);
+    simulation.partition(node_name(leader), "cloud", 14'000, true);
     simulation.freeze(leader, 9000);
 }
 
@@ -266,14 +268,14 @@
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
     {"LeaderCrashesAfterReleaseRequestTimedOut", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         simulation.cut(node_name(leader), "cloud", 20'000, true);
+         simulation.partition(node_name(leader), "cloud", 20'000, true);
          simulation.at(simulation.now() + 8000,
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
      9000, &core::SafetyGuards::keep_release_intents},
     {"ReleaseRequestDelayedForMoreThanAMinute", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         simulation.cut(node_name(leader), "cloud", 75'000, true);
+         simulation.partition(node_name(leader), "cloud", 75'000, true);
          simulation.freeze(leader, 9000);
      },
      68'000},
@@ -311,7 +313,9 @@
     {"StateServiceSlow", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t) { simulation.slow_state(900, 9000); }},
     {"StateServiceRefusesLeader", FaultScenario::When::IntentWritten,
-     [](Simulation& simulation, std::size_t leader) { simulation.refuse_node(leader, 9000); }},
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.refuse_state_requests(leader, 9000);
+     }},
     {"CloudOutageAndLeaderCrash", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cloud_outage(9000);
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -1,4 +1,4 @@
-// The cloud of the simulation: machines are provisioned, listed late, released and lost.
+// The simulated cloud: provisions, lists, releases and loses machines.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -23,8 +23,8 @@
                   ? 0
                   : now_ + boot_ms_ / 2 +
                         static_cast<Millis>(random_below(static_cast<std::uint64_t>(boot_ms_)));
-    w.never = now_ > 0 && random_chance(never_);
-    w.sick = options_.faults && random_chance(0.06);
+    w.never_boots = now_ > 0 && random_chance(never_boots_share_);
+    w.fails_tasks = options_.faults && random_chance(0.06);
     w.node = random_below(nodes_.size());
     workers_[w.name] = w;
 }
@@ -68,7 +68,7 @@
         release_machines(doc);
         return respond({200, "{}"});
     }
-    // The list lags and at times goes back.
+    // Each list is 2 to 4 s out of date, so it may show an older state than the previous list.
     const auto lag = static_cast<Millis>(2000 + random_below(2000));
     std::string items;
     for (const auto& [name, w] : workers_) {
@@ -87,7 +87,7 @@
     worker.gone = true;
     worker.up = false;
     worker.tasks.clear();
-    worker.held.clear();
+    worker.deferred.clear();
 }
 
 }  // namespace lichendrift::simulation
--- a/tests/simulation/random_day.cpp
+++ b/tests/simulation/random_day.cpp
@@ -1,13 +1,13 @@
-// Random days: what happens on them, and the jobs that the tests submit.
+// Random days: simulated runs with random jobs and faults. Also the jobs that tests submit.
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
 namespace lichendrift::simulation {
 
-void Simulation::fault() {
+void Simulation::inject_fault() {
     if (now_ >= options_.busy_ms) {
-        // Everything heals: what was accepted has to end.
-        for (auto& [name, w] : workers_) w.sick = false;
+        // No more faults from here on, so that every accepted job can end.
+        for (auto& [name, w] : workers_) w.fails_tasks = false;
         return;
     }
     const auto node = random_below(nodes_.size());
@@ -21,7 +21,7 @@
         }
         return up.empty() ? nullptr : up[random_below(up.size())];
     };
-    const auto both = random_chance(0.25);  // a second fault at once
+    const auto second_fault_at_once = random_chance(0.25);
     switch (random_below(30)) {
         case 0:
             crash(node, options_.restart_ms);
@@ -33,19 +33,19 @@
             for (std::size_t n = 0; n < nodes_.size(); ++n) crash(n, options_.restart_ms);
             break;
         case 3:
-            cut(name, "state", span, delay);
+            partition(name, "state", span, delay);
             break;
         case 4:
-            cut(name, "host", span, delay);
+            partition(name, "host", span, delay);
             break;
         case 5:
-            cut(name, "n", span, delay);
+            partition(name, "n", span, delay);
             break;
         case 6:
-            cut(name, "", span, delay);
+            partition(name, "", span, delay);
             break;
         case 7:
-            refuse_node(node, span);
+            refuse_state_requests(node, span);
             break;
         case 8:
             state_outage(span);
@@ -61,14 +61,14 @@
             break;
         case 11:
             if (auto* w = random_worker())
-                w->taken_at = now_ + static_cast<Millis>(random_below(8000));
+                w->interrupted_at = now_ + static_cast<Millis>(random_below(8000));
             break;
         case 12:
-            if (auto* w = random_worker()) cut(w->name, "n", span, delay);
+            if (auto* w = random_worker()) partition(w->name, "n", span, delay);
             break;
         case 13:
             if (auto l = leader()) {
-                cut(node_name(*l), random_chance(0.5) ? "state" : "host", span, delay);
+                partition(node_name(*l), random_chance(0.5) ? "state" : "host", span, delay);
             }
             break;
         case 14:
@@ -83,7 +83,8 @@
             if (auto l = leader()) isolate(*l, span, delay, random_chance(0.33));
             break;
         case 17:
-            // Gone and back within moments, again during the election.
+            // The leader restarts within 350 ms; it or another one restarts again during the
+            // election.
             if (auto l = leader()) {
                 crash(*l, 50 + static_cast<Millis>(random_below(300)));
                 const auto again = random_chance(0.5) ? *l : node;
@@ -95,7 +96,7 @@
             freeze(node, span);
             break;
         case 19:
-            // Paused as the leader, as a candidate, or during its failover.
+            // The leader crashes, and controllers are paused during the election and failover.
             if (auto l = leader()) {
                 crash(*l, options_.restart_ms);
                 for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -110,13 +111,14 @@
             break;
         case 21:
         case 22:
-            // The leader alone is refused, others confirm cancellations, then it is out for all.
+            // The state service refuses only the leader, others confirm cancellations, and then it
+            // has an outage for all.
             if (auto l = leader()) {
-                refuse_node(*l, span);
-                if (random_chance(0.4)) cut(node_name(*l), "n", span + 15'000, delay);
+                refuse_state_requests(*l, span);
+                if (random_chance(0.4)) partition(node_name(*l), "n", span + 15'000, delay);
                 const auto other = (*l + 1 + random_below(nodes_.size() - 1)) % nodes_.size();
                 at(now_ + 200 + static_cast<Millis>(random_below(1500)), [this, other, span] {
-                    cancel_now(1 + random_below(3), 0);
+                    cancel_running_jobs(1 + random_below(3), 0);
                     if (random_chance(0.3))
                         crash(other, 100 + static_cast<Millis>(random_below(30'000)));
                     at(now_ + 300 + static_cast<Millis>(random_below(1500)),
@@ -136,28 +138,29 @@
             }
             break;
         case 26:
-            cancel_now(1 + random_below(3), random_chance(0.6) ? span : 0);
+            cancel_running_jobs(1 + random_below(3), random_chance(0.6) ? span : 0);
             break;
         case 27:
-            // All are away for longer than a lease.
+            // All controllers are down for longer than a lease.
             for (std::size_t n = 0; n < nodes_.size(); ++n) {
                 crash(n, static_cast<Millis>(options_.lease_s * 1000) + span);
             }
             break;
         case 28:
-            cut_zone(
+            partition_zone(
                 random_chance(0.5) ? "a" : "b", "",
                 random_chance(0.5) ? span : span + static_cast<Millis>(options_.lease_s * 1000),
                 delay);
             break;
         default:
-            for (Millis t = 0; t < span; t += 100) at(now_ + t, [this] { odd_request(); });
+            for (Millis t = 0; t < span; t += 100) at(now_ + t, [this] { send_unusual_request(); });
             break;
     }
-    at(now_ + (both ? 1 : 1500 + static_cast<Millis>(random_below(7000))), [this] { fault(); });
+    at(now_ + (second_fault_at_once ? 1 : 1500 + static_cast<Millis>(random_below(7000))),
+       [this] { inject_fault(); });
 }
 
-Options calm(std::uint64_t seed) {
+Options fault_free_options(std::uint64_t seed) {
     Options options;
     options.seed = seed;
     options.jobs = 0;
@@ -165,13 +168,13 @@
     return options;
 }
 
-std::string numbered(std::size_t n) {
+std::string numbered_job_id(std::size_t n) {
     char id[32];
     std::snprintf(id, sizeof id, "job-%06zu", n);
     return id;
 }
 
-Job plain(const std::string& id, std::uint32_t count, double run_s, Millis submit_at) {
+Job batch_job(const std::string& id, std::uint32_t count, double run_s, Millis submit_at) {
     Job j;
     j.id = id;
     j.count = count;
@@ -199,7 +202,7 @@
 Job random_job(std::mt19937_64& rng, std::size_t number, Millis busy_ms) {
     const auto random_below = [&](std::uint64_t n) { return rng() % n; };
     Job j;
-    j.id = numbered((number * 7919 + 13) % 1'000'000);
+    j.id = numbered_job_id((number * 7919 + 13) % 1'000'000);
     j.cls = random_below(2) == 0 ? "one" : "other";
     j.team = random_below(3) == 0 ? "side" : "core";
     j.kind = random_below(2) == 0 ? "ensemble" : "sweep";
