--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -513,7 +513,7 @@
 
 class NamedCombination : public ::testing::TestWithParam<std::size_t> {};
 
-TEST_P(NamedCombination, KeepsTheRules) {
+TEST_P(NamedCombination, ViolatesNoRule) {
     const auto& combination = combinations()[GetParam()];
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
         auto options = calm(1000 + seed);
