--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,4 +1,4 @@
-// Single faults of large deployments, each aimed at one guard.
+// Single faults in large deployments. Each test covers one safety guard.
 #include <gtest/gtest.h>
 
 #include "core/cluster.h"
@@ -8,10 +8,11 @@
 namespace {
 
 // A one-way partition: heartbeats arrive, answers and commands do not, and the tasks end with the
-// worker's lease. Without a check of the effect of commands, tasks were placed there again and
-// again.
+// worker's lease. Without the check that commands take effect, tasks are placed on the machine
+// again and again.
 TEST(Faults, UnreachableMachineGetsNoMoreWorkAndIsReleased) {
-    for (const auto& [held, guarded] : {std::pair(false, true), {true, true}, {false, false}}) {
+    for (const auto& [commands_delayed, guarded] :
+         {std::pair(false, true), {true, true}, {false, false}}) {
         auto options = calm(21);
         options.guards.command_effect_check = guarded;
         Simulation simulation(options);
@@ -27,12 +28,13 @@
         std::string unreachable;
         for (auto& [name, w] : simulation.workers()) {
             if (w.tasks.empty() || w.tasks[0].state == "exited") continue;
-            simulation.block_inbound(w, 150'000, held);
+            simulation.block_inbound(w, 150'000, commands_delayed);
             unreachable = name;
             break;
         }
         ASSERT_NE(unreachable, "");
-        // What was there already waits for its lease to end; from then on nothing goes there.
+        // Tasks already on the machine are moved once its lease has expired. From then on no task
+        // may be placed there.
         std::set<std::string> placed;
         for (Millis t = 50'000; t <= 95'000; t += 250) {
             simulation.advance(t);
@@ -49,10 +51,10 @@
     }
 }
 
-// Reports that a silent leader did not answer were refused, and their workers tried the silent
-// leader itself next: a quarter of the fleet lost its leases and tasks just after the next leader
-// had come.
-TEST(Faults, SilentLeaderCostsNoLeaseOfWorkersThatReportElsewhere) {
+// Heartbeats relayed to a paused leader, which did not answer, used to be refused, and the workers
+// then tried the paused leader itself: a quarter of the fleet lost its leases and tasks just after
+// the next leader had been elected.
+TEST(Faults, PausedLeaderCostsNoLeaseOfWorkersThatReportToOthers) {
     for (const std::uint64_t seed : {23, 24, 25, 26}) {
         for (const std::size_t nodes : {3, 5}) {
             auto options = calm(seed);
@@ -64,11 +66,11 @@
             j.cpus = 8;
             simulation.jobs().push_back(j);
             simulation.advance(30'000);
-            const auto silent = simulation.leader();
-            ASSERT_TRUE(silent.has_value());
-            simulation.freeze(*silent, 25'000);
+            const auto paused = simulation.leader();
+            ASSERT_TRUE(paused.has_value());
+            simulation.freeze(*paused, 25'000);
             simulation.advance(60'000);
-            EXPECT_NE(simulation.leader(), silent);
+            EXPECT_NE(simulation.leader(), paused);
             for (const auto& [name, w] : simulation.workers()) {
                 EXPECT_EQ(w.session, 1U) << name << " seed " << seed << " of " << nodes;
             }
@@ -92,8 +94,10 @@
     EXPECT_EQ(simulation.total_starts(), 3U);
 }
 
-// Answering with its old token, it would keep its workers until their leases end.
-TEST(Faults, LeaderThatKeepsOnlyItsWorkersLosesNoTasksForThem) {
+// A leader is cut off from the state service and the other controllers, but not from its workers.
+// If it answered their heartbeats with its old token, they would stay with it until their leases
+// expire.
+TEST(Faults, LeaderThatReachesOnlyItsWorkersCostsThemNoTasks) {
     for (const std::size_t nodes : {3, 5}) {
         for (const auto& [delay, refuse] :
              {std::pair(false, false), {true, false}, {false, true}}) {
@@ -122,8 +126,9 @@
     }
 }
 
-// Cut off from everything it sees machines fall silent one by one; its requests to release them
-// would be delayed and carried out when the cut ends, long after another controller was elected.
+// To a leader that is cut off from everything, machines fall silent one by one. Its requests to
+// release them would be delayed and carried out when the partition heals, long after another
+// controller was elected.
 TEST(Faults, LeaderWithoutValidLeaseReleasesNoMachine) {
     auto options = calm(27);
     options.report_s = 5;
@@ -147,8 +152,8 @@
     for (const auto& [name, w] : simulation.workers()) EXPECT_FALSE(w.gone) << name;
 }
 
-// Records still name the machines that tasks were on before these were released.
-TEST(Faults, NewLeaderWaitsNotForMachinesThatAreGone) {
+// Placement records still name machines that have been lost since the tasks were placed there.
+TEST(Faults, NewLeaderDoesNotWaitForMachinesThatAreGone) {
     auto options = calm(28);
     options.machines = 4;
     Simulation simulation(options);
@@ -172,8 +177,8 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-TEST(Faults, ZonesCutOffOrApartLoseNoJob) {
-    for (const bool apart : {false, true}) {
+TEST(Faults, PartitionedZonesLoseNoJob) {
+    for (const bool between_zones : {false, true}) {
         for (const bool delay : {false, true}) {
             auto options = calm(30);
             options.nodes = 5;
@@ -184,15 +189,15 @@
                 j.one_zone = n % 2 == 0;
                 simulation.jobs().push_back(j);
             }
-            simulation.at(12'000, [&, apart, delay] {
-                simulation.cut_zone("a", apart ? "b" : "", 30'000, delay);
+            simulation.at(12'000, [&, between_zones, delay] {
+                simulation.cut_zone("a", between_zones ? "b" : "", 30'000, delay);
             });
-            EXPECT_EQ(simulation.run(), "") << apart << delay;
+            EXPECT_EQ(simulation.run(), "") << between_zones << delay;
         }
     }
 }
 
-TEST(Faults, SlowStateServiceDelaysAndLosesNothing) {
+TEST(Faults, SlowStateServiceLosesNoJob) {
     Simulation simulation(calm(31));
     for (std::size_t n = 1; n <= 10; ++n) {
         simulation.jobs().push_back(plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000));
@@ -201,8 +206,9 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-// A watch from before what the state service still keeps: everything is read again.
-TEST(Faults, ChangesThatTheStateServiceForgotAreReadAgain) {
+// A watch asks for changes since a revision that the state service no longer keeps: the controller
+// reads everything again.
+TEST(Faults, CompactedChangesOfTheStateServiceAreReadAgain) {
     Simulation simulation(calm(32));
     for (std::size_t n = 1; n <= 10; ++n) {
         auto j = plain(numbered(n), 2, 6, static_cast<Millis>(n) * 3000);
@@ -214,7 +220,7 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-TEST(Faults, WaveOfSpotNoticesMovesTheWork) {
+TEST(Faults, ManyPreemptionNoticesMoveTheTasks) {
     auto options = calm(33);
     options.machines = 0;
     Simulation simulation(options);
@@ -234,8 +240,8 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-// Several times as many jobs of a class as fit, beside another team's guarantee.
-TEST(Faults, BurstOfAClassStarvesNoOther) {
+// One class has several times as many jobs as fit, beside another team with a guarantee.
+TEST(Faults, BurstOfOneClassStarvesNoOtherClass) {
     Simulation simulation(calm(34));
     simulation.set_capacity(5);
     std::size_t n = 0;
@@ -260,7 +266,7 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-// A flood of requests that are refused: each is answered at once, and the workers are not affected.
+// Each request of a flood of refused ones is answered, and the workers are not affected.
 TEST(Faults, FloodOfRefusedRequestsStarvesNeitherHeartbeatsNorRenewals) {
     Simulation simulation(calm(35));
     simulation.jobs().push_back(plain("job-000001", 4, 60));
@@ -285,8 +291,9 @@
     EXPECT_EQ(simulation.total_starts(), 4U);
 }
 
-// Capacity for a guarantee is kept while its team has work, and not for ever after.
-TEST(Faults, RoomForAGuaranteeIsGivenUpWhenItsTeamWentHome) {
+// Machines for a guarantee are kept while its team has jobs, and released some time after its last
+// job ended.
+TEST(Faults, MachinesForAGuaranteeAreReleasedAfterItsTeamHasNoJobs) {
     core::NameTable types;
     core::NameTable zones;
     core::ClusterSettings settings;
@@ -319,17 +326,18 @@
     core::JobDescription job;
     job.id = "job-000001";
     job.team = "core";
-    job.cpus = 100;  // fits nowhere, and goes on waiting
+    job.cpus = 100;  // fits on no machine, so the job stays queued
     releases(1000);
     cluster.add_job(job, 1, 1000);
     EXPECT_EQ(releases(200'000), 0U);
     cluster.on_job_terminal("job-000001", true, 200'000);
     EXPECT_EQ(releases(210'000), 0U);
-    // One of the two stays as the spare machine.
+    // One of the two machines is kept as the spare machine.
     EXPECT_EQ(releases(210'000 + settings.tuning.guarantee_retention_ms + 60'000), 1U);
 }
 
-// What is known of images grows with the fleet, one value of the state service does not.
+// The list of images cached on machines grows with the fleet, but a value in the state service has
+// a maximum size.
 TEST(Faults, ImagesOfALargeFleetAreKeptInSeveralRecords) {
     auto options = calm(29);
     options.machines = 200;
@@ -353,10 +361,10 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// Two zones can't reach each other, a third reaches both: heartbeats are relayed by a
-// controller there. Before, the workers of one zone tried the leader, waited, and their leases
+// Two zones can't reach each other, but a third reaches both: a controller in the third relays the
+// heartbeats. Without that, the workers of one zone tried the leader and waited until their leases
 // expired.
-TEST(Faults, ReportsGoRoundByANodeThatReachesTheLeader) {
+TEST(Faults, HeartbeatsAreRelayedByANodeThatReachesTheLeader) {
     for (const bool delay : {false, true}) {
         auto options = calm(36);
         options.machines = 6;
@@ -384,8 +392,9 @@
     }
 }
 
-// With the ports between controllers refused, a follower can't forward heartbeats: it has to name
-// the leader, or the worker tries one controller after the other until its lease expires.
+// While connections between controllers are refused, a follower can't forward heartbeats. It has to
+// tell the worker which controller is the leader, or the worker tries one controller after the
+// other until its lease expires.
 TEST(Faults, RefusedConnectionsBetweenControllersCostNoTasks) {
     auto options = calm(24);
     options.nodes = 5;
@@ -403,10 +412,11 @@
     for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
 }
 
-// On a few days in a hundred all reports of a machine meet a controller without a leader for longer
-// than its lease, so a single seed says little: 40 days, no rule broken, hardly ever a lease lost.
-TEST(Faults, ControllersBackWithinMomentsDuringElections) {
-    int days_with_lost_leases = 0;
+// In a few of a hundred runs, all heartbeats of a machine reach controllers that know no leader for
+// longer than the machine's lease, so a single seed says little. 40 runs have to keep all rules,
+// and at most two may lose a lease.
+TEST(Faults, ControllersRestartingQuicklyDuringElectionsRarelyCostALease) {
+    int runs_with_lost_leases = 0;
     for (std::uint64_t seed = 25; seed < 45; ++seed) {
         for (const std::size_t nodes : {3, 5}) {
             auto options = calm(seed);
@@ -422,20 +432,21 @@
             }
             EXPECT_EQ(simulation.run(), "") << seed;
             EXPECT_GE(simulation.total_starts(), 4U);
-            days_with_lost_leases += simulation.total_starts() > 4U ? 1 : 0;
+            runs_with_lost_leases += simulation.total_starts() > 4U ? 1 : 0;
         }
     }
-    EXPECT_LE(days_with_lost_leases, 2);
+    EXPECT_LE(runs_with_lost_leases, 2);
 }
 
-// Small work of the same rank never ends: the largest still has to begin within four minutes.
+// Small jobs of the same priority keep arriving: the largest job still has to begin within four
+// minutes.
 class LargestJob : public ::testing::TestWithParam<bool> {};
 
-TEST_P(LargestJob, BeginsInTimeBesideSteadySmallerWorkOfItsRank) {
+TEST_P(LargestJob, BeginsInTimeBesideSteadySmallerJobsOfItsPriority) {
     const bool gang = GetParam();
-    const auto begun_after = [&](bool claims) {
+    const auto time_to_begin = [&](bool reservations) {
         auto options = calm(26);
-        options.guards.starvation_reservations = claims;
+        options.guards.starvation_reservations = reservations;
         options.settle_ms = 300'000;
         options.teams = {{"core", {}, {}}};
         Simulation simulation(options);
@@ -451,12 +462,12 @@
         simulation.jobs().push_back(big);
         simulation.advance(340'000);
         EXPECT_EQ(simulation.broken(), "");
-        const auto& me = simulation.jobs().back();
-        return me.begun < 0 ? Millis{1'000'000} : me.begun - me.submit_at;
+        const auto& largest = simulation.jobs().back();
+        return largest.begun < 0 ? Millis{1'000'000} : largest.begun - largest.submit_at;
     };
-    EXPECT_LT(begun_after(true), 240'000);
-    // Without reservations it does not: the check can fail.
-    EXPECT_GT(begun_after(false), 240'000);
+    EXPECT_LT(time_to_begin(true), 240'000);
+    // Without reservations the job begins later, which shows that the check above can fail.
+    EXPECT_GT(time_to_begin(false), 240'000);
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, LargestJob, ::testing::Bool(), [](const auto& param) {
     return std::string(param.param ? "Gang" : "Array");
