--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Faults of fleets in which many machines restart at once, each aimed at one guard.
+// Faults in fleets where many machines or controllers are affected at the same time. Each test
+// covers one safety guard.
 #include <gtest/gtest.h>
 
 #include "simulation/simulation.h"
@@ -6,7 +7,7 @@
 namespace lichendrift::simulation {
 namespace {
 
-Options fleet(std::uint64_t seed, std::size_t machines, std::size_t nodes = 3) {
+Options fleet_options(std::uint64_t seed, std::size_t machines, std::size_t nodes = 3) {
     auto options = calm(seed);
     options.nodes = nodes;
     options.machines = machines;
@@ -24,7 +25,8 @@
     return j;
 }
 
-std::vector<std::string> lost(Simulation& simulation) {
+// The names of the workers that are gone or had to begin a new session.
+std::vector<std::string> lost_workers(Simulation& simulation) {
     std::vector<std::string> out;
     for (const auto& [name, w] : simulation.workers()) {
         if (w.gone || w.session > 1) out.push_back(name);
@@ -32,99 +34,101 @@
     return out;
 }
 
-// A paused process resumes without knowing what happened: another controller may have been elected,
-// answers and timers are due all at once.
-class StandsStill : public ::testing::TestWithParam<Millis> {};
+// A controller process is paused and resumes without knowing that time has passed: another
+// controller may have been elected, and all delayed answers and timers are due at the same time.
+class PausedController : public ::testing::TestWithParam<Millis> {};
 
-TEST_P(StandsStill, AsLeaderAsFollowerAmidElectionAndTakeOver) {
-    const auto span = GetParam();
+TEST_P(PausedController, CostsNoTaskAsLeaderAsFollowerOrDuringElectionOrFailover) {
+    const auto pause_ms = GetParam();
     for (const std::size_t nodes : {3, 5}) {
-        for (int when = 0; when < 4; ++when) {
-            Simulation simulation(fleet(50, 6, nodes));
+        for (int phase = 0; phase < 4; ++phase) {
+            Simulation simulation(fleet_options(50, 6, nodes));
             simulation.set_capacity(6);
             simulation.jobs().push_back(whole_machines(1, 6, 70));
             simulation.advance(12'000);
             const auto first = simulation.leader();
             ASSERT_TRUE(first);
             const auto other = (*first + 1) % nodes;
-            if (when == 0) simulation.freeze(*first, span);
-            if (when == 1) simulation.freeze(other, span);
-            if (when == 2) {
+            if (phase == 0) simulation.freeze(*first, pause_ms);
+            if (phase == 1) simulation.freeze(other, pause_ms);
+            if (phase == 2) {
                 // All candidates but one pause at different moments of the election.
                 simulation.crash(*first, 3000);
                 for (std::size_t n = 0; n < nodes; ++n) {
                     const auto at = simulation.now() + static_cast<Millis>(n) * 40;
                     if (n != other)
-                        simulation.at(at, [&simulation, n, span] { simulation.freeze(n, span); });
+                        simulation.at(
+                            at, [&simulation, n, pause_ms] { simulation.freeze(n, pause_ms); });
                 }
             }
-            if (when == 3) {
+            if (phase == 3) {
                 simulation.crash(*first, 3000);
                 while (!simulation.leader()) simulation.advance(simulation.now() + 1);
-                simulation.freeze(*simulation.leader(), span);
+                simulation.freeze(*simulation.leader(), pause_ms);
             }
             simulation.advance(70'000);
-            EXPECT_EQ(lost(simulation), std::vector<std::string>{}) << "case " << when;
-            EXPECT_EQ(simulation.run(), "") << "case " << when << " of " << nodes;
-            EXPECT_EQ(simulation.total_starts(), 6U) << "case " << when << " of " << nodes;
+            EXPECT_EQ(lost_workers(simulation), std::vector<std::string>{}) << "case " << phase;
+            EXPECT_EQ(simulation.run(), "") << "case " << phase << " of " << nodes;
+            EXPECT_EQ(simulation.total_starts(), 6U) << "case " << phase << " of " << nodes;
         }
     }
 }
-INSTANTIATE_TEST_SUITE_P(Millis, StandsStill, ::testing::Values(700, 2900, 4500, 9000, 25'000),
+INSTANTIATE_TEST_SUITE_P(Millis, PausedController, ::testing::Values(700, 2900, 4500, 9000, 25'000),
                          [](const auto& param) { return std::to_string(param.param); });
 
-// An idle machine is about to be released when the leader pauses; the next one places work there. A
-// release carries no token: when the old leader resumes, it must not send it.
-TEST(Fleet, PausedLeaderReleasesNoMachineThatAnotherUses) {
-    const auto day = [](Simulation& simulation) {
+// The leader pauses when it is about to release an idle machine, and the next leader places tasks
+// on that machine. A release request carries no token, so the cloud can't refuse a stale one: the
+// old leader must not send it when it resumes.
+TEST(Fleet, PausedLeaderReleasesNoMachineThatTheNextLeaderUses) {
+    const auto run_first_job = [](Simulation& simulation) {
         simulation.set_capacity(6);
         simulation.jobs().push_back(whole_machines(1, 6, 5));
         simulation.advance(8000);
         ASSERT_TRUE(simulation.leader());
     };
-    Simulation first(fleet(51, 6));
-    day(first);
-    while (lost(first).empty() && first.now() < 200'000) first.advance(first.now() + 10);
+    Simulation first(fleet_options(51, 6));
+    run_first_job(first);
+    while (lost_workers(first).empty() && first.now() < 200'000) first.advance(first.now() + 10);
     const auto released = first.now();
     ASSERT_LT(released, 200'000);
     for (Millis before = 0; before < 600; before += 20) {
-        Simulation simulation(fleet(51, 6));
-        day(simulation);
+        Simulation simulation(fleet_options(51, 6));
+        run_first_job(simulation);
         simulation.advance(released - before);
         const auto old = *simulation.leader();
         simulation.freeze(old, 12'000);
         auto next = whole_machines(2, 6, 25, simulation.now() + 7000);
-        // The load balancer has passed over the paused controller by then.
+        // By then the load balancer no longer sends requests to the paused controller.
         next.via = (old + 1) % 3;
         simulation.jobs().push_back(next);
         simulation.advance(simulation.now() + 9500);
         ASSERT_NE(simulation.leader(), old);
-        ASSERT_EQ(simulation.total_starts(), 12U - lost(simulation).size());
-        const auto gone = lost(simulation);
+        ASSERT_EQ(simulation.total_starts(), 12U - lost_workers(simulation).size());
+        const auto gone = lost_workers(simulation);
         simulation.advance(simulation.now() + 14'000);
-        EXPECT_EQ(lost(simulation), gone) << before;
+        EXPECT_EQ(lost_workers(simulation), gone) << before;
         EXPECT_EQ(simulation.broken(), "");
     }
 }
 
-constexpr std::size_t kMany = 2000;
+constexpr std::size_t kLargeFleet = 2000;
 
-void settle(Simulation& simulation, Millis until) {
+void advance_and_check(Simulation& simulation, Millis until) {
     simulation.advance(until);
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// All controllers end in an outage, some twice, and are back together with workers and users on top
-// of a burst: the new leader finds everything where it was, no lease expires, everybody gets an
-// answer.
-TEST(Fleet, EverybodyIsBackAtOnce) {
+// All controllers crash twice during an outage of the state service. When they are back, all
+// workers and users connect at the same time, while a burst of jobs is submitted: the new leader
+// keeps all placements, no lease expires, and every request is answered.
+TEST(Fleet, AllControllersWorkersAndUsersReturnAtOnce) {
     for (const std::size_t nodes : {3, 5}) {
-        Simulation simulation(fleet(52, kMany, nodes));
-        simulation.set_capacity(kMany);
+        Simulation simulation(fleet_options(52, kLargeFleet, nodes));
+        simulation.set_capacity(kLargeFleet);
         for (std::size_t n = 0; n < 20; ++n) {
             simulation.jobs().push_back(whole_machines(n, 90, 300));
         }
-        settle(simulation, 30'000);
+        advance_and_check(simulation, 30'000);
         EXPECT_EQ(simulation.total_starts(), 1800U);
         simulation.state_outage(9000);
         for (std::size_t n = 0; n < nodes; ++n) {
@@ -143,23 +147,25 @@
                 });
         }
         const auto back = simulation.now() + 9000;
-        settle(simulation, back + 4000);
+        advance_and_check(simulation, back + 4000);
         EXPECT_EQ(simulation.counted_replies(), 1000U);
-        settle(simulation, back + 20'000);
+        advance_and_check(simulation, back + 20'000);
         std::size_t lost_leases = 0;
         for (const auto& [name, w] : simulation.workers()) lost_leases += w.session > 1 ? 1 : 0;
         EXPECT_EQ(lost_leases, 0U) << nodes;
         for (const auto& j : simulation.jobs()) EXPECT_GE(j.accepted, 0) << j.id;
         EXPECT_EQ(simulation.total_starts(), 1960U) << nodes;
-        // Direct commands: a raise for each machine, a start for each task, few more.
-        EXPECT_LE(simulation.direct_calls(), std::size_t{4} * kMany + std::size_t{2} * 1960);
+        // Direct commands: one to raise the token for each machine, one to start each task, and few
+        // more.
+        EXPECT_LE(simulation.direct_calls(), std::size_t{4} * kLargeFleet + std::size_t{2} * 1960);
     }
 }
 
-// A tenth of the machines ends or hangs in the same second, while half of the spot ones are taken.
+// A tenth of the machines is lost or hangs in the same second, while half of the spot machines are
+// preempted.
 TEST(Fleet, TenthOfTheMachinesLostInTheSameSecond) {
     for (const bool hang : {false, true}) {
-        auto options = fleet(53, 100, 5);
+        auto options = fleet_options(53, 100, 5);
         Simulation simulation(options);
         simulation.set_capacity(320);
         for (std::size_t i = 0; i < 200; ++i) simulation.add_worker(i % 2 == 0 ? "a" : "b", true);
@@ -178,7 +184,7 @@
                 if (w.spot && n % 2 == 0) w.taken_at = simulation.now() + 6000;
                 if (n % 10 != 0 || !w.up) continue;
                 if (hang) {
-                    // Within their lease, so that they go on where they were.
+                    // Shorter than their lease, so that their tasks continue.
                     w.hung_until = simulation.now() + 15'000;
                 } else {
                     simulation.lose_worker(w);
@@ -189,27 +195,31 @@
     }
 }
 
-// All its machines were released, provisioned anew there and not reachable either.
-TEST(Fleet, MachinesOfAZoneThatIsCutOffAreKept) {
+// All machines of a zone that was cut off used to be released, and new ones provisioned in the same
+// zone, which were not reachable either.
+TEST(Fleet, MachinesOfAPartitionedZoneAreKept) {
     for (const auto& [crash, delay] : {std::pair(false, true), {true, true}, {true, false}}) {
-        Simulation simulation(fleet(55, 10, 5));
+        Simulation simulation(fleet_options(55, 10, 5));
         for (int i = 0; i < 9; ++i) simulation.add_worker("a", false);
         simulation.set_capacity(40);
-        // Not before all machines have sent heartbeats, or others would be provisioned beside them.
+        // Submitted once all machines have sent heartbeats; earlier, additional ones would be
+        // provisioned.
         simulation.jobs().push_back(whole_machines(1, 19, 90, 6000));
-        settle(simulation, 15'000);
+        advance_and_check(simulation, 15'000);
         EXPECT_EQ(simulation.total_starts(), 19U);
         EXPECT_EQ(simulation.workers().size(), 19U);
         simulation.cut_zone("a", "", 40'000, delay);
         if (crash) {
-            // The next leader has no heartbeat of them; it knows them by the list.
+            // The next leader has no heartbeats of these machines and knows them only from the
+            // cloud's list.
             simulation.at(18'000, [&] { simulation.crash(*simulation.leader(), 3000); });
         }
-        // Work that does not fit has nothing provisioned there meanwhile.
+        // For a job that does not fit, no machine is provisioned in that zone meanwhile.
         simulation.jobs().push_back(whole_machines(2, 6, 10, 20'000));
         const auto before = simulation.workers().size();
-        // The first reports after the cut must not cost those whose report is still to come.
-        settle(simulation, 63'000);
+        // The first heartbeats after the partition must not lead to the release of machines whose
+        // heartbeat has not arrived yet.
+        advance_and_check(simulation, 63'000);
         for (const auto& [name, w] : simulation.workers()) {
             if (w.zone != "a") continue;
             if (w.provisioned_at == 0) {
@@ -224,12 +234,13 @@
     }
 }
 
-// One after the other on the same day: the state service, the peers, the workers, both zones.
-TEST(Fleet, OneControllerCutFromEachInTurnAndZonesFromEverything) {
+// In one run, the leader is cut off in turn from the state service, its peers, the workers and
+// everything; then the zones are cut off from everything and from each other.
+TEST(Fleet, LeaderAndZonesPartitionedFromEachServiceInTurn) {
     for (const bool delay : {false, true}) {
         for (const bool refuse : {false, true}) {
             if (delay && refuse) continue;
-            Simulation simulation(fleet(54, 12, 5));
+            Simulation simulation(fleet_options(54, 12, 5));
             simulation.set_capacity(16);
             for (std::size_t n = 0; n < 24; ++n) {
                 auto j = whole_machines(n, 2, 12, static_cast<Millis>(n) * 6000);
@@ -237,13 +248,14 @@
                 j.one_zone = n % 4 == 0;
                 simulation.jobs().push_back(j);
             }
-            const char* const others[] = {"state", "n", "host", ""};
+            const char* const counterparts[] = {"state", "n", "host", ""};
             for (std::size_t i = 0; i < 4; ++i) {
-                simulation.at(10'000 + static_cast<Millis>(i) * 22'000, [&simulation, &others, i,
-                                                                         delay, refuse] {
-                    const auto leader = simulation.leader().value_or(0);
-                    simulation.cut("n" + std::to_string(leader), others[i], 20'000, delay, refuse);
-                });
+                simulation.at(10'000 + static_cast<Millis>(i) * 22'000,
+                              [&simulation, &counterparts, i, delay, refuse] {
+                                  const auto leader = simulation.leader().value_or(0);
+                                  simulation.cut("n" + std::to_string(leader), counterparts[i],
+                                                 20'000, delay, refuse);
+                              });
             }
             simulation.at(100'000, [&] { simulation.cut_zone("a", "", 15'000, delay); });
             simulation.at(118'000, [&] { simulation.cut_zone("b", "", 15'000, delay); });
