--- a/tests/provisioning_faults_test.cpp
+++ b/tests/provisioning_faults_test.cpp
@@ -1,4 +1,5 @@
-// Faults of provisioning and of load that operators met, apart from fault combinations.
+// Provisioning faults and overload that occurred in operation, without the combinations of faults
+// that fault_combinations_test.cpp covers.
 #include <gtest/gtest.h>
 
 #include "simulation/simulation.h"
@@ -6,8 +7,9 @@
 namespace lichendrift::simulation {
 namespace {
 
-// Provisioned machines stay `starting`: others are provisioned for their work long before they are
-// released, and they are not paid for without end.
+// Provisioned machines never leave the state `starting`: others are provisioned in their place long
+// before they are released, and in the end they are released, so that they don't cost money for
+// ever.
 TEST(ProvisioningFaults, MachinesThatNeverRegisterAreReplacedAndReleased) {
     auto options = calm(300);
     options.machines = 0;
@@ -30,7 +32,8 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// A machine that comes up long after its work went elsewhere is used or released.
+// A machine that comes up long after its tasks were placed elsewhere is used for other tasks or
+// released.
 TEST(ProvisioningFaults, LateMachinesAreUsedOrReleased) {
     auto options = calm(301);
     options.machines = 0;
@@ -43,38 +46,39 @@
     simulation.at(14'000, [&] { simulation.set_boot(2000); });
     simulation.advance(230'000);
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
-    std::size_t left = 0;
-    for (const auto& [name, w] : simulation.workers()) left += w.gone ? 0 : 1;
-    EXPECT_LE(left, 1U);
+    std::size_t remaining = 0;
+    for (const auto& [name, w] : simulation.workers()) remaining += w.gone ? 0 : 1;
+    EXPECT_LE(remaining, 1U);
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// Everybody refreshes: one read of the state service serves all that wait, and the rest of the work
-// does not notice.
-TEST(ProvisioningFaults, StormOfQuestionsCostsFewReadsAndNoLease) {
+// Many users poll their jobs at the same time: one read of the state service serves all requests
+// that wait for it, and leases and jobs are not affected.
+TEST(ProvisioningFaults, FloodOfStatusRequestsCostsFewReadsAndNoLease) {
     Simulation simulation(calm(302));
     for (std::size_t n = 0; n < 6; ++n) simulation.jobs().push_back(plain(numbered(n), 1, 60));
     simulation.advance(12'000);
     const auto leader = simulation.leader();
     const auto reads = simulation.state_requests();
-    const std::size_t storm = 6000;
-    for (std::size_t i = 0; i < storm; ++i) {
-        simulation.at(12'000 + static_cast<Millis>(i * 20'000 / storm), [&simulation, i] {
+    const std::size_t requests = 6000;
+    for (std::size_t i = 0; i < requests; ++i) {
+        simulation.at(12'000 + static_cast<Millis>(i * 20'000 / requests), [&simulation, i] {
             simulation.send_counted(i % 3, {"GET", "/v2/runs/" + numbered(i % 6), ""});
         });
     }
     simulation.advance(35'000);
-    EXPECT_EQ(simulation.counted_replies(), storm);
-    // Three nodes with a read each 120 ms at most, renewals, watches and records.
+    EXPECT_EQ(simulation.counted_replies(), requests);
+    // The bound covers three nodes, each with at most one read per 120 ms, and the requests for
+    // renewals, watches and records.
     EXPECT_LT(simulation.state_requests() - reads, 23U * 3 * 12);
     EXPECT_EQ(simulation.leader(), leader);
     for (const auto& [name, w] : simulation.workers()) EXPECT_EQ(w.session, 1U) << name;
     EXPECT_EQ(simulation.run(), "");
 }
 
-// Guests without a guarantee, with one huge array, long sweeps and many small jobs: they use
-// what is free and give it up to the team's guarantee, and all of them are served.
-TEST(ProvisioningFaults, GuestsUseSpareRoomAndStarveNobody) {
+// A team without a guarantee submits one huge array, long sweeps and many small jobs. They use the
+// free capacity, give it up for the other team's guarantee, and all of them finish.
+TEST(ProvisioningFaults, TeamWithoutGuaranteeUsesSpareCapacityAndStarvesNobody) {
     auto options = calm(303);
     options.machines = 4;
     options.teams = {{"core", {16'000, 0, 0}, {}}, {"guests", {}, {}}};
@@ -104,9 +108,9 @@
     }
 }
 
-// A job with a mistake fails on every machine until its user cancels it: it stays known, tries ever
-// less often, and neither machines nor other jobs pay for it.
-TEST(ProvisioningFaults, JobWithAMistakeStaysKnownAndCanBeCancelled) {
+// A job with an error of its own fails on every machine until its user cancels it. It is kept and
+// retried with increasing delays, and neither machines nor other jobs are affected.
+TEST(ProvisioningFaults, JobThatAlwaysFailsIsKeptAndCanBeCancelled) {
     for (const std::size_t nodes : {3, 5}) {
         auto options = calm(304);
         options.nodes = nodes;
