--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,4 +1,4 @@
-// Services: replicas that run until their user cancels the job.
+// Services: jobs whose replicas run until the user cancels the job.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,7 +8,8 @@
 namespace lichendrift::simulation {
 namespace {
 
-double served(const Job& job) {
+// The share of the replica time that was due in which replicas were up; 0 if none was due.
+double availability(const Job& job) {
     return job.replica_due_ms == 0
                ? 0
                : static_cast<double>(job.replica_up_ms) / static_cast<double>(job.replica_due_ms);
@@ -30,7 +31,7 @@
     return sum;
 }
 
-Options services_day(std::uint64_t seed) {
+Options service_options(std::uint64_t seed) {
     auto options = calm(seed);
     options.machines = 6;
     options.settle_ms = 120'000;
@@ -38,12 +39,12 @@
     return options;
 }
 
-TEST(Services, RunUntilCancelledAndAreNeverDone) {
-    Simulation simulation(services_day(1));
+TEST(Services, RunUntilTheyAreCancelled) {
+    Simulation simulation(service_options(1));
     simulation.jobs().push_back(service("job-000001", 4, 1000, 60'000));
     simulation.advance(58'000);
     EXPECT_EQ(running(simulation, "job-000001"), 4);
-    EXPECT_GT(served(simulation.jobs()[0]), 0.99);
+    EXPECT_GT(availability(simulation.jobs()[0]), 0.99);
     EXPECT_EQ(simulation.run(), "");
     EXPECT_GE(simulation.jobs()[0].cancel_confirmed_at, 60'000);
     EXPECT_EQ(running(simulation, "job-000001"), 0);
@@ -51,8 +52,8 @@
 }
 
 TEST(Services, ReplicasAreSpreadOverMachinesAndZones) {
-    Simulation simulation(services_day(2));
-    // Before that the leader does not know all machines.
+    Simulation simulation(service_options(2));
+    // Submitted at 6 s, as the leader does not know all machines before.
     simulation.jobs().push_back(service("job-000001", 6, 6000));
     simulation.advance(20'000);
     for (const auto& [name, count] : replicas_by_machine(simulation, "job-000001")) {
@@ -61,7 +62,7 @@
 }
 
 TEST(Services, ReplicasOfALostMachineRunElsewhereSoon) {
-    Simulation simulation(services_day(3));
+    Simulation simulation(service_options(3));
     simulation.jobs().push_back(service("job-000001", 4, 1000));
     simulation.advance(20'000);
     const auto lost = replicas_by_machine(simulation, "job-000001").begin()->first;
@@ -71,35 +72,36 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-TEST(Services, ReplicasMoveBeforeTheirMachineIsTaken) {
-    Simulation simulation(services_day(4));
+TEST(Services, ReplicasMoveBeforeTheirMachineIsPreempted) {
+    Simulation simulation(service_options(4));
     auto job = service("job-000001", 4, 1000);
     simulation.jobs().push_back(job);
     simulation.advance(20'000);
-    const auto going = replicas_by_machine(simulation, "job-000001").begin()->first;
-    simulation.workers().at(going).taken_at = 28'000;
+    const auto preempted = replicas_by_machine(simulation, "job-000001").begin()->first;
+    simulation.workers().at(preempted).taken_at = 28'000;
     simulation.advance(27'000);
-    EXPECT_EQ(replicas_by_machine(simulation, "job-000001").count(going), 0U);
+    EXPECT_EQ(replicas_by_machine(simulation, "job-000001").count(preempted), 0U);
     EXPECT_EQ(running(simulation, "job-000001"), 4);
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// A replica that ends, well or not, runs again at once; one that does so again and again backs off.
-TEST(Services, ReplicasThatEndRunAgain) {
+// A replica that ends, with or without an error, is restarted at once; one that ends repeatedly is
+// restarted after a backoff.
+TEST(Services, ReplicasThatEndAreRestarted) {
     for (const bool crash : {false, true}) {
-        Simulation simulation(services_day(5));
+        Simulation simulation(service_options(5));
         auto job = service("job-000001", 3, 1000);
         job.replica_s = 40;
         job.replicas_crash = crash;
         simulation.jobs().push_back(job);
         simulation.advance(180'000);
         EXPECT_EQ(simulation.broken(), "");
-        EXPECT_GT(served(simulation.jobs()[0]), 0.9);
+        EXPECT_GT(availability(simulation.jobs()[0]), 0.9);
     }
 }
 
-TEST(Services, CrashLoopsBackOffAndCondemnNoMachine) {
-    Simulation simulation(services_day(6));
+TEST(Services, CrashLoopsBackOffAndMarkNoMachineAsFaulty) {
+    Simulation simulation(service_options(6));
     for (std::size_t n = 1; n <= 3; ++n) {
         auto job = service(numbered(n), 2, 1000);
         job.always_fails = true;
@@ -108,7 +110,7 @@
     simulation.jobs().push_back(service("job-000009", 4, 1000));
     simulation.advance(150'000);
     EXPECT_EQ(simulation.broken(), "");
-    EXPECT_GT(served(simulation.jobs()[3]), 0.9);
+    EXPECT_GT(availability(simulation.jobs()[3]), 0.9);
     EXPECT_LE(simulation.total_starts(), 100U);
     EXPECT_GT(simulation.total_starts(), 20U);
     int up = 0;
@@ -116,8 +118,8 @@
     EXPECT_GE(up, 2);
 }
 
-TEST(Services, CriticalReplicasDisplaceLowerWorkWhenAllIsTaken) {
-    auto options = services_day(7);
+TEST(Services, CriticalReplicasPreemptLowerPrioritiesWhenTheFleetIsFull) {
+    auto options = service_options(7);
     options.teams = {{"core", {}, {}}};
     Simulation simulation(options);
     simulation.set_capacity(6);
@@ -131,9 +133,9 @@
     EXPECT_EQ(simulation.broken(), "");
 }
 
-// All replicas together count against the team's limit, in any resource.
+// A service is refused if all its replicas together exceed the team's limit of any resource.
 TEST(Services, MoreThanTheTeamsLimitIsRefused) {
-    auto options = services_day(8);
+    auto options = service_options(8);
     options.teams = {{"core", {}, {3000, 0, 0}}};
     Simulation simulation(options);
     simulation.jobs().push_back(service("job-000001", 4, 1000));
@@ -144,32 +146,33 @@
     EXPECT_EQ(running(simulation, "job-000002"), 3);
 }
 
-TEST(Services, SurviveALeaderAndItsMachine) {
+TEST(Services, SurviveTheLossOfTheLeaderAndOfAMachine) {
     for (std::uint64_t seed = 10; seed < 20; ++seed) {
-        Simulation simulation(services_day(seed));
+        Simulation simulation(service_options(seed));
         simulation.jobs().push_back(service("job-000001", 4, 1000));
         simulation.at(20'000, [&simulation] {
             if (const auto leader = simulation.leader()) simulation.crash(*leader, 2000);
-            const auto on = replicas_by_machine(simulation, "job-000001");
-            if (!on.empty()) simulation.lose_worker(simulation.workers().at(on.begin()->first));
+            const auto replicas = replicas_by_machine(simulation, "job-000001");
+            if (!replicas.empty())
+                simulation.lose_worker(simulation.workers().at(replicas.begin()->first));
         });
         simulation.advance(50'000);
         EXPECT_EQ(running(simulation, "job-000001"), 4) << seed;
         EXPECT_EQ(simulation.broken(), "");
-        EXPECT_GT(served(simulation.jobs()[0]), 0.85);
+        EXPECT_GT(availability(simulation.jobs()[0]), 0.85);
     }
 }
 
-// A zone that is cut off keeps its machines for three leases; its replicas are down after one, so
-// machines with replicas are released then.
-TEST(Services, ReplicasOfAZoneThatIsCutOffRunElsewhereOnceItsLeasesAreOver) {
-    auto options = services_day(30);
+// Machines of a partitioned zone are kept for the time of three leases, but its replicas are down
+// after one, so machines with replicas are released then.
+TEST(Services, ReplicasOfAPartitionedZoneRunElsewhereOnceItsLeasesHaveExpired) {
+    auto options = service_options(30);
     options.machines = 20;
     Simulation simulation(options);
     simulation.set_capacity(30);
     simulation.jobs().push_back(service("job-000001", 6, 6000));
     simulation.jobs()[0].apart = false;
-    // The controller of the zone must not be the leader, or it would keep its workers.
+    // The controller in the zone must not be the leader, as it would keep the zone's workers.
     simulation.at(8000, [&simulation] {
         if (simulation.leader() == std::optional<std::size_t>(0)) simulation.crash(0, 2000);
     });
@@ -183,7 +186,7 @@
 // Random days with services among the other jobs; every rule is checked after each step.
 class ServicesDay : public ::testing::TestWithParam<int> {};
 
-TEST_P(ServicesDay, KeepsTheRules) {
+TEST_P(ServicesDay, ViolatesNoRule) {
     for (std::uint64_t i = 0; i < 12; ++i) {
         Options options;
         options.seed = 20'000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
