--- a/tests/trace_digests.cpp
+++ b/tests/trace_digests.cpp
@@ -1,6 +1,7 @@
-// With LICHENDRIFT_TRACE_DIGESTS=FILE in the environment, appends one line for each simulation that
-// the tests play: test, number of the simulation in it, seed, controllers, events, digest.
-// A tool for changes that must not alter behaviour: the lines of two builds are compared.
+// With LICHENDRIFT_TRACE_DIGESTS=FILE in the environment, appends one line to FILE for each
+// simulation that the tests run: test, number of the simulation within the test, seed, number of
+// controllers, number of events, digest of the events. To verify that a change does not alter
+// behaviour, compare the lines of a build with the change to those of a build without it.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -38,7 +39,7 @@
     std::string test_;
     std::size_t number_ = 0;
 };
-// GoogleTest takes the ownership.
+// GoogleTest takes ownership.
 // NOLINTNEXTLINE(cppcoreguidelines-owning-memory)
 [[maybe_unused]] auto* const kTraceDigests = ::testing::AddGlobalTestEnvironment(new TraceDigests);
 
