--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,6 @@
-// Upgrades while serving: controllers of the version before services and of this one work on each
-// other's data, and the state service's smaller limits come into force at any moment after that.
+// Rolling upgrades: controllers of the version before services and of the current version read and
+// write each other's data, and the smaller limits of the state service come into force at any time
+// after the upgrade.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,14 +11,14 @@
 namespace lichendrift::simulation {
 namespace {
 
-constexpr Millis kRollBegins = 8000;
-constexpr Millis kRollEnds = 50'000;
+constexpr Millis kUpgradesBegin = 8000;
+constexpr Millis kUpgradesEnd = 50'000;
 
 control::NextStateLimits small_limits() { return {std::nullopt, 20.0, 1.0, 4}; }
-// The smallest that the settings permit.
+// The smallest limits that the settings permit.
 control::NextStateLimits smallest_limits() { return {std::nullopt, 8.0, 1.0, 2}; }
 
-// Arrays and gangs whose records exceed the limits to come, of one and of two records.
+// Arrays and gangs with one or two placement records, which exceed the future limits.
 void add_large_jobs(Simulation& simulation, std::mt19937_64& rng, Millis busy_ms) {
     for (std::size_t n = 0; n < 8; ++n) {
         auto job = plain(numbered(500'000 + n), 0, 3 + static_cast<double>(rng() % 10),
@@ -54,40 +55,44 @@
     return options;
 }
 
-// Every controller is upgraded, in any order, with pauses of any length.
-void roll(Simulation& simulation, std::mt19937_64& rng, std::size_t nodes, bool back = false) {
+// Schedules the upgrade (or downgrade) of every controller, at random times and with random
+// downtimes.
+void schedule_upgrades(Simulation& simulation, std::mt19937_64& rng, std::size_t nodes,
+                       bool downgrade = false) {
     std::vector<std::size_t> order(nodes);
     std::iota(order.begin(), order.end(), 0);
     std::shuffle(order.begin(), order.end(), rng);
     for (auto node : order) {
-        const auto when = kRollBegins + static_cast<Millis>(rng() % (kRollEnds - kRollBegins));
-        const auto away = static_cast<Millis>(100 + rng() % 4000);
-        simulation.at(when, [&simulation, node, away, back] {
-            back ? simulation.downgrade(node, away) : simulation.upgrade(node, away);
+        const auto when =
+            kUpgradesBegin + static_cast<Millis>(rng() % (kUpgradesEnd - kUpgradesBegin));
+        const auto downtime = static_cast<Millis>(100 + rng() % 4000);
+        simulation.at(when, [&simulation, node, downtime, downgrade] {
+            downgrade ? simulation.downgrade(node, downtime) : simulation.upgrade(node, downtime);
         });
     }
 }
 
 class UpgradeDay : public ::testing::TestWithParam<int> {};
 
-TEST_P(UpgradeDay, KeepsTheRules) {
+TEST_P(UpgradeDay, ViolatesNoRule) {
     for (std::uint64_t i = 0; i < 12; ++i) {
         const auto seed = static_cast<std::uint64_t>(GetParam()) * 100 + i;
         Simulation simulation(upgrade_day(seed));
         std::mt19937_64 rng(seed);
         add_large_jobs(simulation, rng, 100'000);
-        add_services(simulation, rng, kRollEnds + 10'000, 100'000);
-        roll(simulation, rng, seed % 2 == 0 ? 3 : 5);
-        const auto limits_at = kRollEnds + 6000 + static_cast<Millis>(rng() % 40'000);
+        add_services(simulation, rng, kUpgradesEnd + 10'000, 100'000);
+        schedule_upgrades(simulation, rng, seed % 2 == 0 ? 3 : 5);
+        const auto limits_at = kUpgradesEnd + 6000 + static_cast<Millis>(rng() % 40'000);
         simulation.at(limits_at, [&simulation] { simulation.limit_state(); });
         EXPECT_EQ(simulation.run(), "") << "seed " << seed;
-        // Each kind of write learns of the limits by a few requests at most.
+        // The controllers adapt each kind of write to the limits after a few rejected requests.
         EXPECT_LE(simulation.rejections(), 40U) << "seed " << seed;
     }
 }
 INSTANTIATE_TEST_SUITE_P(Days, UpgradeDay, ::testing::Range(1, 9));
 
-// The upgrade may stop part of the way, and the older version may be elected again at any time.
+// An upgrade may stop when only some controllers are upgraded, and a controller of the older
+// version may be elected again at any time.
 class PartWay : public ::testing::TestWithParam<int> {};
 
 TEST_P(PartWay, BothVersionsWorkOnEachOthersData) {
@@ -101,7 +106,7 @@
             simulation.at(9000 + 4000 * static_cast<Millis>(n),
                           [&simulation, n] { simulation.upgrade(n, 1500); });
         }
-        // The leader changes again and again.
+        // Crashes the leader every 9 s.
         for (Millis t = 15'000; t < 105'000; t += 9000) {
             simulation.at(t, [&simulation] {
                 if (const auto leader = simulation.leader()) simulation.crash(*leader, 1200);
@@ -112,15 +117,16 @@
 }
 INSTANTIATE_TEST_SUITE_P(Days, PartWay, ::testing::Range(1, 5));
 
-// Finer records were written, then the older version is the leader, then this one again.
-TEST(Upgrade, GoesBackAndForthWithFinerRecords) {
+// The current version has written placement records of the finer layout (fewer tasks in a record)
+// when all controllers are downgraded and later upgraded again.
+TEST(Upgrade, DowngradeAndUpgradeWithRecordsOfTheFinerLayout) {
     for (std::uint64_t seed = 7000; seed < 7016; ++seed) {
         auto options = upgrade_day(seed);
         options.old_version = false;
         Simulation simulation(options);
         std::mt19937_64 rng(seed);
         add_large_jobs(simulation, rng, 100'000);
-        roll(simulation, rng, options.nodes, true);
+        schedule_upgrades(simulation, rng, options.nodes, true);
         for (std::size_t n = 0; n < options.nodes; ++n) {
             simulation.at(70'000 + 3000 * static_cast<Millis>(n),
                           [&simulation, n] { simulation.upgrade(n, 1000); });
@@ -139,9 +145,9 @@
     }
 }
 
-// Without a stable division of records the two versions lose each other's placements: the check of
-// these days can fail.
-TEST(Upgrade, FollowingTheNewLimitsInTheDivisionOfRecordsIsCaught) {
+// If the number of tasks in a placement record follows the announced limits, the two versions lose
+// each other's placements. This shows that the check of the upgrade days can fail.
+TEST(Upgrade, RecordLayoutThatFollowsTheNewLimitsIsDetected) {
     for (std::uint64_t seed = 8000; seed < 8100; ++seed) {
         auto options = upgrade_day(seed);
         options.guards.stable_layout = false;
@@ -149,7 +155,7 @@
         Simulation simulation(options);
         std::mt19937_64 rng(seed);
         add_large_jobs(simulation, rng, 60'000);
-        roll(simulation, rng, options.nodes);
+        schedule_upgrades(simulation, rng, options.nodes);
         for (Millis t = 12'000; t < 70'000; t += 6000) {
             simulation.at(t, [&simulation] {
                 if (const auto leader = simulation.leader()) simulation.crash(*leader, 1000);
@@ -161,18 +167,18 @@
             return;
         }
     }
-    FAIL() << "no seed shows it";
+    FAIL() << "no seed shows a violated rule without a stable record layout";
 }
 
-// The limits fall in the middle of each kind of write.
-struct Moment {
+// Cases in which the limits of the state service are lowered while each kind of write is under way.
+struct LimitsCase {
     const char* name;
-    std::function<void(Simulation&)> bring;
+    std::function<void(Simulation&)> inject;
 };
 
-class LimitsFall : public ::testing::TestWithParam<Moment> {};
+class LimitsLowered : public ::testing::TestWithParam<LimitsCase> {};
 
-TEST_P(LimitsFall, WithoutNoticeAndNothingIsRefusedForEver) {
+TEST_P(LimitsLowered, WithoutNoticeAndNoWriteIsRefusedForEver) {
     for (std::uint64_t seed = 9000; seed < 9010; ++seed) {
         auto options = upgrade_day(seed);
         options.old_version = false;
@@ -182,7 +188,7 @@
         std::mt19937_64 rng(seed);
         add_large_jobs(simulation, rng, 60'000);
         add_services(simulation, rng, 1000, 60'000);
-        GetParam().bring(simulation);
+        GetParam().inject(simulation);
         EXPECT_EQ(simulation.run(), "") << "seed " << seed;
         EXPECT_LE(simulation.rejections(), 20U) << "seed " << seed;
     }
@@ -192,44 +198,45 @@
     if (const auto leader = simulation.leader()) simulation.crash(*leader, 2000);
 }
 
-std::vector<Moment> moments() {
+std::vector<LimitsCase> limits_cases() {
     return {
-        {"WhileJobsArrive", [](Simulation& w) { w.at(20'000, [&w] { w.limit_state(); }); }},
-        {"InAnElection",
-         [](Simulation& w) {
-             w.at(20'000, [&w] { crash_leader(w); });
-             w.at(22'500, [&w] { w.limit_state(); });
+        {"WhileJobsArrive", [](Simulation& sim) { sim.at(20'000, [&sim] { sim.limit_state(); }); }},
+        {"DuringAnElection",
+         [](Simulation& sim) {
+             sim.at(20'000, [&sim] { crash_leader(sim); });
+             sim.at(22'500, [&sim] { sim.limit_state(); });
          }},
-        {"InATakeOver",
-         [](Simulation& w) {
-             w.at(20'000, [&w] { crash_leader(w); });
-             w.at(23'300, [&w] { w.limit_state(); });
+        {"DuringAFailover",
+         [](Simulation& sim) {
+             sim.at(20'000, [&sim] { crash_leader(sim); });
+             sim.at(23'300, [&sim] { sim.limit_state(); });
          }},
-        {"InAnOutage",
-         [](Simulation& w) {
-             w.at(20'000, [&w] { w.state_outage(9000); });
-             w.at(25'000, [&w] { w.limit_state(); });
+        {"DuringAnOutage",
+         [](Simulation& sim) {
+             sim.at(20'000, [&sim] { sim.state_outage(9000); });
+             sim.at(25'000, [&sim] { sim.limit_state(); });
          }},
         {"WhileJobsAreCancelled",
-         [](Simulation& w) {
-             w.at(20'000, [&w] { w.limit_state(); });
-             for (Millis t = 19'000; t < 24'000; t += 500) w.at(t, [&w] { w.cancel_now(1, 0); });
+         [](Simulation& sim) {
+             sim.at(20'000, [&sim] { sim.limit_state(); });
+             for (Millis t = 19'000; t < 24'000; t += 500)
+                 sim.at(t, [&sim] { sim.cancel_now(1, 0); });
          }},
-        {"WhileWritesComeLate",
-         [](Simulation& w) {
-             w.at(15'000, [&w] { w.late_writes(0.3, 15'000); });
-             w.at(20'000, [&w] { w.limit_state(); });
+        {"WhileWritesAreDelayed",
+         [](Simulation& sim) {
+             sim.at(15'000, [&sim] { sim.late_writes(0.3, 15'000); });
+             sim.at(20'000, [&sim] { sim.limit_state(); });
          }},
         {"BeforeTheControllersKnowEachOther",
-         [](Simulation& w) { w.at(300, [&w] { w.limit_state(); }); }},
+         [](Simulation& sim) { sim.at(300, [&sim] { sim.limit_state(); }); }},
     };
 }
 
-INSTANTIATE_TEST_SUITE_P(Moments, LimitsFall, ::testing::ValuesIn(moments()),
+INSTANTIATE_TEST_SUITE_P(Times, LimitsLowered, ::testing::ValuesIn(limits_cases()),
                          [](const auto& param) { return std::string(param.param.name); });
 
-// Records stored before the limits fell are larger than what may be written: their jobs go on, end
-// and leave nothing behind.
+// Records stored before the limits were lowered are larger than a write may be now: their jobs
+// continue and end, and all their records are removed.
 TEST(Upgrade, LargeStoredRecordsAreReplacedAndRemoved) {
     auto options = calm(31);
     options.old_version = true;
@@ -249,7 +256,7 @@
     EXPECT_EQ(simulation.run(), "");
     for (const auto& [key, value] : simulation.store())
         EXPECT_FALSE(key.starts_with("place/")) << key;
-    // No task was started again for the change of layout.
+    // The change of layout restarted no task.
     EXPECT_LE(simulation.total_starts(), 92U);
 }
 
