--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -23,6 +23,9 @@
     bool old_peers = false;  // the peers run a version without the messages about cancellations
 };
 
+// Prints the name of the case in lists of tests instead of its bytes.
+void PrintTo(const CancellationCase& test_case, std::ostream* out) { *out << test_case.name; }
+
 // Guards against running cancelled tasks too long: the state service refuses only the leader,
 // another controller confirms a cancellation, and then the service is out for all controllers for
 // longer than cancel_s. No other controller can be elected meanwhile, so the leader keeps its term;
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -64,6 +64,9 @@
     void (*inject_faults)(Simulation&) = nullptr;
 };
 
+// Prints the name of the case in lists of tests instead of its bytes.
+void PrintTo(const DisabledGuardCase& test_case, std::ostream* out) { *out << test_case.name; }
+
 // Machines with tasks hang during an outage of the cloud, so that none of them can be released.
 void hang_machines_while_the_cloud_is_out(Simulation& simulation) {
     constexpr Millis kDuration = 16'000;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -176,6 +176,9 @@
     std::function<void(Simulation&)> inject;
 };
 
+// Prints the name of the case in lists of tests instead of its bytes.
+void PrintTo(const LimitsCase& test_case, std::ostream* out) { *out << test_case.name; }
+
 class LimitsLowered : public ::testing::TestWithParam<LimitsCase> {};
 
 TEST_P(LimitsLowered, WithoutNoticeAndNoWriteIsRefusedForEver) {
