--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -18,8 +18,7 @@
     bool leader_partitioned = false;  // the leader is partitioned from its peers as well
     bool confirmer_crashes = false;   // the confirming controller crashes right after its answer
     bool announcements_lost = false;  // its announcements to the leader are lost as well
-    bool confirmer_restarts =
-        false;               // it restarts at once, without its memory of the cancellations
+    bool confirmer_restarts = false;  // it restarts at once and no longer knows the cancellations
     bool old_peers = false;  // the peers run a version without the messages about cancellations
 };
 
@@ -154,7 +153,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Runs, NewLeaderWithoutRecords, ::testing::Bool(), [](const auto& param) {
-    return std::string(param.param ? "ThatConfirmedInAnEarlierRun" : "ThatAnotherConfirmed");
+    return std::string(param.param ? "ConfirmedByItselfBeforeARestart" : "ConfirmedByAnother");
 });
 
 // A leader that has just lost the state service and its peers has a valid lease for some seconds
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -235,7 +235,8 @@
 }
 
 // In one run, the leader is cut off in turn from the state service, its peers, the workers and
-// everything; then the zones are cut off from everything and from each other.
+// everything; then the zones are cut off from everything and from each other, and at the end the
+// controllers refuse each other's connections.
 TEST(Fleet, LeaderAndZonesPartitionedFromEachServiceInTurn) {
     for (const bool delay : {false, true}) {
         for (const bool refuse : {false, true}) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -55,8 +55,8 @@
     return options;
 }
 
-// Schedules the upgrade (or downgrade) of every controller, at random times and with random
-// downtimes.
+// Schedules the upgrade (or downgrade) of every controller, in random order, at random times and
+// with random downtimes.
 void schedule_upgrades(Simulation& simulation, std::mt19937_64& rng, std::size_t nodes,
                        bool downgrade = false) {
     std::vector<std::size_t> order(nodes);
@@ -93,9 +93,9 @@
 
 // An upgrade may stop when only some controllers are upgraded, and a controller of the older
 // version may be elected again at any time.
-class PartWay : public ::testing::TestWithParam<int> {};
+class PartialUpgrade : public ::testing::TestWithParam<int> {};
 
-TEST_P(PartWay, BothVersionsWorkOnEachOthersData) {
+TEST_P(PartialUpgrade, BothVersionsWorkOnEachOthersData) {
     for (std::uint64_t i = 0; i < 10; ++i) {
         const auto seed = 5000 + static_cast<std::uint64_t>(GetParam()) * 100 + i;
         const auto options = upgrade_day(seed);
@@ -115,7 +115,7 @@
         EXPECT_EQ(simulation.run(), "") << "seed " << seed;
     }
 }
-INSTANTIATE_TEST_SUITE_P(Days, PartWay, ::testing::Range(1, 5));
+INSTANTIATE_TEST_SUITE_P(Days, PartialUpgrade, ::testing::Range(1, 5));
 
 // The current version has written placement records of the finer layout (fewer tasks in a record)
 // when all controllers are downgraded and later upgraded again.
