--- a/src/control/failover_reader.cpp
+++ b/src/control/failover_reader.cpp
@@ -133,7 +133,7 @@
                     core::keys::placement_record(stored.job_id, stored.record_number));
             }
         }
-        cluster.records_loaded();
+        cluster.on_records_loaded();
     });
     return records.size();
 }
--- a/src/control/fleet_sync.cpp
+++ b/src/control/fleet_sync.cpp
@@ -90,8 +90,8 @@
     const auto now = term_.runtime.now();
     const bool complete = result == cloud::Result::Ok;
     term_.cluster->with_lock([&](core::Cluster& cluster) {
-        cluster.on_list(machines, now);
-        if (complete) cluster.on_list_complete(names, now);
+        cluster.on_machine_list_page(machines, now);
+        if (complete) cluster.on_machine_list_complete(names, now);
     });
     if (complete && !complete_list_read_) {
         // Plans from earlier snapshots know neither these machines nor the unreachable zones.
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -37,11 +37,12 @@
 // rejects a transaction, which shows that the smaller limit is in force.
 core::Cluster::RecordLimits RecordWriter::record_limits() const {
     const auto& store = term_.store;
-    const bool may_refine = term_.settings.guards.current_version &&
-                            (term_.host.peers_run_current_version() || store.limits_lowered());
+    const bool may_refine_layout =
+        term_.settings.guards.current_version &&
+        (term_.host.peers_run_current_version() || store.limits_lowered());
     return {store.max_transaction_operations(), kMaxTransactionBytes,
-            may_refine ? store.max_value_bytes_after_reduction() : store.max_value_bytes(),
-            may_refine, placement_writes_in_flight_ >= kMaxPlacementWrites};
+            may_refine_layout ? store.max_value_bytes_after_reduction() : store.max_value_bytes(),
+            may_refine_layout, placement_writes_in_flight_ >= kMaxPlacementWrites};
 }
 
 RecordWriter::Transaction RecordWriter::placement_transaction(const RecordWrites& writes) const {
@@ -149,7 +150,7 @@
         auto write = cluster.next_terminal_state_write(max_records, now);
         if (!write) return std::nullopt;
         TerminalWrite terminal{std::move(*write), {}};
-        if (terminal.write.with_job)
+        if (terminal.write.include_description)
             terminal.job = cluster.jobs().at(terminal.write.job).description;
         return terminal;
     });
@@ -159,7 +160,7 @@
     const auto& write = terminal.write;
     const auto open_key = core::keys::open_job(write.job_id);
     const auto terminal_key = core::keys::terminal_state(write.job_id);
-    const auto value = write.with_job
+    const auto value = write.include_description
                            ? wire::terminal_state_value_within(
                                  false, terminal.job, term_.store.max_value_bytes_after_reduction())
                            : wire::terminal_state_value(false, nullptr);
@@ -218,8 +219,8 @@
                              removing_orphans_ = false;
                              if (term_.step_down_if_replaced(result)) return;
                              term_.cluster->with_lock([&](core::Cluster& cluster) {
-                                 cluster.orphans_removed(keys,
-                                                         result.outcome == store::Outcome::Ok);
+                                 cluster.on_orphans_removed(keys,
+                                                            result.outcome == store::Outcome::Ok);
                              });
                          }));
 }
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -66,17 +66,17 @@
                      const PlacementRecord& record, std::uint64_t revision, Millis now);
     /// A job has reached a terminal state: it was cancelled (`cancelled`) or is done.
     void on_job_terminal(const std::string& job_id, bool cancelled, Millis now);
-    /// Until records_loaded(), a job in a terminal state is not forgotten: a record of an earlier
-    /// leader that is not read yet may name tasks of it.
+    /// Until on_records_loaded(), a job in a terminal state is not forgotten: a record of an
+    /// earlier leader that is not read yet may name tasks of it.
     void await_records() { awaiting_records_ = true; }
     /// All records of earlier leaders have been read.
-    void records_loaded();
+    void on_records_loaded();
     /// Processes a worker's report from a heartbeat or from the response to a direct command.
     ReportOutcome on_report(const Report& report, bool is_heartbeat, Millis now);
     /// Processes one page of the cloud's list of machines.
-    void on_list(const std::vector<ListedMachine>& page, Millis now);
+    void on_machine_list_page(const std::vector<ListedMachine>& page, Millis now);
     /// The last page of the list was read. `names`: all machines in it.
-    void on_list_complete(const std::set<std::string>& names, Millis now);
+    void on_machine_list_complete(const std::set<std::string>& names, Millis now);
     /// The cloud has provisioned these machines.
     void on_provisioned(const std::string& type, const std::string& zone, bool spot,
                         const std::vector<std::string>& names, Millis now);
@@ -130,7 +130,7 @@
         std::size_t value_bytes = kDefaultValueBytes;
         /// A job with a record that would exceed value_bytes gets a finer layout. Not allowed while
         /// a peer may run a version that does not know layouts.
-        bool may_refine = false;
+        bool may_refine_layout = false;
         /// Only records that starts of services or critical jobs wait for.
         bool urgent_only = false;
     };
@@ -156,7 +156,7 @@
     /// None while those of an earlier call are being removed.
     std::vector<std::string> next_orphans(std::size_t limit);
     /// These keys have been removed, or (not `ok`) have to be removed again.
-    void orphans_removed(const std::vector<std::string>& keys, bool ok);
+    void on_orphans_removed(const std::vector<std::string>& keys, bool ok);
     /// Adds the key of a record that was found during the failover and is not needed.
     void add_orphan(const std::string& key) { orphans_.push_back(key); }
 
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -74,7 +74,8 @@
     std::string job_id;                         ///< id of the job
     std::uint64_t open_revision = 0;            ///< condition: revision of the job under `open/`
     std::vector<std::uint32_t> record_numbers;  ///< records removed in the same transaction
-    bool with_job = false;  ///< tasks may still be on machines; the job is stored as well
+    bool include_description =
+        false;  ///< tasks may still be on machines; the job is stored as well
 };
 
 }  // namespace lichendrift::core
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -142,7 +142,7 @@
     }
 }
 
-void Cluster::on_list(const std::vector<ListedMachine>& page, Millis now) {
+void Cluster::on_machine_list_page(const std::vector<ListedMachine>& page, Millis now) {
     for (const auto& listed : page) {
         const auto index = machine_for(listed.name, listed.type, listed.zone, listed.spot, now);
         Machine& machine = machines_[index];
@@ -161,7 +161,7 @@
     }
 }
 
-void Cluster::on_list_complete(const std::set<std::string>& names, Millis now) {
+void Cluster::on_machine_list_complete(const std::set<std::string>& names, Millis now) {
     for (auto& machine : machines_) {
         // "Failure detection", stale machine entries: a record names the machine, and the list
         // has newer machines but not this one. So it was released, and its tasks were not placed
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -88,7 +88,7 @@
     });
 }
 
-void Cluster::records_loaded() {
+void Cluster::on_records_loaded() {
     awaiting_records_ = false;
     std::vector<JobIndex> terminal;
     for (auto& [index, job] : jobs_) {
@@ -267,7 +267,7 @@
         it = dirty_.erase(it);
         auto write = make_record_write(job_index, number);
         const auto size = value_bytes(write.record);
-        if (size > limits.value_bytes && limits.may_refine && job.layout < kFinestLayout) {
+        if (size > limits.value_bytes && limits.may_refine_layout && job.layout < kFinestLayout) {
             // The new records of the job come later in the list.
             refine_layout(job_index);
             it = dirty_.lower_bound({rank, job_index, number});
@@ -384,7 +384,7 @@
         write.job = job_index;
         write.job_id = job.id;
         write.open_revision = job.open_revision;
-        write.with_job = !job.allocations.empty();
+        write.include_description = !job.allocations.empty();
         if (job.allocations.empty()) {
             for (auto& [number, record] : job.records) {
                 if (record.revision == 0 || record.writing) continue;
@@ -419,7 +419,7 @@
     return orphans_writing_;
 }
 
-void Cluster::orphans_removed(const std::vector<std::string>& keys, bool ok) {
+void Cluster::on_orphans_removed(const std::vector<std::string>& keys, bool ok) {
     orphans_writing_.clear();
     if (!ok) orphans_.insert(orphans_.begin(), keys.begin(), keys.end());
 }
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -97,9 +97,9 @@
     cluster_.add_job(job, 1, 1000);
     cluster_.load_record(job.id, 0, {2, 1, {{0, 20'000'001, "host-1", 1}}, {}}, 5, 1000);
     heartbeat("host-1", 7, 2000, 2);
-    cluster_.on_list_complete({"host-2"}, 3000);
+    cluster_.on_machine_list_complete({"host-2"}, 3000);
     EXPECT_TRUE(cluster_.next_releases(9, 3000).empty());
-    cluster_.on_list_complete({"host-2"}, 40'000);
+    cluster_.on_machine_list_complete({"host-2"}, 40'000);
     EXPECT_EQ(cluster_.next_releases(9, 40'000), std::vector<std::string>{"host-1"});
 }
 
@@ -420,7 +420,7 @@
     ASSERT_EQ(coarse.size(), 1U);
     EXPECT_EQ(coarse[0].record_number, 0U);
     cluster_.on_record_refused(coarse[0], false, 1600);
-    limits.may_refine = true;
+    limits.may_refine_layout = true;
     const auto fine = cluster_.next_record_writes(limits, false, 1700);
     ASSERT_EQ(fine.size(), 3U);
     std::size_t placed = 0;
@@ -452,12 +452,12 @@
     finer.placed = {{0, 77, "host-1", 1}, {1, 79, "host-1", 1}};
     cluster_.load_record("job-000001", 0, earlier, 5, 1000);
     cluster_.load_record("job-000001", 1'000'000, finer, 6, 1000);
-    cluster_.records_loaded();
+    cluster_.on_records_loaded();
     const auto& loaded = cluster_.jobs().at(0);
     EXPECT_EQ(loaded.allocations.count(0), 1U);
     EXPECT_EQ(loaded.done, 2U);
     Cluster::RecordLimits limits;
-    limits.may_refine = true;
+    limits.may_refine_layout = true;
     const auto writes = cluster_.next_record_writes(limits, false, 1100);
     ASSERT_EQ(writes.size(), 2U);
     EXPECT_EQ(writes[0].record_number, 1'000'000U);
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -260,7 +260,7 @@
         cluster.on_job_terminal(job.id, true, 1010);
         EXPECT_EQ(cluster.has_job(job.id), guarded);
         cluster.load_record(job.id, 0, {3, 1, {{0, 30'000'001, "host-000001", 1}}, {}}, 5, 1020);
-        cluster.records_loaded();
+        cluster.on_records_loaded();
         EXPECT_EQ(cluster.has_job(job.id), guarded);
         const auto snapshot = cluster.snapshot(1030, 1030);
         EXPECT_EQ(snapshot.team_used.at(0).cpus, guarded ? 4000 : 0);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -198,7 +198,7 @@
             list[machine].state = ListedMachine::State::Running;
         }
         Millis now = 1000;
-        cluster.on_list(list, now);
+        cluster.on_machine_list_page(list, now);
         std::size_t requested = 0;
         std::deque<Cluster::DirectCommand> in_flight;
         for (;;) {
@@ -248,7 +248,7 @@
             }
             cluster.load_record("job-100001", first / settings.tasks_per_record, record, 5, 1000);
         }
-        cluster.records_loaded();
+        cluster.on_records_loaded();
         for (std::size_t machine = 0; machine < machines; ++machine) {
             Report report;
             report.machine = Fleet::name(machine);
