--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -81,15 +81,16 @@
     EXPECT_FALSE(usable(0, 1100));
     heartbeat("host-1", 2, 1200, 3);
     EXPECT_TRUE(usable(0, 1300));
-    // A late copy of the older report changes nothing.
+    // A late duplicate of the older report changes nothing.
     heartbeat("host-1", 1, 1400, 2);
     EXPECT_TRUE(usable(0, 1500));
 }
 
-// A late copy of a report makes a machine that was gone before this term look as if it were up. As
-// the only machine of the fleet that was up, its silence counted as a fault on the leader's side,
-// so it was never released, and the placement record that names it kept a job waiting for ever.
-TEST_F(ClusterTest, GoneMachineShownByALateCopyIsReleasedOnceAListLacksIt) {
+// A late duplicate of a report makes a machine that was gone before this term look as if it were
+// up. As the only machine of the fleet that was up, its silence counted as a fault on the leader's
+// side, so it was never released, and the placement record that names it kept a job waiting for
+// ever.
+TEST_F(ClusterTest, GoneMachineShownByALateDuplicateIsReleasedOnceAListLacksIt) {
     JobDescription job;
     job.id = "job-000001";
     job.team = "core";
@@ -259,9 +260,9 @@
     EXPECT_EQ(cluster_.heartbeat_commands("host-1", 1, true, 1300).size(), 1U);
 }
 
-// A copy of the newest report, or of an older one, arrives. No worker waits for the answer, so it
-// must carry no commands, and the next report proves nothing about them.
-TEST_F(ClusterTest, LateCopyOfAReportIsNotFreshAndChangesNothing) {
+// A duplicate of the newest report, or of an older one, arrives. No worker waits for the answer, so
+// it must carry no commands, and the next report proves nothing about them.
+TEST_F(ClusterTest, LateDuplicateOfAReportIsNotFreshAndChangesNothing) {
     Report r;
     r.machine = "host-1";
     r.endpoint = "10.0.0.1:1";
@@ -281,9 +282,9 @@
     EXPECT_FALSE(cluster_.tick(30'000).empty());
 }
 
-// The machine is gone, but copies of its reports from before the term arrive one by one, each newer
-// than the one before. They must not delay its release.
-TEST_F(ClusterTest, LateCopiesFromAnEarlierTermAreNoSignsOfLife) {
+// The machine is gone, but duplicates of its reports from before the term arrive one by one, each
+// newer than the one before. They must not delay its release.
+TEST_F(ClusterTest, LateDuplicatesFromAnEarlierTermAreNoSignsOfLife) {
     for (std::uint64_t seq = 1; seq <= 3; ++seq) heartbeat("host-2", seq, 1000, 3);
     std::uint64_t seq = 10;
     Millis now = 1000;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -94,7 +94,7 @@
 
 // One zone has capacity for all tasks and the other for none. Guards against provisioning another
 // machine per plan in the zone that has capacity already, which used up the cloud's last machine.
-TEST_F(PlannerTest, ProvisionsForApartJobOnlyInZoneWithoutCapacity) {
+TEST_F(PlannerTest, ProvisionsForSpreadZonesJobOnlyInZoneWithoutCapacity) {
     add_machine(1, kWholeMachine);
     add_machine(1, kWholeMachine);
     spec(add_gang(2, kWholeMachine)).spread_zones = true;
@@ -121,7 +121,7 @@
 
 // Guards against provisioning for the rest of an array in the zone of its last task, which may not
 // hold more of its tasks.
-TEST_F(PlannerTest, ProvisionsForRestOfApartArrayInTheOtherZone) {
+TEST_F(PlannerTest, ProvisionsForRestOfSpreadZonesArrayInTheOtherZone) {
     spec(add_array(4, kWholeMachine)).spread_zones = true;
     waiting(0).waiting_tasks = 2;
     waiting(0).has_started = true;
@@ -191,7 +191,7 @@
     EXPECT_EQ(result.starts[0].machines.size(), 8U);
 }
 
-TEST_F(PlannerTest, ApartJobHasAtMostHalfOfItsTasksInAZone) {
+TEST_F(PlannerTest, SpreadZonesJobHasAtMostHalfOfItsTasksInAZone) {
     add_machine(0, kWholeMachine);
     add_machine(1, kWholeMachine);
     spec(add_gang(5, kCore)).spread_zones = true;
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -121,7 +121,7 @@
     EXPECT_EQ(simulation.run(), "");
 }
 
-TEST(Safety, CancelRacingTheLastTask) {
+TEST(Safety, JobCancelledWhileItsLastTaskEnds) {
     for (int i = 0; i < 25; ++i) {
         Simulation simulation(calm(100 + static_cast<std::uint64_t>(i)));
         auto j = plain("job-000001", 2, 6);
@@ -132,7 +132,7 @@
 }
 
 // After a reap the worker no longer knows the attempt. A late duplicate of the direct command that
-// ran it, although answered long ago, started it again after its user had cancelled the job.
+// had started it, although answered long ago, started it again after the job was cancelled.
 TEST(Safety, DuplicatesOfExecutedDirectCommandsStartNothing) {
     Simulation simulation(calm(15));
     auto j = plain("job-000001", 4, 60);
@@ -164,7 +164,7 @@
     EXPECT_GE(simulation.jobs()[0].cancel_confirmed_at, 0);
 }
 
-TEST(Safety, OneZoneAndApartCountOldAttempts) {
+TEST(Safety, ZoneConstraintsCountEarlierAttempts) {
     // Machines are lost or hang under jobs with zone constraints; the checker sees every start.
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         Simulation simulation(calm(seed));
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -31,12 +31,12 @@
         cluster_.set_types({type});
         for (std::size_t machine = 0; machine < machines; ++machine) heartbeat(machine, {});
         // An array job that fills the fleet.
-        JobDescription job = text(1, static_cast<std::uint32_t>(machines * 2));
+        JobDescription job = job_description(1, static_cast<std::uint32_t>(machines * 2));
         cluster_.add_job(job, 1, now_);
         place();
         heartbeat_all();
     }
-    static JobDescription text(std::size_t number, std::uint32_t count) {
+    static JobDescription job_description(std::size_t number, std::uint32_t count) {
         JobDescription job;
         job.id = "job-" + std::to_string(100000 + number);
         job.cls = "any";
@@ -102,7 +102,7 @@
     }
     std::uint64_t plan_steps_with_added_jobs(std::size_t jobs) {
         for (std::size_t k = 0; k < jobs; ++k) {
-            auto job = text(10 + k, 4);
+            auto job = job_description(10 + k, 4);
             job.gang = k % 2 == 0;
             job.one_zone = k % 4 == 0;
             cluster_.add_job(job, 1, now_);
@@ -239,7 +239,7 @@
         settings.token = 2 * kFencingTokensPerTerm;
         Cluster cluster(settings, types, zones);
         cluster.await_records();
-        cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
+        cluster.add_job(Fleet::job_description(1, static_cast<std::uint32_t>(machines)), 1, 1000);
         for (std::uint32_t first = 0; first < machines; first += settings.tasks_per_record) {
             PlacementRecord record;
             const auto end = std::min<std::size_t>(first + settings.tasks_per_record, machines);
