--- a/src/core/allocation.h
+++ b/src/core/allocation.h
@@ -14,7 +14,7 @@
         Planned,  ///< the placement record is not durable yet, so no run command was sent
         Ready,    ///< the placement record is durable; the run command has to be sent
         Sent,     ///< a run command was sent, and no report shows its outcome yet
-        Seen,     ///< a report has shown the attempt, or an earlier leader may have started it
+        Present,  ///< shown by a report, or possibly started by an earlier leader
     };
     JobIndex job = kInvalidIndex;          ///< kInvalidIndex: the entry is free
     std::uint32_t task = 0;                ///< number of the task within the job
--- a/src/core/allocations.cpp
+++ b/src/core/allocations.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A replica that ran for longer starts a new count of early ends: after a failure, and after an
-// exit without an error.
+// The count of a replica's early ends starts again after it has run for this long: the first value
+// applies if it then fails, the second if it exits without an error.
 constexpr Millis kFailureCountResetAfter = 30'000;
 constexpr Millis kExitCountResetAfter = 3000;
 constexpr std::uint32_t kFailuresBlamedOnMachine = 2;
@@ -114,7 +114,7 @@
         job.done_flags[number] = 1;
         ++job.done;
         remove_from_waiting(job, number);
-        mark_lazy(job, number, now);
+        defer_write(job, number, now);
     };
     if (job.spec.gang) {
         // The tasks of a gang complete together: if one is done, all are.
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -37,7 +37,7 @@
     team_last_active_.resize(team_list_.size(), -1);
     settings_.tuning.reservations = settings_.guards.starvation_reservations;
     for (const auto& objective : settings_.objectives) {
-        if (objective.kind == Objective::Kind::Guarantee) guarantee_s_ = objective.within_s;
+        if (objective.kind == Objective::Kind::Guarantee) guaranteed_start_s_ = objective.within_s;
     }
 }
 
@@ -50,24 +50,24 @@
     }
 }
 
-void Cluster::add_job(const JobDescription& text, std::uint64_t open_revision, Millis now,
+void Cluster::add_job(const JobDescription& description, std::uint64_t open_revision, Millis now,
                       bool terminal, Millis age_ms) {
-    if (job_ids_.contains(text.id)) return;
+    if (job_ids_.contains(description.id)) return;
     const auto index = next_job_++;
-    job_ids_.emplace(text.id, index);
+    job_ids_.emplace(description.id, index);
     Job& job = jobs_[index];
-    job.id = text.id;
-    job.description = text;
+    job.id = description.id;
+    job.description = description;
     job.open_revision = open_revision;
     job.terminal = terminal;
     job.cancelled = terminal;
     // The waiting time counts from the submission, not from the start of the term. With a change of
     // leader every few minutes, no job would ever reach its starvation threshold otherwise.
     job.waiting_since = now - std::max<Millis>(age_ms, 0);
-    job.done_flags.resize(text.count);
-    job.spec = make_spec(text);
+    job.done_flags.resize(description.count);
+    job.spec = make_spec(description);
     JobSpec& spec = job.spec;
-    const ClassObjectives& objectives = objectives_of(spec.cls, text.cls);
+    const ClassObjectives& objectives = objectives_of(spec.cls, description.cls);
     // Replicas should always start soon, as their service suffers for as long as they are down.
     spec.has_start_objective = spec.service || !objectives.start_within_s.empty();
     spec.starvation_threshold_ms = spec.gang ? kGangStarvationThreshold : kArrayStarvationThreshold;
@@ -80,34 +80,34 @@
     if (spec.has_start_objective) note_arrival(spec, now);
 }
 
-JobSpec Cluster::make_spec(const JobDescription& text) {
+JobSpec Cluster::make_spec(const JobDescription& description) {
     JobSpec spec;
-    spec.cls = classes_.intern(text.cls);
-    spec.team = teams_.find(text.team);
-    spec.gang = text.gang;
-    spec.service = text.service;
-    spec.priority = text.priority;
-    spec.count = text.count;
-    spec.need = {need_thousandths(text.cpus), need_thousandths(text.gpus),
-                 need_thousandths(text.mem_gb)};
-    spec.image = images_.intern(text.image);
-    spec.image_gb = text.image_gb;
-    if (text.types) {
+    spec.cls = classes_.intern(description.cls);
+    spec.team = teams_.find(description.team);
+    spec.gang = description.gang;
+    spec.service = description.service;
+    spec.priority = description.priority;
+    spec.count = description.count;
+    spec.need = {need_thousandths(description.cpus), need_thousandths(description.gpus),
+                 need_thousandths(description.mem_gb)};
+    spec.image = images_.intern(description.image);
+    spec.image_gb = description.image_gb;
+    if (description.types) {
         spec.types = 0;
-        for (const auto& type : *text.types) {
+        for (const auto& type : *description.types) {
             const auto index = types_.intern(type);
             if (index < kMaxTypes) spec.types |= 1ULL << index;
         }
     }
-    spec.zone = text.zone ? zones_.intern(*text.zone) : kInvalidIndex;
-    spec.one_zone = text.one_zone;
-    spec.spread_zones = text.spread_zones;
-    spec.spot = text.spot;
-    spec.estimate_s = text.estimate_s;
-    spec.checkpoint_s = text.checkpoint_s;
-    spec.save_s = text.save_s;
-    spec.deadline_s = text.deadline_s;
-    spec.submitted_ms = text.submitted_ms;
+    spec.zone = description.zone ? zones_.intern(*description.zone) : kInvalidIndex;
+    spec.one_zone = description.one_zone;
+    spec.spread_zones = description.spread_zones;
+    spec.spot = description.spot;
+    spec.estimate_s = description.estimate_s;
+    spec.checkpoint_s = description.checkpoint_s;
+    spec.save_s = description.save_s;
+    spec.deadline_s = description.deadline_s;
+    spec.submitted_ms = description.submitted_ms;
     return spec;
 }
 
@@ -128,8 +128,8 @@
     return objectives;
 }
 
-// Updates the arrival rate and the recent images, from which follows what capacity is kept warm for
-// the next jobs of the class.
+// Updates the arrival rate of the class and the recently used images, from which the snapshot
+// computes the warm capacity.
 void Cluster::note_arrival(const JobSpec& spec, Millis now) {
     recent_images_[spec.image] = now;
     Arrivals& arrivals = arrivals_[spec.cls];
@@ -172,8 +172,8 @@
     return settings_.policy->take_rejected_values();
 }
 
-Cluster::Applied Cluster::apply(const Plan& plan, Millis now) {
-    Applied applied;
+Cluster::AppliedPlan Cluster::apply(const Plan& plan, Millis now) {
+    AppliedPlan applied;
     for (const auto& start : plan.starts) apply_start(start, applied, now);
     for (const auto& preemption : plan.preemptions) apply_preemption(preemption, applied, now);
     for (const auto index : plan.releases) apply_release(machines_[index], applied);
@@ -186,13 +186,13 @@
         last_drain_at_ = now;
         machine.drain.add(DrainReason::Consolidation);
         applied.events.emplace_back(events::MachineDrainStarted{machine.name});
-        move_work_off(index, now);
+        move_tasks_off(index, now);
     }
     applied.provisions = plan.provisions;
     return applied;
 }
 
-void Cluster::apply_start(const Start& start, Applied& applied, Millis now) {
+void Cluster::apply_start(const Start& start, AppliedPlan& applied, Millis now) {
     const auto it = jobs_.find(start.job);
     if (it == jobs_.end()) return;
     Job& job = it->second;
@@ -249,7 +249,7 @@
     return event;
 }
 
-void Cluster::apply_preemption(const Preemption& preemption, Applied& applied, Millis now) {
+void Cluster::apply_preemption(const Preemption& preemption, AppliedPlan& applied, Millis now) {
     const auto index = preemption.allocation;
     if (index >= allocations_.size()) return;
     const Allocation& allocation = allocations_[index];
@@ -267,7 +267,7 @@
     ++applied.preemptions;
 }
 
-void Cluster::apply_release(Machine& machine, Applied& applied) {
+void Cluster::apply_release(Machine& machine, AppliedPlan& applied) {
     if (machine.lifecycle != Machine::Lifecycle::Up || !machine.allocations.empty()) return;
     machine.start_release();
     applied.events.emplace_back(
@@ -277,7 +277,7 @@
 // Withdraws all drains for consolidation, as capacity is short. When several machines in a row were
 // drained, jobs waited beside half-empty machines that took no new work. For the same reason only
 // one plan in a drain interval may drain machines.
-void Cluster::cancel_consolidation(Applied& applied) {
+void Cluster::cancel_consolidation(AppliedPlan& applied) {
     for (auto& machine : machines_) {
         if (!machine.drain.contains(DrainReason::Consolidation) ||
             machine.lifecycle != Machine::Lifecycle::Up) {
@@ -290,7 +290,7 @@
 
 // Moves work off a machine that is drained for consolidation: replicas, and tasks that save
 // checkpoints and would still run for long. Other tasks finish on the machine.
-void Cluster::move_work_off(MachineIndex index, Millis now) {
+void Cluster::move_tasks_off(MachineIndex index, Millis now) {
     const auto allocated = machines_[index].allocations;
     for (const auto allocation_index : allocated) {
         const Allocation& allocation = allocations_[allocation_index];
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -38,7 +38,7 @@
 struct ReportOutcome {
     bool superseded = false;  ///< the report carries a token of a later term
     bool fresh = false;       ///< newer than all reports so far; its worker waits for an answer
-    bool changed = false;     ///< the cluster state changed in a way that is worth a new plan
+    bool changed = false;     ///< the cluster state changed in a way that calls for a new plan
 };
 
 /// The leader's cluster state. It does no I/O and reads no clock: callers pass in events and the
@@ -59,7 +59,7 @@
     void set_types(const std::vector<MachineType>& types);
     /// Adds an open job, or one in a terminal state that may still have tasks on machines.
     /// `age_ms`: wall-clock time since its submission.
-    void add_job(const JobDescription& text, std::uint64_t open_revision, Millis now,
+    void add_job(const JobDescription& description, std::uint64_t open_revision, Millis now,
                  bool terminal = false, Millis age_ms = 0);
     /// Adds a placement record that an earlier leader has written. Ignored if its job is not known.
     void load_record(const std::string& job_id, std::uint32_t record_number,
@@ -73,7 +73,7 @@
     void on_records_loaded();
     /// Processes a worker's report from a heartbeat or from the response to a direct command.
     ReportOutcome on_report(const Report& report, bool is_heartbeat, Millis now);
-    /// Processes one page of the cloud's list of machines.
+    /// Processes one page of the list of machines that the cloud returns.
     void on_machine_list_page(const std::vector<ListedMachine>& page, Millis now);
     /// The last page of the list was read. `names`: all machines in it.
     void on_machine_list_complete(const std::set<std::string>& names, Millis now);
@@ -131,12 +131,14 @@
         /// A job with a record that would exceed value_bytes gets a finer layout. Not allowed while
         /// a peer may run a version that does not know layouts.
         bool may_refine_layout = false;
-        /// Only records that starts of services or critical jobs wait for.
+        /// Only records of services and critical jobs, as their starts wait for the write.
         bool urgent_only = false;
     };
-    /// Records to write in one transaction. With `lazy` also those that only add completed tasks:
-    /// they have to be durable before the workers may forget the results, but can wait.
-    std::vector<RecordWrite> next_record_writes(const RecordLimits& limits, bool lazy, Millis now);
+    /// Records to write in one transaction. With `include_deferred` also those whose write was
+    /// deferred because it only adds completed tasks: it has to be durable before the workers may
+    /// forget the results, but is not urgent.
+    std::vector<RecordWrite> next_record_writes(const RecordLimits& limits, bool include_deferred,
+                                                Millis now);
     /// The write was executed, or (not `ok`) certainly not executed.
     void on_record_written(const RecordWrite& write, bool ok, std::uint64_t revision, Millis now);
     /// The record was certainly not written, as a condition failed: its own job is not open
@@ -183,7 +185,7 @@
     /// The input of the planner. `wall_ms`: wall-clock time, for the ages of jobs.
     Snapshot snapshot(Millis now, std::int64_t wall_ms);
     /// The part of a plan that was applied.
-    struct Applied {
+    struct AppliedPlan {
         std::uint32_t starts = 0;           ///< starts, each of one or more tasks
         std::uint32_t preemptions = 0;      ///< preemptions, each of a task or a whole gang
         std::uint32_t refused = 0;          ///< starts that the admission check refused
@@ -191,7 +193,7 @@
         std::vector<events::Event> events;  ///< for the log; formatted outside the lock
     };
     /// Applies the decisions of a plan that are still allowed and drops the others.
-    Applied apply(const Plan& plan, Millis now);
+    AppliedPlan apply(const Plan& plan, Millis now);
     /// Runs failure detection and returns events for the log. Without a valid leader lease nothing
     /// is released: the leader itself may be partitioned from the others.
     std::vector<events::Event> tick(Millis now, bool lease_valid = true);
@@ -240,12 +242,12 @@
         Millis now = 0;
     };
     struct PendingCommands {
-        bool due = false;    // a command could be sent now
-        bool later = false;  // the machine has to be checked again
+        bool sendable = false;  // a command could be sent now
+        bool recheck = false;   // the machine has to be checked again later
     };
 
-    MachineIndex machine_for(const std::string& name, const std::string& type,
-                             const std::string& zone, bool spot, Millis now);
+    MachineIndex find_or_add_machine(const std::string& name, const std::string& type,
+                                     const std::string& zone, bool spot, Millis now);
     AllocationIndex add_allocation(const Allocation& allocation);
     void release(AllocationIndex index, bool requeue, Millis now);
     void release_all(MachineIndex machine, std::uint64_t below_session, Millis now);
@@ -258,12 +260,12 @@
         auto operator<=>(const RecordKey&) const = default;
     };
     [[nodiscard]] RecordKey record_key(JobIndex job, std::uint32_t number) const;
-    [[nodiscard]] std::uint32_t record_of(const Job& job, std::uint32_t task) const;
+    [[nodiscard]] std::uint32_t record_number_of(const Job& job, std::uint32_t task) const;
     [[nodiscard]] RecordWrite make_record_write(JobIndex index, std::uint32_t number);
     void refine_layout(JobIndex index);
     void rewrite_records(JobIndex index);
     void remove_superseded_records(JobIndex index);
-    void take_lazy_records(std::size_t limit, Millis due_now);
+    void mark_due_deferred_writes(std::size_t limit, Millis due_now);
     [[nodiscard]] RecordState* find_record(const RecordWrite& write);
     [[nodiscard]] bool has_attempt(const Job& job, const PlacedTask& placed,
                                    MachineIndex machine) const;
@@ -273,7 +275,7 @@
     void make_ready(const Job& job, const std::vector<PlacedTask>& placed_tasks);
     void hold_back_incomplete_gang(const Job& job);
     void mark_dirty(Job& job, std::uint32_t task);
-    void mark_lazy(Job& job, std::uint32_t task, Millis now);
+    void defer_write(Job& job, std::uint32_t task, Millis now);
     void stop_allocation(AllocationIndex index, double grace_s, Millis now);
     void on_run_not_executed(AllocationIndex index, Millis now);
     void stop_with_gang(AllocationIndex index, double grace_s, Millis now);
@@ -291,7 +293,7 @@
     void note_image(Machine& machine, ImageIndex image);
     void forget_if_finished(JobIndex index);
     void on_spot_notice(MachineIndex index, double notice_s, Millis now);
-    JobSpec make_spec(const JobDescription& text);
+    JobSpec make_spec(const JobDescription& description);
     const ClassObjectives& objectives_of(ClassIndex index, const std::string& name);
     void note_arrival(const JobSpec& spec, Millis now);
 
@@ -308,7 +310,7 @@
     [[nodiscard]] bool is_allocated(MachineIndex machine, JobIndex job,
                                     const TaskReport& task) const;
     void add_unexpected_allocation(Reconciliation& step, JobIndex index, const TaskReport& task);
-    void collect_exited(Reconciliation& step);
+    void collect_tasks_to_reap(Reconciliation& step);
 
     // Commands, see commands.cpp.
     std::vector<Command> commands_for(MachineIndex index, const CommandMessage& message);
@@ -320,7 +322,7 @@
     void on_run_result(MachineIndex index, const Command& run, DirectResult result, Millis now);
 
     // Machines, see machines.cpp.
-    [[nodiscard]] std::optional<Millis> wanted_patience() const;
+    [[nodiscard]] std::optional<Millis> policy_heartbeat_timeout() const;
     static void start_release(Machine& machine, const FailureDetector::Failure& failure,
                               std::vector<events::Event>& events);
     void forget_released(Machine& machine, Millis now);
@@ -329,14 +331,14 @@
                                                              Millis now) const;
 
     // Plans, see cluster.cpp.
-    void apply_start(const Start& start, Applied& applied, Millis now);
+    void apply_start(const Start& start, AppliedPlan& applied, Millis now);
     [[nodiscard]] events::JobPlaced placed_event(const Job& job, const Start& start,
                                                  const std::vector<TaskPlacement>& placements,
                                                  Millis now) const;
-    void apply_preemption(const Preemption& preemption, Applied& applied, Millis now);
-    static void apply_release(Machine& machine, Applied& applied);
-    void cancel_consolidation(Applied& applied);
-    void move_work_off(MachineIndex index, Millis now);
+    void apply_preemption(const Preemption& preemption, AppliedPlan& applied, Millis now);
+    static void apply_release(Machine& machine, AppliedPlan& applied);
+    void cancel_consolidation(AppliedPlan& applied);
+    void move_tasks_off(MachineIndex index, Millis now);
 
     // The planner's snapshot, see snapshot.cpp.
     void add_teams(Snapshot& out) const;
@@ -374,7 +376,7 @@
     std::vector<ClassObjectives> class_objectives_;
     std::vector<Millis> team_last_active_;  // by team: when it last had work; -1: never
     // Seconds within which work in a guarantee should start; 0: no objective.
-    double guarantee_s_ = 0;
+    double guaranteed_start_s_ = 0;
     std::vector<MachineType> type_info_;
     std::map<JobIndex, Job> jobs_;
     JobIndex next_job_ = 0;
@@ -389,8 +391,8 @@
     std::vector<MachineIndex> free_machines_;
     std::vector<AllocationIndex> free_allocations_;
     std::set<RecordKey> dirty_;  // records to write, most urgent first
-    // Records with a delayed write: when it is due, job, number of the record.
-    std::set<std::tuple<Millis, JobIndex, std::uint32_t>> lazy_;
+    // Records whose write is deferred: when it is due, job, number of the record.
+    std::set<std::tuple<Millis, JobIndex, std::uint32_t>> deferred_writes_;
     std::set<JobIndex> all_done_;  // jobs whose terminal state has to be written
     // Replicas that ended early several times in a row and wait for their backoff: its end, job,
     // task.
@@ -398,7 +400,7 @@
     std::size_t next_probe_ = 0;               // machine at which machines_to_probe() continues
     std::set<MachineIndex> pending_machines_;  // machines for which commands may be due
     std::vector<std::string> orphans_;
-    std::vector<std::string> orphans_writing_;
+    std::vector<std::string> orphans_being_removed_;
     // By pool: the end of the backoff, and its length.
     std::map<ProvisioningPool, std::pair<Millis, Millis>> refused_pools_;
     std::uint64_t entries_visited_ = 0;
@@ -406,7 +408,7 @@
     std::uint64_t nonces_ = 0;
     bool awaiting_records_ = false;
     // By machine: tasks to reap, or to halt if their job is not known.
-    std::unordered_map<std::string, std::vector<TaskReport>> exited_;
+    std::unordered_map<std::string, std::vector<TaskReport>> tasks_to_reap_;
 };
 
 }  // namespace lichendrift::core
--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -43,8 +43,8 @@
 void Cluster::append_reaps(Machine& machine, const CommandMessage& message,
                            std::vector<Command>& out) {
     if (!machine.synced) return;
-    const auto it = exited_.find(machine.name);
-    if (it == exited_.end()) return;
+    const auto it = tasks_to_reap_.find(machine.name);
+    if (it == tasks_to_reap_.end()) return;
     for (const auto& task : it->second) {
         if (out.size() >= kMaxReaps) break;
         if (task.phase != TaskPhase::Exited) {
@@ -56,7 +56,7 @@
         if (message.direct || !raise_token(machine) || awaits_durable_result(task)) continue;
         out.push_back({Command::Kind::Reap, task.job, task.task, task.attempt, 0});
     }
-    if (!message.direct) exited_.erase(it);
+    if (!message.direct) tasks_to_reap_.erase(it);
 }
 
 // Whether the task is done, but not durably so: its worker must not forget the result before. A
@@ -121,12 +121,12 @@
          it != pending_machines_.end() && out.size() < limit;) {
         ++entries_visited_;
         const Machine& machine = machines_[*it];
-        const auto [due, later] = pending_commands(machine, may_start);
-        if (due && machine.lifecycle == Machine::Lifecycle::Up && machine.synced &&
+        const auto [sendable, recheck] = pending_commands(machine, may_start);
+        if (sendable && machine.lifecycle == Machine::Lifecycle::Up && machine.synced &&
             !machine.direct_in_flight && machine.next_direct_at <= now) {
             out.push_back(machine.name);
         }
-        it = later ? std::next(it) : pending_machines_.erase(it);
+        it = recheck ? std::next(it) : pending_machines_.erase(it);
     }
     return out;
 }
@@ -138,11 +138,11 @@
         const Allocation& allocation = allocations_[index];
         const bool run = allocation.state == Allocation::State::Ready && !allocation.stop_requested;
         const bool halt =
-            allocation.stop_requested && allocation.state == Allocation::State::Seen &&
+            allocation.stop_requested && allocation.state == Allocation::State::Present &&
             allocation.phase != TaskPhase::Saving && allocation.phase != TaskPhase::Exited;
-        pending.later |= run || halt || allocation.state == Allocation::State::Planned ||
-                         allocation.stop_requested;
-        pending.due |= allocation.session == machine.session && ((run && may_start) || halt);
+        pending.recheck |= run || halt || allocation.state == Allocation::State::Planned ||
+                           allocation.stop_requested;
+        pending.sendable |= allocation.session == machine.session && ((run && may_start) || halt);
     }
     return pending;
 }
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t kMinMachinesOfZone = 8;
 // A zone is partitioned if fewer than one in this many of its machines report.
 constexpr std::uint32_t kPartitionedZoneDivisor = 3;
-constexpr Millis kPartitionPatienceLeases = 3;  // time-out in a partitioned zone, in leases
+constexpr Millis kPartitionTimeoutLeases = 3;  // time-out in a partitioned zone, in leases
 // Silence of most machines counts as a fault on the controllers' side for at least this time.
 constexpr Millis kMinMajoritySilence = 60'000;
 constexpr Millis kPollMargin = 3000;               // for a poll of the machine without a response
@@ -22,11 +22,11 @@
 constexpr Millis kReportMargin = 1000;  // beyond one and a quarter intervals between heartbeats
 // A worker whose heartbeat was lost waits this long until it reports to the next node.
 constexpr Millis kWorkerRetryMs = 5000;
-constexpr Millis kPatienceMargin = 1500;
+constexpr Millis kHeartbeatTimeoutMargin = 1500;
 constexpr Millis kRecordOnlyMargin = 6000;  // for a machine that only a placement record names
 constexpr double kDefaultBootSeconds = 60;
-constexpr double kBootPatienceMs = 3000;  // for each second of the type's boot time
-constexpr Millis kMinBootPatience = 60'000;
+constexpr double kBootTimeoutMsPerBootSecond = 3000;
+constexpr Millis kMinBootTimeout = 60'000;
 
 }  // namespace
 
@@ -68,7 +68,7 @@
 }
 
 void FailureDetector::begin_round(const std::vector<Machine>& machines, std::size_t zone_count,
-                                  std::optional<Millis> policy_patience, Millis now) {
+                                  std::optional<Millis> policy_timeout, Millis now) {
     if (leading_since_ < 0) leading_since_ = now;
     update_partitioned_zones(machines, zone_count, now);
     round_ = {};
@@ -86,11 +86,12 @@
     if (round_.majority_silent) majority_silent_at_ = now;
     // If a report is lost, the worker waits 4 s for the answer and 1 s before it tries the next
     // node. A shorter time-out would release healthy machines between two of their reports.
-    round_.patience = policy_patience ? std::max(*policy_patience, max_heartbeat_gap_ms())
-                                      : settings_.report_ms * kHeartbeatLateAfterQuarters / 4 +
-                                            kWorkerRetryMs + kPatienceMargin;
-    round_.partition_patience =
-        std::max(round_.patience, settings_.lease_ms * kPartitionPatienceLeases);
+    round_.heartbeat_timeout = policy_timeout
+                                   ? std::max(*policy_timeout, max_heartbeat_gap_ms())
+                                   : settings_.report_ms * kHeartbeatLateAfterQuarters / 4 +
+                                         kWorkerRetryMs + kHeartbeatTimeoutMargin;
+    round_.partition_timeout =
+        std::max(round_.heartbeat_timeout, settings_.lease_ms * kPartitionTimeoutLeases);
 }
 
 // The time from which missing heartbeats count against the machine.
@@ -122,17 +123,17 @@
     // Limited in time: without that, a fleet that had shrunk to one hung machine kept its tasks.
     const bool is_controller_fault =
         round_.majority_silent &&
-        silent_ms <= std::max(round_.partition_patience, kMinMajoritySilence);
+        silent_ms <= std::max(round_.partition_timeout, kMinMajoritySilence);
     if (silent_ms <= silence_timeout(machine) || is_controller_fault) return std::nullopt;
     return Failure{events::ReleaseReason::Silent, silent_ms};
 }
 
 Millis FailureDetector::silence_timeout(const Machine& machine) const {
-    if (!is_zone_partitioned(machine.zone)) return round_.patience;
-    if (!work_.has_replicas(machine)) return round_.partition_patience;
+    if (!is_zone_partitioned(machine.zone)) return round_.heartbeat_timeout;
+    if (!workload_.has_replicas(machine)) return round_.partition_timeout;
     // By then the lease of a worker that gets no answers has expired and its replicas are down.
     // They are run elsewhere as soon as the release of the machine proves them gone.
-    return std::max(round_.patience, settings_.lease_ms + max_heartbeat_gap_ms());
+    return std::max(round_.heartbeat_timeout, settings_.lease_ms + max_heartbeat_gap_ms());
 }
 
 // "Failure detection", unreachable: a one-way partition, in which the machine's reports arrive but
@@ -140,9 +141,10 @@
 // the controllers' side and none is released.
 std::optional<FailureDetector::Failure> FailureDetector::check_unreachable(
     const Machine& machine) const {
-    const auto patience = std::max(round_.patience, settings_.lease_ms + settings_.report_ms * 3);
+    const auto timeout =
+        std::max(round_.heartbeat_timeout, settings_.lease_ms + settings_.report_ms * 3);
     const auto unreachable_ms = round_.now - machine.unreachable_since;
-    if (machine.unreachable_since == 0 || unreachable_ms <= patience ||
+    if (machine.unreachable_since == 0 || unreachable_ms <= timeout ||
         round_.unreachable * 2 > round_.up) {
         return std::nullopt;
     }
@@ -174,9 +176,10 @@
 
 std::optional<FailureDetector::Failure> FailureDetector::check_booting(const Machine& machine,
                                                                        double boot_s) const {
-    const auto boot_patience =
-        std::max(static_cast<Millis>((boot_s > 0 ? boot_s : kDefaultBootSeconds) * kBootPatienceMs),
-                 kMinBootPatience);
+    const auto boot_timeout =
+        std::max(static_cast<Millis>((boot_s > 0 ? boot_s : kDefaultBootSeconds) *
+                                     kBootTimeoutMsPerBootSecond),
+                 kMinBootTimeout);
     // A new leader finds machines in the cloud's list that have been up for long but have not
     // reported to it yet. They get the full time-out from when it first saw them, whatever their
     // age.
@@ -185,23 +188,23 @@
     // its release proves that.
     const bool only_in_records =
         !machine.listed && !machine.allocations.empty() &&
-        round_.now - machine.first_seen > round_.patience + kRecordOnlyMargin;
-    const bool may_boot = !machine.running && round_.now - machine.provisioned_at <= boot_patience;
-    const bool overdue = known_ms > registration_timeout(machine, boot_patience) && !may_boot;
+        round_.now - machine.first_seen > round_.heartbeat_timeout + kRecordOnlyMargin;
+    const bool may_boot = !machine.running && round_.now - machine.provisioned_at <= boot_timeout;
+    const bool overdue = known_ms > registration_timeout(machine, boot_timeout) && !may_boot;
     if (!only_in_records && !overdue) return std::nullopt;
     return Failure{events::ReleaseReason::NeverRegistered, 0};
 }
 
 // How long a known machine may go without a report. check_booting() also allows for its boot time.
-Millis FailureDetector::registration_timeout(const Machine& machine, Millis boot_patience) const {
-    if (!machine.running) return std::min(boot_patience, 2 * round_.patience);
-    if (is_zone_partitioned(machine.zone)) return round_.partition_patience;
+Millis FailureDetector::registration_timeout(const Machine& machine, Millis boot_timeout) const {
+    if (!machine.running) return std::min(boot_timeout, 2 * round_.heartbeat_timeout);
+    if (is_zone_partitioned(machine.zone)) return round_.partition_timeout;
     // Tasks of cancelled jobs that may be there have to end soon: they were cancelled under an
     // earlier leader, and a hung machine receives no halt.
-    if (work_.has_cancelled_work(machine)) {
-        return std::min(2 * round_.patience, max_heartbeat_gap_ms() + kPollMargin);
+    if (workload_.has_cancelled_work(machine)) {
+        return std::min(2 * round_.heartbeat_timeout, max_heartbeat_gap_ms() + kPollMargin);
     }
-    return 2 * round_.patience;
+    return 2 * round_.heartbeat_timeout;
 }
 
 }  // namespace lichendrift::core
--- a/src/core/failure_detector.h
+++ b/src/core/failure_detector.h
@@ -35,20 +35,20 @@
     /// Why a machine is to be released.
     struct Failure {
         events::ReleaseReason reason = events::ReleaseReason::Silent;  ///< the check that failed
-        Millis for_ms = 0;  ///< how long it was silent or unreachable; 0: not applicable
+        Millis elapsed_ms = 0;  ///< how long it was silent or unreachable; 0: not applicable
     };
 
-    /// `work` has to outlive the detector.
-    FailureDetector(const Settings& settings, const MachineWorkload& work)
-        : settings_(settings), work_(work) {}
+    /// `workload` has to outlive the detector.
+    FailureDetector(const Settings& settings, const MachineWorkload& workload)
+        : settings_(settings), workload_(workload) {}
 
     /// Called while the leader lease may have expired: no machine is checked then, and silence is
     /// counted from the next round on.
     void suspend() { leading_since_ = -1; }
-    /// Begins a round of checks. `policy_patience`: the policy's time-out for silent machines, if
+    /// Begins a round of checks. `policy_timeout`: the policy's time-out for silent machines, if
     /// it sets one.
     void begin_round(const std::vector<Machine>& machines, std::size_t zone_count,
-                     std::optional<Millis> policy_patience, Millis now);
+                     std::optional<Millis> policy_timeout, Millis now);
     /// Updates which zones are partitioned: nearly all of their machines have gone silent together.
     void update_partitioned_zones(const std::vector<Machine>& machines, std::size_t zone_count,
                                   Millis now);
@@ -72,7 +72,7 @@
     [[nodiscard]] std::optional<Failure> check_unreachable(const Machine& machine) const;
     [[nodiscard]] std::optional<Failure> check_lost_leases(const Machine& machine) const;
     [[nodiscard]] Millis silence_timeout(const Machine& machine) const;
-    [[nodiscard]] Millis registration_timeout(const Machine& machine, Millis boot_patience) const;
+    [[nodiscard]] Millis registration_timeout(const Machine& machine, Millis boot_timeout) const;
     [[nodiscard]] Millis expected_since(const Machine& machine) const;
 
     // Values that apply to all machines during one round.
@@ -83,12 +83,12 @@
         std::size_t unreachable = 0;
         std::size_t losing_leases = 0;
         bool majority_silent = false;
-        Millis patience = 0;            // time-out for a silent machine
-        Millis partition_patience = 0;  // the same in a partitioned zone
+        Millis heartbeat_timeout = 0;  // time-out for a silent machine
+        Millis partition_timeout = 0;  // the same in a partitioned zone
     };
 
     Settings settings_;
-    const MachineWorkload& work_;
+    const MachineWorkload& workload_;
     Round round_;
     std::vector<char> zone_partitioned_;       // by zone
     std::vector<Millis> zone_partitioned_at_;  // when the zone was last partitioned; -1: never
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -42,10 +42,11 @@
         outcome.superseded = true;
         return outcome;
     }
-    const auto index = machine_for(report.machine, report.type, report.zone, report.spot, now);
+    const auto index =
+        find_or_add_machine(report.machine, report.type, report.zone, report.spot, now);
     const Machine& machine = machines_[index];
     if (machine.lifecycle == Machine::Lifecycle::Gone) return outcome;
-    // A report that is not newer than the newest one seen settles nothing ("What a report may
+    // A report that is not newer than the newest one received is ignored ("What a report may
     // settle").
     if (std::pair(report.session, report.seq) <= std::pair(machine.session, machine.seq)) {
         return outcome;
@@ -63,7 +64,7 @@
         on_commands_missed(index, 1, now);
     }
     reconcile_unmatched(step);
-    if (step.trusted) collect_exited(step);
+    if (step.trusted) collect_tasks_to_reap(step);
     if (report.notice_s && !machine.reclaim_at) {
         on_spot_notice(index, *report.notice_s, now);
         step.changed = true;
@@ -180,7 +181,7 @@
 
 void Cluster::reconcile_alive(Reconciliation& step, AllocationIndex index, const TaskReport& task) {
     Allocation& allocation = allocations_[index];
-    if (allocation.phase != task.phase || allocation.state != Allocation::State::Seen) {
+    if (allocation.phase != task.phase || allocation.state != Allocation::State::Present) {
         step.changed = true;
     }
     step.command_seen |= allocation.state == Allocation::State::Sent;
@@ -190,7 +191,7 @@
         step.command_missed = true;
         allocation.halt_seq = 0;
     }
-    allocation.state = Allocation::State::Seen;
+    allocation.state = Allocation::State::Present;
     allocation.reported = true;
     allocation.phase = task.phase;
     if (task.phase == TaskPhase::Running && allocation.running_since == 0) {
@@ -221,7 +222,7 @@
             step.command_missed |= allocation.heartbeat_seq != 0;
             on_run_not_executed(index, step.now);
             break;
-        case Allocation::State::Seen:
+        case Allocation::State::Present:
             if (unconfirmed) return;
             // The report in the response to a direct command may be older than the answer that
             // carried the run.
@@ -277,7 +278,7 @@
     allocation.attempt = task.attempt;
     allocation.machine = step.machine;
     allocation.session = step.report.session;
-    allocation.state = Allocation::State::Seen;
+    allocation.state = Allocation::State::Present;
     allocation.phase = task.phase;
     allocation.unexpected = true;
     allocation.reported = true;
@@ -291,7 +292,7 @@
 
 // Stores what the answer to the next heartbeat reaps: besides the tasks collected so far, every
 // other exited task of the report.
-void Cluster::collect_exited(Reconciliation& step) {
+void Cluster::collect_tasks_to_reap(Reconciliation& step) {
     auto& to_reap = step.to_reap;
     for (const auto& task : step.report.tasks) {
         if (task.phase != TaskPhase::Exited) continue;
@@ -300,7 +301,7 @@
                         [&](const auto& other) { return is_same_attempt(other, task); });
         if (!already_listed) to_reap.push_back(task);
     }
-    exited_[step.report.machine] = std::move(to_reap);
+    tasks_to_reap_[step.report.machine] = std::move(to_reap);
 }
 
 }  // namespace lichendrift::core
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -17,12 +17,12 @@
 
 /// One placement record of a job. Its number tells the layout; see core/record_layout.h.
 struct RecordState {
-    std::uint64_t revision = 0;  ///< revision of the stored record; 0: there is none
-    std::uint64_t nonce = 0;     ///< nonce of the newest write that is known to be durable
-    bool dirty = false;          ///< it has to be written
-    bool writing = false;        ///< a write is in flight
-    Millis retry_at = 0;         ///< it is not written before
-    Millis lazy_at = 0;          ///< when a write that only adds completed tasks is due; 0: none
+    std::uint64_t revision = 0;    ///< revision of the stored record; 0: there is none
+    std::uint64_t nonce = 0;       ///< nonce of the newest write that is known to be durable
+    bool dirty = false;            ///< it has to be written
+    bool writing = false;          ///< a write is in flight
+    Millis retry_at = 0;           ///< it is not written before
+    Millis deferred_write_at = 0;  ///< when a write that only adds completed tasks is due; 0: none
 };
 
 /// What the leader knows of one job.
@@ -74,8 +74,8 @@
     std::string job_id;                         ///< id of the job
     std::uint64_t open_revision = 0;            ///< condition: revision of the job under `open/`
     std::vector<std::uint32_t> record_numbers;  ///< records removed in the same transaction
-    bool include_description =
-        false;  ///< tasks may still be on machines; the job is stored as well
+    /// The stored value includes the job's description, as tasks may still be on machines.
+    bool include_description = false;
 };
 
 }  // namespace lichendrift::core
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -14,9 +14,9 @@
 constexpr Millis kMaxNoCapacityBackoff = 12'000;
 constexpr Millis kReleaseRetryDelay = 3000;  // until a release is requested again
 constexpr Millis kForgetReleasedAfter = 900'000;
-// After the announced time, if the machine is still there.
+// A spot notice is forgotten this long after its end if the machine still reports.
 constexpr Millis kForgetNoticeAfter = 60'000;
-constexpr Millis kMaxListDelay = 12'000;  // lists of the cloud are never out of date by more
+constexpr Millis kMaxListDelay = 12'000;  // the cloud's list is out of date by at most this
 // Between two attempts to start a job that fails everywhere. An attempt, including the download of
 // the image, has to come well within 90 s: no job may wait longer than that beside capacity that
 // fits.
@@ -24,15 +24,15 @@
 constexpr Millis kReplicaProvenAfter = 10'000;
 // Failed machines remembered for a service; when there are so many, all are forgotten.
 constexpr std::size_t kMaxFailedMachines = 16;
-// Tasks that end within this share of a notice are not stopped.
+// Tasks expected to end within this share of the time that a spot notice leaves are not stopped.
 constexpr double kNoticeShare = 0.7;
 // Time for which a machine gets no work after a task failed there.
 constexpr Millis kFailureQuarantine = 3000;
 
 }  // namespace
 
-MachineIndex Cluster::machine_for(const std::string& name, const std::string& type,
-                                  const std::string& zone, bool spot, Millis now) {
+MachineIndex Cluster::find_or_add_machine(const std::string& name, const std::string& type,
+                                          const std::string& zone, bool spot, Millis now) {
     auto [it, fresh] = machine_ids_.try_emplace(name, static_cast<MachineIndex>(machines_.size()));
     if (fresh) {
         Machine machine;
@@ -58,8 +58,9 @@
     return it->second;
 }
 
-// "Failure detection", unreachable: a machine is unreachable while nothing that is sent to it has
-// an effect. Something that was sent to this one had its effect.
+// Called when a command or an answer sent to the machine has taken effect: it is reachable
+// ("Failure detection", unreachable: a machine is unreachable while nothing sent to it has an
+// effect).
 void Cluster::on_command_effect(MachineIndex index) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
@@ -144,7 +145,8 @@
 
 void Cluster::on_machine_list_page(const std::vector<ListedMachine>& page, Millis now) {
     for (const auto& listed : page) {
-        const auto index = machine_for(listed.name, listed.type, listed.zone, listed.spot, now);
+        const auto index =
+            find_or_add_machine(listed.name, listed.type, listed.zone, listed.spot, now);
         Machine& machine = machines_[index];
         if (!machine.listed) {
             machine.listed = true;
@@ -172,7 +174,7 @@
             machine.start_release();
             continue;
         }
-        // A late copy of a report makes a machine that was gone before this term look
+        // A late duplicate of a report makes a machine that was gone before this term look
         // as if it were up.
         const bool stale = !machine.listed && !machine.allocations.empty() &&
                            now - machine.first_seen > kMaxListDelay + settings_.report_ms;
@@ -193,14 +195,15 @@
 
 void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
                              const std::vector<std::string>& names, Millis now) {
-    for (const auto& name : names) machine_for(name, type, zone, spot, now);
+    for (const auto& name : names) find_or_add_machine(name, type, zone, spot, now);
     refused_pools_.erase({types_.intern(type), zones_.intern(zone), spot});
 }
 
 void Cluster::on_provision_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
-    auto& [until, step] = refused_pools_[{type, zone, spot}];
-    step = std::min<Millis>(step == 0 ? kFirstNoCapacityBackoff : step * 2, kMaxNoCapacityBackoff);
-    until = now + step;
+    auto& [until, backoff] = refused_pools_[{type, zone, spot}];
+    backoff = std::min<Millis>(backoff == 0 ? kFirstNoCapacityBackoff : backoff * 2,
+                               kMaxNoCapacityBackoff);
+    until = now + backoff;
 }
 
 std::vector<std::string> Cluster::next_releases(std::size_t limit, Millis now) {
@@ -227,14 +230,14 @@
         // The cloud has capacity for another machine of this kind again, whatever it refused
         // before.
         refused_pools_.erase({machine.type, machine.zone, machine.spot});
-        exited_.erase(name);
+        tasks_to_reap_.erase(name);
         release_all(it->second, std::numeric_limits<std::uint64_t>::max(), now);
     }
 }
 
 void Cluster::on_pending_releases(const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) {
-        Machine& machine = machines_[machine_for(name, "", "", false, now)];
+        Machine& machine = machines_[find_or_add_machine(name, "", "", false, now)];
         machine.start_release();
     }
 }
@@ -244,7 +247,7 @@
     return it != machine_ids_.end() && !machines_[it->second].allocations.empty();
 }
 
-std::optional<Millis> Cluster::wanted_patience() const {
+std::optional<Millis> Cluster::policy_heartbeat_timeout() const {
     if (!settings_.policy) return std::nullopt;
     return static_cast<Millis>(settings_.policy->heartbeat_timeout_s(fleet_facts()) * 1000);
 }
@@ -256,7 +259,7 @@
         failure_detector_.suspend();
         return events;
     }
-    failure_detector_.begin_round(machines_, zones_.size(), wanted_patience(), now);
+    failure_detector_.begin_round(machines_, zones_.size(), policy_heartbeat_timeout(), now);
     for (auto& machine : machines_) {
         switch (machine.lifecycle) {
             case Machine::Lifecycle::Gone:
@@ -284,7 +287,7 @@
                             std::vector<events::Event>& events) {
     machine.start_release();
     events.emplace_back(
-        events::MachineReleaseStarted{machine.name, failure.reason, failure.for_ms, {}});
+        events::MachineReleaseStarted{machine.name, failure.reason, failure.elapsed_ms, {}});
 }
 
 // Frees the entry of a released machine once no late report or list can name it any more. Without
@@ -381,7 +384,7 @@
 
 void Cluster::load_image_hints(const ImageHints& hints, Millis now) {
     for (const auto& [name, images] : hints) {
-        Machine& machine = machines_[machine_for(name, "", "", false, now)];
+        Machine& machine = machines_[find_or_add_machine(name, "", "", false, now)];
         for (const auto& image : images) note_image(machine, images_.intern(image));
     }
 }
--- a/src/core/plan_capacity.h
+++ b/src/core/plan_capacity.h
@@ -68,10 +68,11 @@
     std::vector<char> in_use_;
     std::vector<char> reserved_;
     Resources smallest_need_;
+    // Machines that may have capacity of each CapacitySource.
     std::vector<MachinePosition> with_free_;
     std::vector<MachinePosition> with_releasing_;
     std::vector<MachinePosition> with_booting_;
-    bool releasing_stale_ = false;
+    bool releasing_stale_ = false;  // the two lists above have to be built again
     std::size_t takes_since_prune_ = 0;
 };
 
--- a/src/core/plan_filter.cpp
+++ b/src/core/plan_filter.cpp
@@ -30,7 +30,7 @@
     if (!depends_on_key_only(request.job)) return false;
     const auto it = failed_.find(key_of(request.job));
     if (it == failed_.end()) return false;
-    return it->second[static_cast<std::size_t>(source)] <= tasks_of(request);
+    return it->second[static_cast<std::size_t>(source)] <= min_tasks_of(request);
 }
 
 void FailedPlacements::record(const PlacementRequest& request, CapacitySource source) {
@@ -38,7 +38,7 @@
     auto [it, inserted] = failed_.try_emplace(key_of(request.job));
     if (inserted) it->second.fill(kNoFailure);
     auto& min_tasks = it->second[static_cast<std::size_t>(source)];
-    min_tasks = std::min(min_tasks, tasks_of(request));
+    min_tasks = std::min(min_tasks, min_tasks_of(request));
 }
 
 void FailedPlacements::clear_releasing() {
--- a/src/core/plan_filter.h
+++ b/src/core/plan_filter.h
@@ -78,7 +78,8 @@
 
     static Key key_of(const QueuedJob& job);
     static bool depends_on_key_only(const QueuedJob& job);
-    static std::uint32_t tasks_of(const PlacementRequest& request) {
+    // The smallest number of tasks that would satisfy the request.
+    static std::uint32_t min_tasks_of(const PlacementRequest& request) {
         return request.partial ? 1 : request.count;
     }
 
--- a/src/core/plan_new_machines.cpp
+++ b/src/core/plan_new_machines.cpp
@@ -69,7 +69,7 @@
     for (TypeIndex index = 0; index < types.size() && index < kMaxTypes; ++index) {
         const auto& type = types[index];
         if ((spec.types >> index & 1) == 0 || type.zones.empty()) continue;
-        const auto fits = type.capacity.fits(spec.need);
+        const auto fits = type.capacity.tasks_that_fit(spec.need);
         if (fits == 0) continue;
         const auto price = (spot ? type.spot_hourly : type.hourly) / static_cast<double>(fits);
         for (const auto type_zone : state_.snapshot.type_zones[index]) {
@@ -92,7 +92,7 @@
                               std::vector<std::int64_t>& fitting_by_zone) const {
     for (const auto at : with_capacity_) {
         const auto& [pool, free] = machines_[at];
-        fitting_by_zone[pool.zone] += free.fits(spec.need);
+        fitting_by_zone[pool.zone] += free.tasks_that_fit(spec.need);
     }
 }
 
--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -45,8 +45,9 @@
         state_.count_step();
         const Resources available = state_.capacity.available(machine, source);
         if (!available.covers(spec.need) || !state_.filter.admits(job, zone, machine)) continue;
-        fitting += available.fits(spec.need);
-        candidates_.push_back({state_.score.of(spec, machine, available), machine, available, 0});
+        fitting += available.tasks_that_fit(spec.need);
+        candidates_.push_back(
+            {state_.score.compute(spec, machine, available), machine, available, 0});
     }
     return fitting;
 }
@@ -81,7 +82,7 @@
         placement.machines.push_back(best.machine);
         reinsert_candidate(spec);
     }
-    if (!request.accepts(placement.tasks())) return {};
+    if (!request.is_satisfied_by(placement.tasks())) return {};
     placement.score = score / static_cast<double>(placement.tasks());
     return placement;
 }
@@ -114,7 +115,7 @@
         return;
     }
     candidate.colocation_penalty = 0;
-    candidate.score = state_.score.of(spec, candidate.machine, candidate.available);
+    candidate.score = state_.score.compute(spec, candidate.machine, candidate.available);
     std::push_heap(candidates_.begin(), candidates_.end());
 }
 
--- a/src/core/plan_preemption.cpp
+++ b/src/core/plan_preemption.cpp
@@ -50,7 +50,7 @@
     for (const auto zone : candidate_zones(request.job.spec, state_.snapshot.zone_count)) {
         auto found = place_in(request, zone, image_present);
         const auto tasks = found.placement.tasks();
-        if (!request.accepts(tasks)) continue;
+        if (!request.is_satisfied_by(tasks)) continue;
         if (tasks > best.placement.tasks() ||
             (tasks == best.placement.tasks() && found.cost < best.cost)) {
             best = std::move(found);
@@ -122,7 +122,8 @@
         const auto right_lost_s = state_.allocations.view(right).lost_work_s;
         return left_lost_s != right_lost_s ? left_lost_s < right_lost_s : left < right;
     });
-    eviction.cost = -kScoreShare * state_.score.of(job.spec, eviction.machine, eviction.available);
+    eviction.cost =
+        -kScoreShare * state_.score.compute(job.spec, eviction.machine, eviction.available);
     eviction.victims.clear();
     for (const auto victim : possible_victims_) {
         if (eviction.available.covers(need)) break;
--- a/src/core/plan_provisioning.cpp
+++ b/src/core/plan_provisioning.cpp
@@ -133,7 +133,7 @@
     for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
         state_.count_step();
         if (count <= 0 || !state_.filter.admits(job, zone, at)) continue;
-        const auto fits = state_.capacity.free(at).fits(job.spec.need);
+        const auto fits = state_.capacity.free(at).tasks_that_fit(job.spec.need);
         if (fits > 0) state_.capacity.mark_in_use(at);
         count -= fits;
     }
@@ -146,7 +146,8 @@
     for (const auto at : state_.capacity.machines_with(CapacitySource::Booting)) {
         state_.count_step();
         if (!state_.filter.admits(job, kInvalidIndex, at)) continue;
-        fitting[state_.snapshot.machines[at].zone] += state_.capacity.free(at).fits(job.spec.need);
+        fitting[state_.snapshot.machines[at].zone] +=
+            state_.capacity.free(at).tasks_that_fit(job.spec.need);
     }
     return fitting;
 }
--- a/src/core/plan_reservation.cpp
+++ b/src/core/plan_reservation.cpp
@@ -46,7 +46,7 @@
     for (const auto& [after_s, machine] : available) {
         if (fitting >= count) break;
         // `after_s` is the time until the first task fits; the machine may fit the others later.
-        fitting += machines[machine].capacity.fits(need);
+        fitting += machines[machine].capacity.tasks_that_fit(need);
         set.after_s = std::max(set.after_s, after_s);
         set.machines.push_back(machine);
     }
--- a/src/core/plan_score.h
+++ b/src/core/plan_score.h
@@ -55,8 +55,8 @@
         }
     }
     /// Returns the score of a machine in points; `available` is the capacity that the task can use.
-    [[nodiscard]] double of(const JobSpec& spec, MachinePosition machine,
-                            const Resources& available) const {
+    [[nodiscard]] double compute(const JobSpec& spec, MachinePosition machine,
+                                 const Resources& available) const {
         double score = 0;
         score += image_locality(spec, machine);
         score -= warm_capacity_use(spec, machine);
--- a/src/core/plan_types.h
+++ b/src/core/plan_types.h
@@ -45,7 +45,7 @@
     std::uint32_t count = 0;  ///< number of tasks
     bool partial = false;     ///< place as many as fit; otherwise all or none
     /// Whether placing this number of tasks satisfies the request.
-    [[nodiscard]] bool accepts(std::size_t tasks) const {
+    [[nodiscard]] bool is_satisfied_by(std::size_t tasks) const {
         return tasks > 0 && (partial || tasks >= count);
     }
 };
@@ -70,7 +70,7 @@
     return machine.spot ? type.spot_hourly : type.hourly;
 }
 
-/// The largest number of tasks of an `spread_zones` job in one zone: half of them, rounded up.
+/// The largest number of tasks of a `spread_zones` job in one zone: half of them, rounded up.
 inline std::uint32_t max_tasks_in_zone(const JobSpec& spec) { return (spec.count + 1) / 2; }
 
 /// Every zone, in the order of the indices.
--- a/src/core/plan_warm_capacity.cpp
+++ b/src/core/plan_warm_capacity.cpp
@@ -11,19 +11,19 @@
 }  // namespace
 
 void WarmCapacityPhase::before_job(const QueuedJob& job) {
-    if (kept_ || job.spec.has_start_objective || job.waiting.slack_s <= kUrgentSlackS) return;
-    kept_ = true;
+    if (taken_ || job.spec.has_start_objective || job.waiting.slack_s <= kUrgentSlackS) return;
+    taken_ = true;
     for (const auto& warm : state_.snapshot.warm_capacity) {
-        if (warm.spec.priority <= job.spec.priority) keep_free(warm);
+        if (warm.spec.priority <= job.spec.priority) take_warm_capacity(warm);
     }
 }
 
 void WarmCapacityPhase::after_all_jobs() {
-    if (kept_) return;
-    for (const auto& warm : state_.snapshot.warm_capacity) keep_free(warm);
+    if (taken_) return;
+    for (const auto& warm : state_.snapshot.warm_capacity) take_warm_capacity(warm);
 }
 
-void WarmCapacityPhase::keep_free(const WarmCapacity& warm) {
+void WarmCapacityPhase::take_warm_capacity(const WarmCapacity& warm) {
     auto left = warm.tasks;
     for (const auto source : {CapacitySource::Free, CapacitySource::Booting}) {
         collect_candidates(warm.spec, source, left);
@@ -45,7 +45,7 @@
         if (source == CapacitySource::Booting && !machine.booting) continue;
         if (state_.capacity.reserved(at) || !MachineFilter::allows(spec, machine)) continue;
         if (!free.covers(spec.need)) continue;
-        candidates_.push_back({state_.score.of(spec, at, free), at, free, 0});
+        candidates_.push_back({state_.score.compute(spec, at, free), at, free, 0});
     }
     std::make_heap(candidates_.begin(), candidates_.end());
 }
@@ -60,7 +60,7 @@
         ++taken;
         best.available = state_.capacity.free(best.machine);
         if (best.available.covers(spec.need)) {
-            best.score = state_.score.of(spec, best.machine, best.available);
+            best.score = state_.score.compute(spec, best.machine, best.available);
             std::push_heap(candidates_.begin(), candidates_.end());
         } else {
             candidates_.pop_back();
--- a/src/core/plan_warm_capacity.h
+++ b/src/core/plan_warm_capacity.h
@@ -22,14 +22,14 @@
     void after_all_jobs();
 
   private:
-    void keep_free(const WarmCapacity& warm);
+    void take_warm_capacity(const WarmCapacity& warm);
     void collect_candidates(const JobSpec& spec, CapacitySource source, std::uint32_t count);
     std::uint32_t take_best(const JobSpec& spec, std::uint32_t count);
 
     PlanState& state_;
     ProvisioningPhase& provisioning_;
     std::vector<ScoredMachine> candidates_;
-    bool kept_ = false;
+    bool taken_ = false;  // whether this plan has taken the warm capacity
 };
 
 }  // namespace lichendrift::core
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -35,7 +35,7 @@
     TeamIndex team = kInvalidIndex;        ///< team whose quota its tasks count against
     bool gang = false;                     ///< gang scheduling: all tasks run, or none
     bool service = false;                  ///< its replicas run until it is cancelled
-    Priority priority = Priority::Normal;  ///< rank of the job; may preempt lower ones
+    Priority priority = Priority::Normal;  ///< may preempt jobs with a lower priority
     std::uint32_t count = 1;               ///< number of tasks
     Resources need;                        ///< resources of one task
     ImageIndex image = kInvalidIndex;      ///< container image
@@ -109,17 +109,17 @@
 
 /// A job with tasks that wait for a machine.
 struct WaitingJob {
-    JobIndex job = kInvalidIndex;               ///< key into Snapshot::jobs
-    std::uint32_t waiting_tasks = 0;            ///< number of tasks that wait for a machine
-    bool in_guarantee = false;                  ///< within its team's guarantee
-    bool backing_off = false;                   ///< in back-off after a failure: this plan skips it
-    bool has_started = false;                   ///< whether a task of it was placed before
-    Millis waited_ms = 0;                       ///< time since its submission or its last start
-    double slack_s = 0;                         ///< seconds until an objective is missed
-    double order_s = 0;                         ///< sort key within its rank, smaller first
-    double provision_wait_s = kProvisionWaitS;  ///< no machine is provisioned if capacity becomes
-    ///< free within this time, seconds
-    double on_demand_wait_s = kOnDemandWaitS;  ///< the same for on-demand machines
+    JobIndex job = kInvalidIndex;     ///< key into Snapshot::jobs
+    std::uint32_t waiting_tasks = 0;  ///< number of tasks that wait for a machine
+    bool in_guarantee = false;        ///< within its team's guarantee
+    bool backing_off = false;         ///< in back-off after a failure: this plan skips it
+    bool has_started = false;         ///< whether a task of it was placed before
+    Millis waited_ms = 0;             ///< time since its submission or its last start
+    double slack_s = 0;               ///< seconds until an objective is missed
+    double order_s = 0;               ///< sort key within its rank, smaller first
+    /// No machine is provisioned if capacity becomes free within this time, seconds.
+    double provision_wait_s = kProvisionWaitS;
+    double on_demand_wait_s = kOnDemandWaitS;  ///< the same for on-demand machines, seconds
     ZoneIndex zone = kInvalidIndex;            ///< with one_zone: the zone of its other tasks
     /// Number of its tasks by zone, for `one_zone`, `spread_zones` and services; may have fewer
     /// entries than there are zones.
@@ -134,7 +134,8 @@
     bool in_guarantee = false;  ///< within its team's guarantee
 };
 
-/// Warm capacity for a class with a start objective.
+/// Warm capacity for a class with a start objective: resources kept free ahead of demand, so that
+/// the tasks expected of it need not wait until resources become free.
 struct WarmCapacity {
     JobSpec spec;             ///< a recently submitted job of the class
     std::uint32_t tasks = 0;  ///< number of its tasks to keep capacity free for
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -61,7 +61,9 @@
     double fetching = kFetchingWeight;  ///< added if the machine fetches the image now
     /// Subtracted per second of fetching, for classes with a start objective.
     double fetch = kFetchWeightPerSecond;
-    double warm = kWarmWeight;    ///< subtracted where a class with a start objective has its image
+    /// Subtracted for a job without a start objective if the machine has an image of a class with
+    /// one.
+    double warm = kWarmWeight;
     double fit = kFitWeight;      ///< subtracted for the share of the machine that would stay free
     double price = kPriceWeight;  ///< subtracted for the price, as a share of the highest one
     /// Compares member by member.
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr Millis kLazyDelay = 8000;
+constexpr Millis kDeferredWriteDelay = 8000;
 constexpr Millis kJobNotOpenRetryDelay = 2000;
-// Added to kLazyDelay; lazy records are then written even if other writes wait.
-constexpr Millis kMaxExtraLazyDelay = 20000;
+// Added to kDeferredWriteDelay: a deferred write is then made even if other writes wait.
+constexpr Millis kMaxExtraDeferral = 20000;
 
 constexpr Millis kWriteRetryDelay = 300;  // after a write that failed
 // Size of the key and the conditions of a record in a transaction.
@@ -60,7 +60,7 @@
     if (job.done == job.spec.count) all_done_.insert(found->second);
     for (const auto& placed : record.placed) {
         if (placed.task >= job.spec.count) continue;
-        const auto machine = machine_for(placed.machine, "", "", false, now);
+        const auto machine = find_or_add_machine(placed.machine, "", "", false, now);
         // Records of two layouts both name the attempt if a leader ended while it was changing the
         // layout.
         if (has_attempt(job, placed, machine)) continue;
@@ -73,7 +73,7 @@
         allocation.machine = machine;
         allocation.session = placed.session;
         // An earlier leader may have started it; only a report can show whether it did.
-        allocation.state = Allocation::State::Seen;
+        allocation.state = Allocation::State::Present;
         allocation.created_at = now;
         allocation.stop_requested = job.terminal;
         add_allocation(allocation);
@@ -102,7 +102,7 @@
 
 // ---- layouts, see core/record_layout.h ----
 
-std::uint32_t Cluster::record_of(const Job& job, std::uint32_t task) const {
+std::uint32_t Cluster::record_number_of(const Job& job, std::uint32_t task) const {
     return record_number(job.layout, task, settings_.tasks_per_record);
 }
 
@@ -122,13 +122,14 @@
     for (auto& [number, record] : job.records) {
         if (layout_of(number) >= job.layout) continue;
         record.dirty = false;
-        record.lazy_at = 0;
+        record.deferred_write_at = 0;
         has_earlier_layout |= record.revision != 0 || record.writing;
     }
     std::set<std::uint32_t> needed;
-    for (const auto& [task, allocation] : job.allocations) needed.insert(record_of(job, task));
+    for (const auto& [task, allocation] : job.allocations)
+        needed.insert(record_number_of(job, task));
     for (std::uint32_t task = 0; task < job.spec.count && job.done > 0; ++task) {
-        if (job.done_flags[task] != 0) needed.insert(record_of(job, task));
+        if (job.done_flags[task] != 0) needed.insert(record_number_of(job, task));
     }
     job.records_to_move.clear();
     for (auto number : needed) {
@@ -167,20 +168,20 @@
 }
 
 void Cluster::mark_dirty(Job& job, std::uint32_t task) {
-    const auto number = record_of(job, task);
+    const auto number = record_number_of(job, task);
     job.records[number].dirty = true;
     dirty_.insert(record_key(job_ids_[job.id], number));
 }
 
-// Delays the write of a record that only adds completed tasks. Writing it for each task that ends
+// Defers the write of a record that only adds completed tasks. Writing it for each task that ends
 // would be most of the writes for a large array, and the state service allows few. Until the result
 // is durable, the worker keeps it.
-void Cluster::mark_lazy(Job& job, std::uint32_t task, Millis now) {
-    const auto number = record_of(job, task);
+void Cluster::defer_write(Job& job, std::uint32_t task, Millis now) {
+    const auto number = record_number_of(job, task);
     RecordState& record = job.records[number];
-    if (record.lazy_at != 0) return;
-    record.lazy_at = now + kLazyDelay;
-    lazy_.emplace(record.lazy_at, job_ids_[job.id], number);
+    if (record.deferred_write_at != 0) return;
+    record.deferred_write_at = now + kDeferredWriteDelay;
+    deferred_writes_.emplace(record.deferred_write_at, job_ids_[job.id], number);
 }
 
 // The write of the current value of a record.
@@ -217,29 +218,31 @@
     return write;
 }
 
-// Adds the lazy records that are due by `due_now` to the records to write.
-void Cluster::take_lazy_records(std::size_t limit, Millis due_now) {
-    while (dirty_.size() < limit && !lazy_.empty() && std::get<0>(*lazy_.begin()) <= due_now) {
-        const auto [due, job_index, number] = *lazy_.begin();
-        lazy_.erase(lazy_.begin());
+// Adds the records with a deferred write that are due by `due_now` to the records to write.
+void Cluster::mark_due_deferred_writes(std::size_t limit, Millis due_now) {
+    while (dirty_.size() < limit && !deferred_writes_.empty() &&
+           std::get<0>(*deferred_writes_.begin()) <= due_now) {
+        const auto [due, job_index, number] = *deferred_writes_.begin();
+        deferred_writes_.erase(deferred_writes_.begin());
         auto found = jobs_.find(job_index);
         if (found == jobs_.end()) continue;
         const auto record = found->second.records.find(number);
         // It was written since together with other changes, or belongs to an earlier layout.
-        if (record == found->second.records.end() || record->second.lazy_at != due) continue;
-        record->second.lazy_at = 0;
+        if (record == found->second.records.end() || record->second.deferred_write_at != due)
+            continue;
+        record->second.deferred_write_at = 0;
         record->second.dirty = true;
         dirty_.insert(record_key(job_index, number));
     }
 }
 
-std::vector<RecordWrite> Cluster::next_record_writes(const RecordLimits& limits, bool lazy,
-                                                     Millis now) {
+std::vector<RecordWrite> Cluster::next_record_writes(const RecordLimits& limits,
+                                                     bool include_deferred, Millis now) {
     std::vector<RecordWrite> out;
     std::size_t bytes = 0;
-    // Lazy records are not delayed without end: reports would grow with each result that the
-    // workers still keep.
-    take_lazy_records(limits.records, lazy ? now : now - kMaxExtraLazyDelay);
+    // The delay of deferred writes is bounded: reports grow with each result that the workers still
+    // keep.
+    mark_due_deferred_writes(limits.records, include_deferred ? now : now - kMaxExtraDeferral);
     for (auto it = dirty_.begin();
          it != dirty_.end() && out.size() < limits.records && bytes < limits.bytes;) {
         const auto [rank, job_index, number] = *it;
@@ -277,7 +280,7 @@
         bytes += kKeyBytes + size;
         record.writing = true;
         record.dirty = false;
-        record.lazy_at = 0;
+        record.deferred_write_at = 0;
         out.push_back(std::move(write));
     }
     return out;
@@ -412,15 +415,16 @@
 }
 
 std::vector<std::string> Cluster::next_orphans(std::size_t limit) {
-    if (!orphans_writing_.empty() || orphans_.empty()) return {};
+    if (!orphans_being_removed_.empty() || orphans_.empty()) return {};
     const auto count = std::min(limit, orphans_.size());
-    orphans_writing_.assign(orphans_.end() - static_cast<std::ptrdiff_t>(count), orphans_.end());
+    orphans_being_removed_.assign(orphans_.end() - static_cast<std::ptrdiff_t>(count),
+                                  orphans_.end());
     orphans_.resize(orphans_.size() - count);
-    return orphans_writing_;
+    return orphans_being_removed_;
 }
 
 void Cluster::on_orphans_removed(const std::vector<std::string>& keys, bool ok) {
-    orphans_writing_.clear();
+    orphans_being_removed_.clear();
     if (!ok) orphans_.insert(orphans_.begin(), keys.begin(), keys.end());
 }
 
--- a/src/core/safety_guards.h
+++ b/src/core/safety_guards.h
@@ -37,7 +37,7 @@
     bool record_needs_open_job = true;
     /// No run is sent while the controller's copy of the open jobs may be out of date.
     bool runs_need_fresh_jobs = true;
-    /// No answer to users is older than one given before.
+    /// Reads for users are monotonic: no answer shows an older state than an earlier answer did.
     bool fresh_reads = true;
     /// Controllers announce cancellations to each other.
     bool cancellations_announced = true;
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -10,10 +10,10 @@
 // How long a job waits for resources that are about to be free before machines are provisioned
 // for it. Used without an operators' policy.
 constexpr double kProvisionShareOfSlack = 0.5;
-constexpr double kMinProvisionPatienceS = 3;
-constexpr double kMaxProvisionPatienceS = 20;
+constexpr double kMinProvisionWaitS = 3;
+constexpr double kMaxProvisionWaitS = 20;
 constexpr double kOnDemandShareOfSlack = 0.6;
-constexpr double kMaxOnDemandPatienceS = 60;
+constexpr double kMaxOnDemandWaitS = 60;
 
 // Time since its last use for which an image of a class with a start objective counts as in use.
 constexpr Millis kImageInUseFor = 600'000;
@@ -178,7 +178,7 @@
             static_cast<double>(now - std::max(job.waiting_since, job.started_at)) / 1000.0};
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], times,
-                                job.in_guarantee ? guarantee_s_ : 0);
+                                job.in_guarantee ? guaranteed_start_s_ : 0);
         fill_waiting_job(job, times.age_s, now, item);
         add_zone_counts(job, item);
     }
@@ -188,7 +188,7 @@
 void Cluster::add_teams(Snapshot& out) const {
     out.team_used = team_used_;
     out.teams = team_list_;
-    out.guaranteed_start_s = guarantee_s_;
+    out.guaranteed_start_s = guaranteed_start_s_;
     for (std::size_t index = 0; index < team_list_.size(); ++index) {
         // Limited in time: otherwise the guarantee of a team without work would be retained for
         // ever.
@@ -224,8 +224,8 @@
         auto& zones = out.type_zones.emplace_back();
         for (const auto& zone : type.zones) zones.push_back(zones_.intern(zone));
     }
-    for (const auto& [kind, until] : refused_pools_) {
-        if (until.first > out.now) out.refused_provisions.push_back(kind);
+    for (const auto& [pool, backoff] : refused_pools_) {
+        if (backoff.first > out.now) out.refused_provisions.push_back(pool);
     }
     for (TypeIndex type = 0; type < out.type_zones.size(); ++type) {
         for (const auto zone : out.type_zones[type]) {
@@ -314,10 +314,10 @@
     // While a replica waits its service lacks it, however long ago the service was submitted.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlackS);
     item.order_s = item.slack_s;
-    item.provision_wait_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
-                                       kMinProvisionPatienceS, kMaxProvisionPatienceS);
-    item.on_demand_wait_s = std::clamp(item.slack_s * kOnDemandShareOfSlack, item.provision_wait_s,
-                                       kMaxOnDemandPatienceS);
+    item.provision_wait_s =
+        std::clamp(item.slack_s * kProvisionShareOfSlack, kMinProvisionWaitS, kMaxProvisionWaitS);
+    item.on_demand_wait_s =
+        std::clamp(item.slack_s * kOnDemandShareOfSlack, item.provision_wait_s, kMaxOnDemandWaitS);
     if (settings_.policy) {
         auto job_facts = facts(job);
         job_facts.slack_s = item.slack_s;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -45,7 +45,7 @@
     Low,      ///< lowest priority
     Normal,   ///< the default
     High,     ///< preferred over Normal
-    Critical  ///< highest; its placement records, as those of services, go first
+    Critical  ///< highest; its placement records and those of services are written first
 };
 
 /// Amounts of resources as integers in thousandths of a unit, so that sums are exact.
@@ -73,7 +73,7 @@
         return {cpus * count, gpus * count, mem * count};
     }
     /// How many tasks with this need fit into these resources.
-    [[nodiscard]] std::int64_t fits(const Resources& need) const {
+    [[nodiscard]] std::int64_t tasks_that_fit(const Resources& need) const {
         std::int64_t count = std::numeric_limits<std::int32_t>::max();
         if (need.cpus > 0) count = std::min(count, cpus / need.cpus);
         if (need.gpus > 0) count = std::min(count, gpus / need.gpus);
@@ -186,7 +186,7 @@
     WaitingForPeers,  ///< task of a gang, waiting for the other tasks of the gang
     Running,          ///< running
     Saving,           ///< halted, saving its progress
-    Exited            ///< exited; reported until the leader has it reaped
+    Exited            ///< exited; reported until the leader sends a reap command
 };
 /// Why a task has exited, in the terms of the worker (operators' protocol page).
 enum class ExitReason : std::uint8_t {
@@ -222,7 +222,7 @@
     std::uint64_t seq = 0;      ///< increases with each report of a session
     std::uint64_t token = 0;    ///< highest fencing token that the worker has seen
     std::optional<double> notice_s;  ///< spot notice: seconds until the cloud reclaims the machine
-    std::vector<TaskReport> tasks;   ///< all tasks on the machine that are not reaped
+    std::vector<TaskReport> tasks;   ///< all tasks on the machine, with exited ones until reaped
 };
 
 /// One command for a worker.
@@ -231,7 +231,7 @@
     enum class Kind : std::uint8_t {
         Run,   ///< start it
         Halt,  ///< stop it
-        Reap   ///< forget that it has exited
+        Reap   ///< forget the exited attempt: it is not reported any more
     };
     Kind kind = Kind::Run;      ///< the action on the attempt
     std::string job;            ///< id of the job
