--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -298,19 +298,19 @@
     void note_arrival(const JobSpec& spec, Millis now);
 
     // Reports, see heartbeats.cpp.
-    void update_machine(Reconciliation& step);
-    void on_new_session(Reconciliation& step);
-    void update_sync(Reconciliation& step);
-    void release_earlier_sessions(Reconciliation& step);
-    void group_reported_tasks(Reconciliation& step) const;
-    void reconcile_allocations(Reconciliation& step);
-    void reconcile_alive(Reconciliation& step, AllocationIndex index, const TaskReport& task);
-    void reconcile_absent(Reconciliation& step, AllocationIndex index);
-    void reconcile_unmatched(Reconciliation& step);
+    void update_machine(Reconciliation& context);
+    void on_new_session(Reconciliation& context);
+    void update_sync(Reconciliation& context);
+    void release_earlier_sessions(Reconciliation& context);
+    void group_reported_tasks(Reconciliation& context) const;
+    void reconcile_allocations(Reconciliation& context);
+    void reconcile_alive(Reconciliation& context, AllocationIndex index, const TaskReport& task);
+    void reconcile_absent(Reconciliation& context, AllocationIndex index);
+    void reconcile_unmatched(Reconciliation& context);
     [[nodiscard]] bool is_allocated(MachineIndex machine, JobIndex job,
                                     const TaskReport& task) const;
-    void add_unexpected_allocation(Reconciliation& step, JobIndex index, const TaskReport& task);
-    void collect_tasks_to_reap(Reconciliation& step);
+    void add_unexpected_allocation(Reconciliation& context, JobIndex index, const TaskReport& task);
+    void collect_tasks_to_reap(Reconciliation& context);
 
     // Commands, see commands.cpp.
     std::vector<Command> commands_for(MachineIndex index, const CommandMessage& message);
--- a/src/core/heartbeats.cpp
+++ b/src/core/heartbeats.cpp
@@ -52,164 +52,168 @@
         return outcome;
     }
     outcome.fresh = true;
-    Reconciliation step{report, is_heartbeat, index, now};
-    update_machine(step);
-    release_earlier_sessions(step);
-    step.trusted = machine.synced || !settings_.guards.reports_need_current_token;
-    group_reported_tasks(step);
-    reconcile_allocations(step);
-    if (step.command_seen) {
+    Reconciliation context{report, is_heartbeat, index, now};
+    update_machine(context);
+    release_earlier_sessions(context);
+    context.trusted = machine.synced || !settings_.guards.reports_need_current_token;
+    group_reported_tasks(context);
+    reconcile_allocations(context);
+    if (context.command_seen) {
         on_command_effect(index);
-    } else if (step.command_missed) {
+    } else if (context.command_missed) {
         on_commands_missed(index, 1, now);
     }
-    reconcile_unmatched(step);
-    if (step.trusted) collect_tasks_to_reap(step);
+    reconcile_unmatched(context);
+    if (context.trusted) collect_tasks_to_reap(context);
     if (report.notice_s && !machine.reclaim_at) {
         on_spot_notice(index, *report.notice_s, now);
-        step.changed = true;
+        context.changed = true;
     }
-    outcome.changed = step.changed;
+    outcome.changed = context.changed;
     return outcome;
 }
 
 // Updates what the report says about the machine itself: its worker's session and address, its
 // token, and that it is up.
-void Cluster::update_machine(Reconciliation& step) {
-    const Report& report = step.report;
-    Machine& machine = machines_[step.machine];
-    if (report.session > machine.session) on_new_session(step);
+void Cluster::update_machine(Reconciliation& context) {
+    const Report& report = context.report;
+    Machine& machine = machines_[context.machine];
+    if (report.session > machine.session) on_new_session(context);
     machine.session = report.session;
     machine.seq = report.seq;
     machine.token = std::max(machine.token, report.token);
     machine.endpoint = report.endpoint;
-    step.changed |= machine.on_registered(step.now);
-    update_sync(step);
+    context.changed |= machine.on_registered(context.now);
+    update_sync(context);
 }
 
-void Cluster::on_new_session(Reconciliation& step) {
-    Machine& machine = machines_[step.machine];
-    step.changed = true;
+void Cluster::on_new_session(Reconciliation& context) {
+    Machine& machine = machines_[context.machine];
+    context.changed = true;
     // The first report to this leader does not show that the session has changed.
     if (machine.session == 0) return;
     // The worker's lease expired although its reports arrived here, so answers do not reach it
     // ("Failure detection", unreachable). Nothing is placed there until a command is seen to take
-    // effect. If the fault was on the controllers' side, a single command clears the mark.
+    // effect. If the fault was on the controllers' side, a single command that takes effect makes
+    // it usable again.
     if (machine.lifecycle == Machine::Lifecycle::Up) {
-        on_commands_missed(step.machine, kUnreachableMisses, step.now);
-        const bool again = step.now - machine.session_started_at < settings_.lease_ms * 3;
+        on_commands_missed(context.machine, kUnreachableMisses, context.now);
+        const bool again = context.now - machine.session_started_at < settings_.lease_ms * 3;
         machine.lost_leases = again ? machine.lost_leases + 1 : 1;
-        machine.session_started_at = step.now;
+        machine.session_started_at = context.now;
     }
     machine.images.clear();
 }
 
 // Updates whether the machine is synced, that is, whether its newest report carries this leader's
 // token, and concludes from the report whether commands and answers reach the machine.
-void Cluster::update_sync(Reconciliation& step) {
-    const Report& report = step.report;
-    Machine& machine = machines_[step.machine];
+void Cluster::update_sync(Reconciliation& context) {
+    const Report& report = context.report;
+    Machine& machine = machines_[context.machine];
     const bool synced = report.token >= settings_.token;
     // A duplicate of a report may arrive more than a lease late, and a new leader cannot tell it
     // from a new report. So only the first report of all and those with this leader's token count
     // as signs of life; otherwise late duplicates would delay the release of a machine that is
     // gone.
-    if (synced || machine.last_heartbeat_at == 0) machine.last_heartbeat_at = step.now;
+    if (synced || machine.last_heartbeat_at == 0) machine.last_heartbeat_at = context.now;
     const bool token_not_raised =
         machine.token_sent_seq != 0 && report.seq > machine.token_sent_seq && !synced;
-    if (step.is_heartbeat && token_not_raised) on_commands_missed(step.machine, 1, step.now);
-    if (synced && !machine.synced) on_command_effect(step.machine);
+    if (context.is_heartbeat && token_not_raised)
+        on_commands_missed(context.machine, 1, context.now);
+    if (synced && !machine.synced) on_command_effect(context.machine);
     // A session that lasts longer than a lease has received answers that renewed the lease. Where
     // direct commands cannot get through, as between two partitioned zones, nothing else shows
     // that.
     if (machine.unreachable_since != 0 && machine.unreachable_since == machine.session_started_at &&
-        step.now - machine.session_started_at > settings_.lease_ms + settings_.report_ms) {
-        on_command_effect(step.machine);
+        context.now - machine.session_started_at > settings_.lease_ms + settings_.report_ms) {
+        on_command_effect(context.machine);
     }
     if (synced) machine.token_sent_seq = 0;
-    if (synced != machine.synced) step.changed = true;
+    if (synced != machine.synced) context.changed = true;
     machine.synced = synced;
 }
 
 // "When a task is off a machine" (2): a report of a later session proves that all tasks of earlier
 // sessions are gone, since the worker has killed and forgotten them.
-void Cluster::release_earlier_sessions(Reconciliation& step) {
-    const auto& allocations = machines_[step.machine].allocations;
+void Cluster::release_earlier_sessions(Reconciliation& context) {
+    const auto& allocations = machines_[context.machine].allocations;
     const auto before = allocations.size();
     if (before == 0) return;
-    release_all(step.machine, step.report.session, step.now);
-    step.changed |= before != allocations.size();
+    release_all(context.machine, context.report.session, context.now);
+    context.changed |= before != allocations.size();
 }
 
-void Cluster::group_reported_tasks(Reconciliation& step) const {
-    for (const auto& task : step.report.tasks) {
+void Cluster::group_reported_tasks(Reconciliation& context) const {
+    for (const auto& task : context.report.tasks) {
         const auto found = job_ids_.find(task.job);
         if (found == job_ids_.end() || task.task >= jobs_.at(found->second).spec.count) {
             // The job is over and was removed from the cluster state. A live task of it is halted,
             // an exited one reaped, by the ids in the report.
-            step.to_reap.push_back(task);
+            context.to_reap.push_back(task);
             continue;
         }
-        step.unmatched[{found->second, task.task, task.attempt}] = &task;
+        context.unmatched[{found->second, task.task, task.attempt}] = &task;
     }
 }
 
 // Compares the machine's allocations with the tasks in the report.
-void Cluster::reconcile_allocations(Reconciliation& step) {
+void Cluster::reconcile_allocations(Reconciliation& context) {
     // Copied, because the end of one attempt may also release others of its gang.
-    const auto allocated = machines_[step.machine].allocations;
-    entries_visited_ += 1 + allocated.size() + step.report.tasks.size();
+    const auto allocated = machines_[context.machine].allocations;
+    entries_visited_ += 1 + allocated.size() + context.report.tasks.size();
     for (const auto index : allocated) {
         const Allocation& allocation = allocations_[index];
         // Already released together with its gang.
-        if (allocation.job == kInvalidIndex || allocation.machine != step.machine) continue;
-        const auto it = step.unmatched.find({allocation.job, allocation.task, allocation.attempt});
-        if (it == step.unmatched.end()) {
-            if (step.trusted) reconcile_absent(step, index);
+        if (allocation.job == kInvalidIndex || allocation.machine != context.machine) continue;
+        const auto it =
+            context.unmatched.find({allocation.job, allocation.task, allocation.attempt});
+        if (it == context.unmatched.end()) {
+            if (context.trusted) reconcile_absent(context, index);
         } else if (it->second->phase == TaskPhase::Exited) {
             // "When a task is off a machine" (1): a trusted report that shows the attempt as exited
             // proves it gone. It stays in `unmatched`, so that reconcile_unmatched() reaps it.
-            if (!step.trusted) continue;
-            on_exit(index, *it->second, step.now);
-            step.changed = true;
+            if (!context.trusted) continue;
+            on_exit(index, *it->second, context.now);
+            context.changed = true;
         } else {
-            reconcile_alive(step, index, *it->second);
-            step.unmatched.erase(it);
+            reconcile_alive(context, index, *it->second);
+            context.unmatched.erase(it);
         }
     }
 }
 
-void Cluster::reconcile_alive(Reconciliation& step, AllocationIndex index, const TaskReport& task) {
+void Cluster::reconcile_alive(Reconciliation& context, AllocationIndex index,
+                              const TaskReport& task) {
     Allocation& allocation = allocations_[index];
     if (allocation.phase != task.phase || allocation.state != Allocation::State::Present) {
-        step.changed = true;
+        context.changed = true;
     }
-    step.command_seen |= allocation.state == Allocation::State::Sent;
-    const bool is_after_halt =
-        allocation.halt_seq != 0 && step.is_heartbeat && step.report.seq > allocation.halt_seq;
+    context.command_seen |= allocation.state == Allocation::State::Sent;
+    const bool is_after_halt = allocation.halt_seq != 0 && context.is_heartbeat &&
+                               context.report.seq > allocation.halt_seq;
     if (allocation.stop_requested && is_after_halt && task.phase != TaskPhase::Saving) {
-        step.command_missed = true;
+        context.command_missed = true;
         allocation.halt_seq = 0;
     }
     allocation.state = Allocation::State::Present;
     allocation.reported = true;
     allocation.phase = task.phase;
     if (task.phase == TaskPhase::Running && allocation.running_since == 0) {
-        allocation.running_since = step.now;
+        allocation.running_since = context.now;
     }
     if (task.phase != TaskPhase::Pulling) {
-        note_image(machines_[step.machine], jobs_.at(allocation.job).spec.image);
+        note_image(machines_[context.machine], jobs_.at(allocation.job).spec.image);
     }
 }
 
 // "When a task is off a machine" (1): an attempt that is absent from a trusted report is gone,
 // unless a run that was sent for it is unconfirmed and may still be executed.
-void Cluster::reconcile_absent(Reconciliation& step, AllocationIndex index) {
+void Cluster::reconcile_absent(Reconciliation& context, AllocationIndex index) {
     Allocation& allocation = allocations_[index];
-    const auto seq = step.report.seq;
+    const auto seq = context.report.seq;
     // A worker refuses commands with a lower token than it has seen, so an unconfirmed run that was
     // sent with a lower token than the report carries will not be executed any more.
-    if (step.report.token > allocation.direct_token) allocation.direct_unconfirmed = false;
+    if (context.report.token > allocation.direct_token) allocation.direct_unconfirmed = false;
     const bool unconfirmed = allocation.direct_unconfirmed || allocation.direct_runs_in_flight > 0;
     switch (allocation.state) {
         case Allocation::State::Planned:
@@ -218,42 +222,42 @@
         case Allocation::State::Sent:
             // A heartbeat later than the one whose answer carried the run proves that the run was
             // dropped. A direct run without a response stays unconfirmed.
-            if (unconfirmed || !step.is_heartbeat || seq <= allocation.heartbeat_seq) return;
-            step.command_missed |= allocation.heartbeat_seq != 0;
-            on_run_not_executed(index, step.now);
+            if (unconfirmed || !context.is_heartbeat || seq <= allocation.heartbeat_seq) return;
+            context.command_missed |= allocation.heartbeat_seq != 0;
+            on_run_not_executed(index, context.now);
             break;
         case Allocation::State::Present:
             if (unconfirmed) return;
             // The report in the response to a direct command may be older than the answer that
             // carried the run.
             if (allocation.heartbeat_seq != 0 &&
-                (!step.is_heartbeat || seq <= allocation.heartbeat_seq)) {
+                (!context.is_heartbeat || seq <= allocation.heartbeat_seq)) {
                 return;
             }
-            release(index, true, step.now);
+            release(index, true, context.now);
             break;
     }
-    step.changed = true;
+    context.changed = true;
 }
 
 // Handles the reported tasks of known jobs that have no allocation on the machine, and those that
 // have exited.
-void Cluster::reconcile_unmatched(Reconciliation& step) {
-    for (const auto& [attempt, task] : step.unmatched) {
+void Cluster::reconcile_unmatched(Reconciliation& context) {
+    for (const auto& [attempt, task] : context.unmatched) {
         const auto found = jobs_.find(attempt.job);
         if (found == jobs_.end()) continue;
         const Job& job = found->second;
         if (task->phase != TaskPhase::Exited) {
-            if (!is_allocated(step.machine, attempt.job, *task)) {
-                add_unexpected_allocation(step, attempt.job, *task);
+            if (!is_allocated(context.machine, attempt.job, *task)) {
+                add_unexpected_allocation(context, attempt.job, *task);
             }
             continue;
         }
-        step.to_reap.push_back(*task);
-        if (step.trusted && task->exit_reason == ExitReason::Done && !job.terminal &&
+        context.to_reap.push_back(*task);
+        if (context.trusted && task->exit_reason == ExitReason::Done && !job.terminal &&
             job.done_flags[attempt.task] == 0) {
-            mark_done(attempt.job, attempt.task, step.now);
-            step.changed = true;
+            mark_done(attempt.job, attempt.task, context.now);
+            context.changed = true;
         }
     }
 }
@@ -269,39 +273,39 @@
 
 // Adds an allocation for a reported task that no record places on the machine: it counts there
 // until it is proven gone, and is halted.
-void Cluster::add_unexpected_allocation(Reconciliation& step, JobIndex index,
+void Cluster::add_unexpected_allocation(Reconciliation& context, JobIndex index,
                                         const TaskReport& task) {
     Job& job = jobs_.at(index);
     Allocation allocation;
     allocation.job = index;
     allocation.task = task.task;
     allocation.attempt = task.attempt;
-    allocation.machine = step.machine;
-    allocation.session = step.report.session;
+    allocation.machine = context.machine;
+    allocation.session = context.report.session;
     allocation.state = Allocation::State::Present;
     allocation.phase = task.phase;
     allocation.unexpected = true;
     allocation.reported = true;
     allocation.stop_requested = true;
-    allocation.created_at = step.now;
+    allocation.created_at = context.now;
     remove_from_waiting(job, task.task);
     add_allocation(allocation);
     mark_dirty(job, task.task);
-    step.changed = true;
+    context.changed = true;
 }
 
 // Stores what the answer to the next heartbeat reaps: besides the tasks collected so far, every
 // other exited task of the report.
-void Cluster::collect_tasks_to_reap(Reconciliation& step) {
-    auto& to_reap = step.to_reap;
-    for (const auto& task : step.report.tasks) {
+void Cluster::collect_tasks_to_reap(Reconciliation& context) {
+    auto& to_reap = context.to_reap;
+    for (const auto& task : context.report.tasks) {
         if (task.phase != TaskPhase::Exited) continue;
         const bool already_listed =
             std::any_of(to_reap.begin(), to_reap.end(),
                         [&](const auto& other) { return is_same_attempt(other, task); });
         if (!already_listed) to_reap.push_back(task);
     }
-    tasks_to_reap_[step.report.machine] = std::move(to_reap);
+    tasks_to_reap_[context.report.machine] = std::move(to_reap);
 }
 
 }  // namespace lichendrift::core
