--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -275,7 +275,7 @@
 }
 
 // Withdraws all drains for consolidation, as capacity is short. When several machines in a row were
-// drained, jobs waited beside half-empty machines that took no new work. For the same reason only
+// drained, jobs waited while half-empty machines took no new work. For the same reason only
 // one plan in a drain interval may drain machines.
 void Cluster::cancel_consolidation(AppliedPlan& applied) {
     for (auto& machine : machines_) {
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -18,8 +18,8 @@
 constexpr Millis kForgetNoticeAfter = 60'000;
 constexpr Millis kMaxListDelay = 12'000;  // the cloud's list is out of date by at most this
 // Between two attempts to start a job that fails everywhere. An attempt, including the download of
-// the image, has to come well within 90 s: no job may wait longer than that beside capacity that
-// fits.
+// the image, has to come well within 90 s: no job may wait longer than that while capacity that
+// fits it is free.
 constexpr double kLongestBackoffSeconds = 30;
 constexpr Millis kReplicaProvenAfter = 10'000;
 // Failed machines remembered for a service; when there are so many, all are forgotten.
@@ -166,8 +166,9 @@
 void Cluster::on_machine_list_complete(const std::set<std::string>& names, Millis now) {
     for (auto& machine : machines_) {
         // "Failure detection", stale machine entries: a record names the machine, and the list
-        // has newer machines but not this one. So it was released, and its tasks were not placed
-        // again since. Only the confirmation of a release proves that, but it is requested at once.
+        // has newer machines but not this one. So it has been released, and its tasks have not been
+        // placed again since. Only the confirmation of a release proves that, so a release is
+        // requested at once.
         if (machine.lifecycle == Machine::Lifecycle::Booting && !machine.listed &&
             !machine.allocations.empty() && machine.last_heartbeat_at == 0 && !names.empty() &&
             machine.name < *names.rbegin()) {
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -257,8 +257,8 @@
         const double age_s = static_cast<double>(view.age_ms) / 1000.0;
         view.booting = age_s < type.boot_s * kBootTimeFactor + kBootMarginSeconds;
     } else if (!view.usable) {
-        // Without a report under this leader's token so far, or in quarantine, it will most likely
-        // be usable soon.
+        // A machine that has not reported under this leader's token yet, or is in quarantine, will
+        // most likely be usable soon.
         view.booting =
             !machine.drain.any() && !machine.reclaim_at &&
             now - std::max(machine.last_heartbeat_at, machine.first_seen) < kUsableAgainWithin;
@@ -311,7 +311,8 @@
     item.in_guarantee = job.in_guarantee;
     item.backing_off = job.retry_at > now;
     item.has_started = job.next_unplaced > 0;
-    // While a replica waits its service lacks it, however long ago the service was submitted.
+    // A service lacks capacity for as long as one of its replicas waits, so the slack is small,
+    // however long ago the service was submitted.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlackS);
     item.order_s = item.slack_s;
     item.provision_wait_s =
@@ -329,7 +330,8 @@
         item.on_demand_wait_s = settings_.policy->on_demand_wait_s(job_facts);
     }
     // A job that fails on every machine is itself at fault. If it avoided ever more machines, a new
-    // one would be provisioned for each attempt, and it would wait beside capacity that fits.
+    // one would be provisioned for each attempt, and it would wait although capacity that fits is
+    // free.
     if (has_succeeded(job, now) || job.failed_on.size() < kMachinesForJobFault) {
         item.avoided_machines.assign(job.failed_on.begin(), job.failed_on.end());
     }
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -134,7 +134,7 @@
 
 // A task is to be stopped while its direct run command is in flight, and the worker then refuses
 // the command. The allocation was kept for ever as ready to be sent: it was neither sent nor
-// halted, its job waited beside free machines, and its capacity and its team's quota stayed
+// halted, its job waited although machines were free, and its capacity and its team's quota stayed
 // allocated.
 class RefusedStartTest : public ClusterTest, public ::testing::WithParamInterface<bool> {};
 
@@ -170,7 +170,7 @@
 
 // An array whose tasks failed on two faulty machines backed off as if the job itself were at fault.
 // The backoff of one second doubled with each failed task, so the array repeatedly waited for a
-// minute beside free machines.
+// minute although machines were free.
 class FaultyMachinesTest : public ClusterTest, public ::testing::WithParamInterface<bool> {
   protected:
     static ClusterSettings without_limits() {
@@ -207,7 +207,7 @@
     ASSERT_EQ(items.size(), 1U);
     EXPECT_EQ(items[0].backing_off, !completes);
     // Even a job that fails everywhere is tried again well within 90 s, the longest time that a job
-    // may wait beside capacity that fits.
+    // may wait while capacity that fits it is free.
     EXPECT_FALSE(cluster_.snapshot(2000 + 45'000, 0).waiting_jobs[0].backing_off);
 }
 INSTANTIATE_TEST_SUITE_P(Jobs, FaultyMachinesTest, ::testing::Bool(), [](const auto& param) {
