--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -81,15 +81,16 @@
     EXPECT_FALSE(usable(0, 1100));
     heartbeat("host-1", 2, 1200, 3);
     EXPECT_TRUE(usable(0, 1300));
-    // A late copy of the older report changes nothing.
+    // A late duplicate of the older report changes nothing.
     heartbeat("host-1", 1, 1400, 2);
     EXPECT_TRUE(usable(0, 1500));
 }
 
-// A late copy of a report makes a machine that was gone before this term look as if it were up. As
-// the only machine of the fleet that was up, its silence counted as a fault on the leader's side,
-// so it was never released, and the placement record that names it kept a job waiting for ever.
-TEST_F(ClusterTest, GoneMachineShownByALateCopyIsReleasedOnceAListLacksIt) {
+// A late duplicate of a report makes a machine that was gone before this term look as if it were
+// up. As the only machine of the fleet that was up, its silence counted as a fault on the leader's
+// side, so it was never released, and the placement record that names it kept a job waiting for
+// ever.
+TEST_F(ClusterTest, GoneMachineShownByALateDuplicateIsReleasedOnceAListLacksIt) {
     JobDescription job;
     job.id = "job-000001";
     job.team = "core";
@@ -97,9 +98,9 @@
     cluster_.add_job(job, 1, 1000);
     cluster_.load_record(job.id, 0, {2, 1, {{0, 20'000'001, "host-1", 1}}, {}}, 5, 1000);
     heartbeat("host-1", 7, 2000, 2);
-    cluster_.on_list_complete({"host-2"}, 3000);
+    cluster_.on_machine_list_complete({"host-2"}, 3000);
     EXPECT_TRUE(cluster_.next_releases(9, 3000).empty());
-    cluster_.on_list_complete({"host-2"}, 40'000);
+    cluster_.on_machine_list_complete({"host-2"}, 40'000);
     EXPECT_EQ(cluster_.next_releases(9, 40'000), std::vector<std::string>{"host-1"});
 }
 
@@ -133,7 +134,7 @@
 
 // A task is to be stopped while its direct run command is in flight, and the worker then refuses
 // the command. The allocation was kept for ever as ready to be sent: it was neither sent nor
-// halted, its job waited beside free machines, and its capacity and its team's quota stayed
+// halted, its job waited although machines were free, and its capacity and its team's quota stayed
 // allocated.
 class RefusedStartTest : public ClusterTest, public ::testing::WithParamInterface<bool> {};
 
@@ -169,7 +170,7 @@
 
 // An array whose tasks failed on two faulty machines backed off as if the job itself were at fault.
 // The backoff of one second doubled with each failed task, so the array repeatedly waited for a
-// minute beside free machines.
+// minute although machines were free.
 class FaultyMachinesTest : public ClusterTest, public ::testing::WithParamInterface<bool> {
   protected:
     static ClusterSettings without_limits() {
@@ -206,7 +207,7 @@
     ASSERT_EQ(items.size(), 1U);
     EXPECT_EQ(items[0].backing_off, !completes);
     // Even a job that fails everywhere is tried again well within 90 s, the longest time that a job
-    // may wait beside capacity that fits.
+    // may wait while capacity that fits it is free.
     EXPECT_FALSE(cluster_.snapshot(2000 + 45'000, 0).waiting_jobs[0].backing_off);
 }
 INSTANTIATE_TEST_SUITE_P(Jobs, FaultyMachinesTest, ::testing::Bool(), [](const auto& param) {
@@ -259,9 +260,9 @@
     EXPECT_EQ(cluster_.heartbeat_commands("host-1", 1, true, 1300).size(), 1U);
 }
 
-// A copy of the newest report, or of an older one, arrives. No worker waits for the answer, so it
-// must carry no commands, and the next report proves nothing about them.
-TEST_F(ClusterTest, LateCopyOfAReportIsNotFreshAndChangesNothing) {
+// A duplicate of the newest report, or of an older one, arrives. No worker waits for the answer, so
+// it must carry no commands, and the next report proves nothing about them.
+TEST_F(ClusterTest, LateDuplicateOfAReportIsNotFreshAndChangesNothing) {
     Report r;
     r.machine = "host-1";
     r.endpoint = "10.0.0.1:1";
@@ -281,9 +282,9 @@
     EXPECT_FALSE(cluster_.tick(30'000).empty());
 }
 
-// The machine is gone, but copies of its reports from before the term arrive one by one, each newer
-// than the one before. They must not delay its release.
-TEST_F(ClusterTest, LateCopiesFromAnEarlierTermAreNoSignsOfLife) {
+// The machine is gone, but duplicates of its reports from before the term arrive one by one, each
+// newer than the one before. They must not delay its release.
+TEST_F(ClusterTest, LateDuplicatesFromAnEarlierTermAreNoSignsOfLife) {
     for (std::uint64_t seq = 1; seq <= 3; ++seq) heartbeat("host-2", seq, 1000, 3);
     std::uint64_t seq = 10;
     Millis now = 1000;
@@ -420,7 +421,7 @@
     ASSERT_EQ(coarse.size(), 1U);
     EXPECT_EQ(coarse[0].record_number, 0U);
     cluster_.on_record_refused(coarse[0], false, 1600);
-    limits.may_refine = true;
+    limits.may_refine_layout = true;
     const auto fine = cluster_.next_record_writes(limits, false, 1700);
     ASSERT_EQ(fine.size(), 3U);
     std::size_t placed = 0;
@@ -452,12 +453,12 @@
     finer.placed = {{0, 77, "host-1", 1}, {1, 79, "host-1", 1}};
     cluster_.load_record("job-000001", 0, earlier, 5, 1000);
     cluster_.load_record("job-000001", 1'000'000, finer, 6, 1000);
-    cluster_.records_loaded();
+    cluster_.on_records_loaded();
     const auto& loaded = cluster_.jobs().at(0);
     EXPECT_EQ(loaded.allocations.count(0), 1U);
     EXPECT_EQ(loaded.done, 2U);
     Cluster::RecordLimits limits;
-    limits.may_refine = true;
+    limits.may_refine_layout = true;
     const auto writes = cluster_.next_record_writes(limits, false, 1100);
     ASSERT_EQ(writes.size(), 2U);
     EXPECT_EQ(writes[0].record_number, 1'000'000U);
