--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -81,9 +81,9 @@
     std::make_shared<CleanupRounds>(services_, tenure_, counters_)->start();
 }
 
-void Cleaner::on_duty_ended(events::DutyEnd how, duty::Epoch epoch) {
+void Cleaner::on_duty_ended(events::DutyEnd reason, duty::Epoch epoch) {
     services_.host.log(
-        events::DutyEnded{duty::name_of(duty::Duty::Cleanup), how, epoch, counters_.removed});
+        events::DutyEnded{duty::name_of(duty::Duty::Cleanup), reason, epoch, counters_.removed});
     tenure_.reset();
     vacant_since_.reset();
 }
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -27,7 +27,7 @@
     /// Called when the process ends: hands over the duty and does not campaign again.
     void stop();
     /// Whether this controller holds the duty.
-    [[nodiscard]] bool holds_duty() const { return tenure_ && tenure_->held(); }
+    [[nodiscard]] bool holds_duty() const { return tenure_ && tenure_->holds_duty(); }
     /// Number of placement records found that belong to no job. Any such record indicates a fault.
     [[nodiscard]] std::uint64_t suspicious_records() const { return counters_.suspicious; }
 
@@ -41,7 +41,7 @@
 
     // CleanupTenureListener.
     void on_duty_acquired() override;
-    void on_duty_ended(events::DutyEnd how, duty::Epoch epoch) override;
+    void on_duty_ended(events::DutyEnd reason, duty::Epoch epoch) override;
 
     CleanerServices services_;
     std::shared_ptr<CleanupTenure> tenure_;  // null: this controller does not hold the duty's lease
--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -157,10 +157,10 @@
         }
         if (decision != duty::CleanupDecision::Remove) continue;
         plan.records.push_back({entry.key, entry.revision});
-        const auto& proof = job.terminal_state;
-        if (std::find(plan.preconditions.begin(), plan.preconditions.end(), proof) ==
+        const auto& precondition = job.terminal_state;
+        if (std::find(plan.preconditions.begin(), plan.preconditions.end(), precondition) ==
             plan.preconditions.end()) {
-            plan.preconditions.push_back(proof);
+            plan.preconditions.push_back(precondition);
         }
         if (plan.records.size() < services_.store.max_transaction_operations()) continue;
         remove(std::exchange(plan, {}));
--- a/src/control/cleanup_tenure.cpp
+++ b/src/control/cleanup_tenure.cpp
@@ -42,16 +42,16 @@
     advance_claim();
 }
 
-void CleanupTenure::end(events::DutyEnd how) {
+void CleanupTenure::end(events::DutyEnd reason) {
     if (ended_) return;
     ended_ = true;
-    listener_.on_duty_ended(how, claim_.epoch());
+    listener_.on_duty_ended(reason, claim_.epoch());
 }
 
 void CleanupTenure::end_if_replaced(const duty::WriteResult& result) {
-    const bool replaced =
-        result.outcome == duty::WriteOutcome::Conflict &&
-        (result.failed_on(std::string(duty::kCleanupLeaseKey)) || result.failed_on(claim_.key()));
+    const bool replaced = result.outcome == duty::WriteOutcome::Conflict &&
+                          (result.condition_failed(std::string(duty::kCleanupLeaseKey)) ||
+                           result.condition_failed(claim_.key()));
     if (replaced) end(events::DutyEnd::Lost);
 }
 
@@ -88,7 +88,7 @@
 
 void CleanupTenure::advance_claim() {
     if (claim_.state() == duty::Claim::State::Lost) return end(events::DutyEnd::Lost);
-    if (claim_.held()) {
+    if (claim_.holds_duty()) {
         services_.host.log(
             events::DutyAcquired{duty::name_of(duty::Duty::Cleanup), claim_.epoch()});
         return listener_.on_duty_acquired();
--- a/src/control/cleanup_tenure.h
+++ b/src/control/cleanup_tenure.h
@@ -23,7 +23,7 @@
     /// The duty's record now names this controller as the holder.
     virtual void on_duty_acquired() = 0;
     /// The tenure has ended. `epoch`: the duty's epoch in this tenure; 0: it was not held.
-    virtual void on_duty_ended(events::DutyEnd how, duty::Epoch epoch) = 0;
+    virtual void on_duty_ended(events::DutyEnd reason, duty::Epoch epoch) = 0;
 };
 
 /// One tenure of the cleanup duty, from the creation of the lease until it is lost or given up.
@@ -47,7 +47,7 @@
     /// Starts renewing the lease and claims the duty's record.
     void start();
     /// Ends the tenure and notifies the listener. Does nothing if the tenure has ended.
-    void end(events::DutyEnd how);
+    void end(events::DutyEnd reason);
     /// Ends the tenure if a write failed because the lease or the duty has passed to another
     /// controller.
     void end_if_replaced(const duty::WriteResult& result);
@@ -55,7 +55,7 @@
     /// Whether the tenure has not ended.
     [[nodiscard]] bool active() const { return !ended_; }
     /// Whether the duty's record names this controller.
-    [[nodiscard]] bool held() const { return !ended_ && claim_.held(); }
+    [[nodiscard]] bool holds_duty() const { return !ended_ && claim_.holds_duty(); }
     /// A permit for writes of this duty; empty if the tenure has ended, the lease may have expired,
     /// or the claim gives none.
     [[nodiscard]] std::optional<duty::Permit> permit();
--- a/src/control/fleet_sync.cpp
+++ b/src/control/fleet_sync.cpp
@@ -175,7 +175,7 @@
 }
 
 void FleetSync::on_provisioned(const duty::ProvisionRequest& request,
-                               const std::vector<std::string>& machines, bool refused,
+                               const std::vector<std::string>& machines, bool insufficient_capacity,
                                cloud::Result result) {
     const auto now = term_.runtime.now();
     // A request without a response is sent again. Until its result is known, no plan provisions.
@@ -187,7 +187,7 @@
             cluster.on_provisioned(request.type, request.zone, request.spot, machines, now);
         });
     }
-    if (refused) {
+    if (insufficient_capacity) {
         const auto type = term_.cluster->type_index(request.type);
         const auto zone = term_.cluster->zone_index(request.zone);
         term_.cluster->with_lock([&](core::Cluster& cluster) {
--- a/src/control/fleet_sync.h
+++ b/src/control/fleet_sync.h
@@ -72,7 +72,7 @@
     void on_releases_inherited(const std::vector<std::string>& machines) override;
     void on_released(const std::vector<std::string>& machines) override;
     void on_provisioned(const duty::ProvisionRequest& request,
-                        const std::vector<std::string>& machines, bool refused,
+                        const std::vector<std::string>& machines, bool insufficient_capacity,
                         cloud::Result result) override;
     void on_lease_lost() override;
 
--- a/src/control/leader.cpp
+++ b/src/control/leader.cpp
@@ -150,7 +150,7 @@
     const core::Report& report) {
     if (report.token >= term_.token + core::kFencingTokensPerTerm) {
         term_.host.step_down(events::StepDownReason::HigherTokenAtWorker, report.token);
-        return tl::unexpected(HeartbeatRefusal::HigherTokenSeen);
+        return tl::unexpected(HeartbeatRefusal::LeaderSuperseded);
     }
     if (!ready_) return heartbeat_before_ready(report);
     const auto now = term_.runtime.now();
--- a/src/control/leader.h
+++ b/src/control/leader.h
@@ -29,7 +29,7 @@
 
 /// Why a heartbeat is refused. A refusal carries no commands and does not renew the worker's lease.
 enum class HeartbeatRefusal : std::uint8_t {
-    HigherTokenSeen,    ///< the worker has seen a later leader, so this one has stepped down
+    LeaderSuperseded,   ///< the worker has seen a later leader, so this one has stepped down
     RenewalsSuspended,  ///< this controller may have missed cancellations, so it renews no lease
     TerminalStatesUnknown,  ///< early in a failover: a task's job may be open or may have ended
 };
--- a/src/control/leader_host.h
+++ b/src/control/leader_host.h
@@ -38,8 +38,9 @@
     [[nodiscard]] virtual bool peers_fence_duties() const = 0;
 
     /// Ends the term: calls Leader::stop() and destroys the leader once the current event is
-    /// handled. `seen_token`: the higher fencing token that was seen; 0: none.
-    virtual void step_down(events::StepDownReason reason, std::uint64_t seen_token = 0) = 0;
+    /// handled. `higher_token`: the fencing token of a later leader that a message carried; 0:
+    /// none.
+    virtual void step_down(events::StepDownReason reason, std::uint64_t higher_token = 0) = 0;
 
     /// Logs an event with the controller's context.
     virtual void log(const events::Event& event) = 0;
--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -35,7 +35,7 @@
     setup.term = term;
     setup.lease = {std::string(core::keys::kLeader), leader_revision};
     setup.fencing = settings.features.fenced_duties;
-    setup.conditions = settings.guards.leader_record_condition;
+    setup.conditional_writes = settings.guards.leader_record_condition;
     setup.guards = {settings.guards.intent_before_request, settings.guards.intents_inherited};
     return setup;
 }
@@ -77,11 +77,11 @@
         }
     } while (run_again_ && !stopped_);
     running_actions_ = false;
-    report();
+    log_report_if_due();
 }
 
 void MachineDuties::run_due_actions_unless_lost() {
-    if (holder_.lost()) return services_.listener.on_lease_lost();
+    if (holder_.lease_lost()) return services_.listener.on_lease_lost();
     run_due_actions();
 }
 
@@ -104,7 +104,7 @@
                             if (read.outcome == duty::ReadOutcome::Damaged) {
                                 self->services_.host.log(events::RecordUnreadable{item.key});
                             }
-                            const bool held_before = self->holder_.claim(duty).held();
+                            const bool held_before = self->holder_.claim(duty).holds_duty();
                             self->holder_.on_duty_read(duty, read, self->services_.runtime.now());
                             self->log_if_claim_changed(duty, held_before);
                             if (read.outcome != duty::ReadOutcome::Failed)
@@ -114,7 +114,7 @@
 
 void MachineDuties::execute(const duty::ReadIntents& action) {
     services_.store.list(
-        store::RequestPriority::Leadership, std::string(duty::kIntentPrefix), action.since,
+        store::RequestPriority::Leadership, std::string(duty::kIntentPrefix), action.after_key,
         [self = shared_from_this()](store::Outcome outcome, const wire::ItemPage& page) {
             if (self->stopped_) return;
             if (outcome != store::Outcome::Ok) {
@@ -152,7 +152,7 @@
     send_write(services_.store, store::RequestPriority::Leadership, action.write,
                [self = shared_from_this(), duty = action.duty](const duty::WriteResult& result) {
                    if (self->stopped_) return;
-                   const bool held_before = self->holder_.claim(duty).held();
+                   const bool held_before = self->holder_.claim(duty).holds_duty();
                    self->holder_.on_duty_written(duty, result, self->services_.runtime.now());
                    self->log_if_claim_changed(duty, held_before);
                    self->run_due_actions_unless_lost();
@@ -173,7 +173,7 @@
                [self = shared_from_this(), slots = action.slots](const duty::WriteResult& result) {
                    if (self->stopped_) return;
                    self->holder_.on_intents_removed(slots, result, self->services_.runtime.now());
-                   if (self->holder_.lost()) self->services_.listener.on_lease_lost();
+                   if (self->holder_.lease_lost()) self->services_.listener.on_lease_lost();
                });
 }
 
@@ -205,8 +205,8 @@
             self->holder_.on_provisioned(slot, request.id, cloud_outcome(result),
                                          self->services_.runtime.now());
             const bool too_few = result == cloud::Result::Ok && machines.size() < request.count;
-            const bool refused = too_few || result == cloud::Result::NoCapacity;
-            self->services_.listener.on_provisioned(request, machines, refused, result);
+            const bool insufficient = too_few || result == cloud::Result::NoCapacity;
+            self->services_.listener.on_provisioned(request, machines, insufficient, result);
         });
 }
 
@@ -214,9 +214,9 @@
 
 void MachineDuties::log_if_claim_changed(duty::Duty duty, bool held_before) {
     const auto& claim = holder_.claim(duty);
-    if (claim.held() == held_before) return;
+    if (claim.holds_duty() == held_before) return;
     const auto name = duty::name_of(duty);
-    if (claim.held()) {
+    if (claim.holds_duty()) {
         services_.host.log(events::DutyAcquired{name, claim.epoch()});
     } else {
         services_.host.log(events::DutyEnded{name, events::DutyEnd::Lost, 0, 0});
@@ -228,7 +228,7 @@
     services_.host.log(events::StaleEpochRefused{request});
 }
 
-void MachineDuties::report() {
+void MachineDuties::log_report_if_due() {
     if (!holder_.fenced()) return;
     log_overdue_intent();
     const auto now = services_.runtime.now();
@@ -237,7 +237,7 @@
     const auto& ledger = holder_.ledger();
     const auto& counters = ledger.counters();
     services_.host.log(events::IntentsReport{
-        ledger.open_count(), counters.written, counters.settled, counters.inherited,
+        ledger.open_count(), counters.written, counters.completed, counters.inherited,
         counters.withdrawn, counters.damaged, stale_epoch_refusals_});
 }
 
@@ -245,7 +245,7 @@
     const auto oldest = holder_.ledger().oldest_open();
     if (!oldest) return;
     const auto now = services_.runtime.now();
-    const auto open_ms = now - oldest->since;
+    const auto open_ms = now - oldest->opened_at;
     if (open_ms <= kOverdueAfterMs || now - overdue_reported_at_ <= kOverdueAfterMs) return;
     overdue_reported_at_ = now;
     services_.host.log(events::IntentOverdue{duty::intent_key(oldest->slot), open_ms / 1000,
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -23,10 +23,11 @@
     /// The cloud has released these machines.
     virtual void on_released(const std::vector<std::string>& machines) = 0;
     /// The cloud responded to a provisioning request with these machines, or the request failed
-    /// (`result`). `refused`: the cloud had fewer machines of this kind than requested.
+    /// (`result`). `insufficient_capacity`: the cloud had fewer machines of this kind than
+    /// requested.
     virtual void on_provisioned(const duty::ProvisionRequest& request,
-                                const std::vector<std::string>& machines, bool refused,
-                                cloud::Result result) = 0;
+                                const std::vector<std::string>& machines,
+                                bool insufficient_capacity, cloud::Result result) = 0;
     /// A write failed because another controller is the leader.
     virtual void on_lease_lost() = 0;
 };
@@ -90,11 +91,11 @@
     void log_if_claim_changed(duty::Duty duty, bool held_before);
     void log_stale_epoch(const std::string& request);
     void log_overdue_intent();
-    void report();
+    void log_report_if_due();
 
     Services services_;
     duty::MachineDutyHolder holder_;
-    bool keep_unconfirmed_intents_;  // SafetyGuards::intent_kept; only tests switch it off
+    bool keep_unconfirmed_intents_;  // SafetyGuards::keep_release_intents; only tests switch it off
     bool stopped_ = false;
     bool placement_records_loaded_ = false;
     bool running_actions_ = false;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -65,10 +65,12 @@
 void RecordWriter::write_placement_records() {
     if (placement_writes_in_flight_ >= kMaxPlacementWrites + kMaxUrgentPlacementWrites) return;
     const auto now = term_.runtime.now();
-    const bool lazy = term_.store.can_write_immediately(term_.store.max_transaction_operations());
+    const bool background_writes_allowed =
+        term_.store.can_write_immediately(term_.store.max_transaction_operations());
     const auto limits = record_limits();
-    auto writes = term_.cluster->with_lock(
-        [&](core::Cluster& cluster) { return cluster.next_record_writes(limits, lazy, now); });
+    auto writes = term_.cluster->with_lock([&](core::Cluster& cluster) {
+        return cluster.next_record_writes(limits, background_writes_allowed, now);
+    });
     if (writes.empty()) return;
     // Urgent records get a higher priority, so that a replica's start does not wait behind records
     // that are held back by the rate limit.
@@ -100,16 +102,16 @@
         return read_back(write);
     }
     const auto now = term_.runtime.now();
-    const bool job_over = condition_failed(result, core::keys::open_job(write.job_id));
+    const bool job_ended = condition_failed(result, core::keys::open_job(write.job_id));
     term_.cluster->with_lock([&](core::Cluster& cluster) {
         if (result.outcome == store::Outcome::Conflict) {
-            return cluster.on_record_refused(write, job_over, now);
+            return cluster.on_record_refused(write, job_ended, now);
         }
         cluster.on_record_written(write, result.outcome == store::Outcome::Ok, result.revision,
                                   now);
     });
     // The refresh brings the job's terminal state.
-    if (job_over) job_watcher_.refresh([](bool) {});
+    if (job_ended) job_watcher_.refresh([](bool) {});
 }
 
 void RecordWriter::read_back(const core::RecordWrite& write) {
--- a/src/duty/actions.h
+++ b/src/duty/actions.h
@@ -21,7 +21,7 @@
 
 /// Read one page of the intents that earlier holders left.
 struct ReadIntents {
-    std::string since;  ///< last key of the previous page; empty: read the first page
+    std::string after_key;  ///< last key of the previous page; empty: read the first page
 };
 
 /// Read one intent back because it is not known whether a write to it was executed.
@@ -41,7 +41,7 @@
     FencedWrite write;   ///< transaction to execute
 };
 
-/// Remove the records of settled intents.
+/// Remove the records of completed intents.
 struct RemoveIntents {
     std::vector<std::uint32_t> slots;  ///< slots of the intents
     FencedWrite write;                 ///< transaction to execute
--- a/src/duty/claim.cpp
+++ b/src/duty/claim.cpp
@@ -54,7 +54,7 @@
             state_ = State::Held;
             return;
         case WriteOutcome::Conflict:
-            state_ = result.failed_on(setup_.lease.key) ? State::Lost : State::ReadDue;
+            state_ = result.condition_failed(setup_.lease.key) ? State::Lost : State::ReadDue;
             return;
         case WriteOutcome::Unavailable:
         case WriteOutcome::Rejected:
@@ -79,7 +79,7 @@
 }
 
 std::vector<RecordVersion> Claim::conditions() const {
-    if (!setup_.conditions) return {};
+    if (!setup_.conditional_writes) return {};
     return {setup_.lease, {key(), revision_}};
 }
 
--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -36,7 +36,8 @@
         std::uint64_t nonce = 0;         ///< unique among all claims to this duty
         RecordVersion lease;             ///< key that exists while the lease is held
         bool fencing = false;            ///< false: the claim stays unfenced
-        bool conditions = true;  ///< false only in tests of this guard: permits have no conditions
+        /// False only in tests of this guard: permits then have no conditions.
+        bool conditional_writes = true;
     };
 
     /// Starts by reading the record; without fencing it stays unfenced.
@@ -68,9 +69,9 @@
     /// Current state of the claim.
     [[nodiscard]] State state() const { return state_; }
     /// Whether the duty's record names this claim as its holder.
-    [[nodiscard]] bool held() const { return state_ == State::Held; }
+    [[nodiscard]] bool holds_duty() const { return state_ == State::Held; }
     /// Epoch of this holder; 0 while the duty is not held.
-    [[nodiscard]] Epoch epoch() const { return held() ? record_.epoch : 0; }
+    [[nodiscard]] Epoch epoch() const { return holds_duty() ? record_.epoch : 0; }
     /// Key of the duty's record.
     [[nodiscard]] std::string key() const { return record_key(setup_.duty); }
     /// Duty that this claim is for.
--- a/src/duty/cleanup.cpp
+++ b/src/duty/cleanup.cpp
@@ -35,9 +35,9 @@
 
 FencedWrite removal_write(const Permit& permit, const RemovalPlan& plan) {
     FencedWrite write(permit);
-    for (const auto& precondition : plan.preconditions) write.require(precondition);
+    for (const auto& precondition : plan.preconditions) write.add_condition(precondition);
     for (const auto& record : plan.records) {
-        write.require(record);
+        write.add_condition(record);
         write.remove(record.key);
     }
     return write;
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -58,7 +58,7 @@
     /// An empty write under the conditions of a permit.
     explicit FencedWrite(const Permit& permit) : conditions_(permit.conditions()) {}
     /// Adds a condition.
-    void require(RecordVersion version) { conditions_.push_back(std::move(version)); }
+    void add_condition(RecordVersion version) { conditions_.push_back(std::move(version)); }
     /// Adds a value to write.
     void set(std::string key, StoredValue value) {
         changes_.push_back({std::move(key), std::move(value)});
--- a/src/duty/intent_ledger.cpp
+++ b/src/duty/intent_ledger.cpp
@@ -32,14 +32,14 @@
         return;
     }
     IntentSlot& slot = slots_[*number];
-    if (!guards_.inherit) {
-        slot = IntentSlot::settled(stored.revision);
+    if (!guards_.inherit_intents) {
+        slot = IntentSlot::completed(stored.revision);
         return;
     }
     slot = IntentSlot::inherited(stored, now);
     releasing_.insert(stored.intent.releases.begin(), stored.intent.releases.end());
     ++counters_.inherited;
-    settle_if_complete(slot);
+    complete_if_done(slot);
 }
 
 // ---- queued work ----
@@ -79,7 +79,7 @@
     for (auto& [number, slot] : slots_) {
         if (slot.state() != State::Open || slot.batch().provisions.empty()) continue;
         counters_.withdrawn += slot.withdraw_outdated(now);
-        settle_if_complete(slot);
+        complete_if_done(slot);
     }
 }
 
@@ -90,7 +90,7 @@
     for (const auto& [used, slot] : slots_) {
         if (used > number) break;  // a gap
         if (slot.state() == State::Free) return used;
-        if (may_overwrite && slot.state() == State::Settled) return used;
+        if (may_overwrite && slot.state() == State::Completed) return used;
         number = used + 1;
     }
     return number;
@@ -132,14 +132,14 @@
     auto& slot = slots_[number];
     slot.begin_intent(permit.epoch(), ++last_nonce_, std::move(batch), now);
     auto write = make_write(number, permit);
-    if (!guards_.durable_first) slot.open_before_written();
+    if (!guards_.intent_before_request) slot.open_before_written();
     return write;
 }
 
 WriteIntent IntentLedger::make_write(std::uint32_t number, const Permit& permit) const {
     const auto& slot = slots_.at(number);
     FencedWrite write(permit);
-    write.require({intent_key(number), slot.revision()});
+    write.add_condition({intent_key(number), slot.revision()});
     write.set(intent_key(number), slot.content());
     return {number, std::move(write)};
 }
@@ -202,10 +202,10 @@
     RemoveIntents removal{{}, FencedWrite(provisioning)};
     for (const auto& [number, slot] : slots_) {
         if (slot.state() == State::Removing) return std::nullopt;
-        if (!slot.due_in_state(State::Settled, now) || removal.slots.size() >= max_operations)
+        if (!slot.due_in_state(State::Completed, now) || removal.slots.size() >= max_operations)
             continue;
         removal.slots.push_back(number);
-        removal.write.require({intent_key(number), slot.revision()});
+        removal.write.add_condition({intent_key(number), slot.revision()});
         removal.write.remove(intent_key(number));
     }
     if (removal.slots.empty()) return std::nullopt;
@@ -227,7 +227,7 @@
 // ---- requests ----
 
 bool IntentLedger::may_request(const IntentSlot& slot, const Permit& permit) const {
-    const bool needs_record = permit.fenced() && guards_.durable_first;
+    const bool needs_record = permit.fenced() && guards_.intent_before_request;
     return slot.state() == State::Open && (slot.has_record() || !needs_record);
 }
 
@@ -249,7 +249,7 @@
     auto& slot = slots_[number];
     for (const auto& machine : slot.on_released(machines, outcome, now)) releasing_.erase(machine);
     if (outcome != CloudOutcome::Done) return;
-    settle_if_complete(slot);
+    complete_if_done(slot);
     slot.delay_removal(now);
 }
 
@@ -269,12 +269,12 @@
                                   CloudOutcome outcome, Millis now) {
     auto& slot = slots_[number];
     slot.on_provisioned(request, outcome, now);
-    settle_if_complete(slot);
+    complete_if_done(slot);
     slot.delay_removal(now);
 }
 
-void IntentLedger::settle_if_complete(IntentSlot& slot) {
-    if (slot.settle_if_complete()) ++counters_.settled;
+void IntentLedger::complete_if_done(IntentSlot& slot) {
+    if (slot.complete_if_done()) ++counters_.completed;
 }
 
 // ---- open intents ----
@@ -297,7 +297,7 @@
     std::optional<OldestIntent> oldest;
     for (const auto& [number, slot] : slots_) {
         if (!slot.durably_open()) continue;
-        if (oldest && oldest->since <= slot.opened_at()) continue;
+        if (oldest && oldest->opened_at <= slot.opened_at()) continue;
         const auto& batch = slot.batch();
         oldest = OldestIntent{number, slot.opened_at(), batch.releases.size(), {}, {}};
         if (!batch.releases.empty()) {
--- a/src/duty/intent_ledger.h
+++ b/src/duty/intent_ledger.h
@@ -15,8 +15,8 @@
 /// Switches for the ledger's safety guards. All are on in production; tests switch one off to show
 /// that they detect its absence.
 struct IntentGuards {
-    bool durable_first = true;  ///< no cloud request before its intent is durable
-    bool inherit = true;        ///< intents of earlier holders are taken over and finished
+    bool intent_before_request = true;  ///< no cloud request before its intent is durable
+    bool inherit_intents = true;        ///< intents of earlier holders are taken over and finished
     /// Compares both switches.
     friend bool operator==(const IntentGuards&, const IntentGuards&) = default;
 };
@@ -45,7 +45,7 @@
     /// Counts since this holder was created.
     struct Counters {
         std::uint64_t written = 0;    ///< intents that became durable
-        std::uint64_t settled = 0;    ///< intents with no requests left
+        std::uint64_t completed = 0;  ///< intents with no requests left
         std::uint64_t inherited = 0;  ///< intents taken over from earlier holders
         std::uint64_t damaged = 0;    ///< intents that cannot be parsed
         std::uint64_t withdrawn = 0;  ///< provisioning requests dropped before they were sent
@@ -83,7 +83,7 @@
     /// Processes the result of reading back the intent in a slot.
     void on_read(std::uint32_t number, const IntentReadResult& result, Millis now);
 
-    /// The next removal of settled records, at most `max_operations` of them. The caller must
+    /// The next removal of completed records, at most `max_operations` of them. The caller must
     /// report its result to on_removed().
     [[nodiscard]] std::optional<RemoveIntents> next_removal(const Permit& provisioning,
                                                             std::size_t max_operations, Millis now);
@@ -106,17 +106,17 @@
     /// Whether the result of a provisioning request can be expected soon. Planning further machines
     /// waits for it.
     [[nodiscard]] bool provisioning_in_flight() const;
-    /// Number of stored intents that are not settled.
+    /// Number of stored intents that are not completed.
     [[nodiscard]] std::size_t open_count() const;
     /// Summary of the oldest open intent, for the log.
     struct OldestIntent {
         std::uint32_t slot = 0;         ///< slot of the intent
-        Millis since = 0;               ///< steady time at which it was put into the slot
+        Millis opened_at = 0;           ///< steady time at which it was put into the slot
         std::size_t releases = 0;       ///< machines that are still to be released
         std::string first_machine;      ///< first machine to be released; empty: none
         std::string provision_request;  ///< id of the first provisioning request, if no releases
     };
-    /// The oldest stored intent that is not settled; nothing if there is none.
+    /// The oldest stored intent that is not completed; nothing if there is none.
     [[nodiscard]] std::optional<OldestIntent> oldest_open() const;
     /// Counts since this holder was created.
     [[nodiscard]] const Counters& counters() const { return counters_; }
@@ -135,13 +135,14 @@
     [[nodiscard]] bool may_request(const IntentSlot& slot, const Permit& permit) const;
     [[nodiscard]] WriteIntent write_batch(IntentBatch batch, const Permit& permit, Millis now);
     [[nodiscard]] WriteIntent make_write(std::uint32_t number, const Permit& permit) const;
-    void settle_if_complete(IntentSlot& slot);
+    void complete_if_done(IntentSlot& slot);
     void withdraw_outdated(Millis now);
 
     IntentGuards guards_;
     std::map<std::uint32_t, IntentSlot> slots_;
     IntentQueue queue_;
-    std::set<std::string> releasing_;  // machines queued for release or in an unsettled intent
+    std::set<std::string>
+        releasing_;  // machines queued for release or in an intent that is not completed
     std::uint64_t last_nonce_ = 0;
     Counters counters_;
 };
--- a/src/duty/intent_queue.cpp
+++ b/src/duty/intent_queue.cpp
@@ -26,7 +26,7 @@
 void IntentQueue::requeue(IntentBatch batch, Millis queued_at) {
     for (auto& machine : batch.releases) add_release(std::move(machine), true, queued_at);
     for (auto& provision : batch.provisions) {
-        if (!provision.settled()) add_provision(std::move(provision));
+        if (!provision.finished()) add_provision(std::move(provision));
     }
 }
 
--- a/src/duty/intent_queue.h
+++ b/src/duty/intent_queue.h
@@ -30,7 +30,7 @@
     void add_release(std::string machine, bool urgent, Millis now);
     /// Queues a provisioning request.
     void add_provision(PendingProvision provision);
-    /// Queues the content of an intent again that was never stored, except settled requests.
+    /// Queues the content of an intent again that was never stored, except completed requests.
     void requeue(IntentBatch batch, Millis queued_at);
     /// Queues a batch again, at the front, that was too large for a record. From now on batches
     /// have at most half as many entries.
--- a/src/duty/intent_slot.cpp
+++ b/src/duty/intent_slot.cpp
@@ -29,9 +29,9 @@
     return slot;
 }
 
-IntentSlot IntentSlot::settled(std::uint64_t revision) {
+IntentSlot IntentSlot::completed(std::uint64_t revision) {
     IntentSlot slot;
-    slot.state_ = State::Settled;
+    slot.state_ = State::Completed;
     slot.revision_ = revision;
     return slot;
 }
@@ -73,7 +73,7 @@
         case WriteOutcome::Conflict:
             due_at_ = now;
             read_after_removal_ = false;
-            if (result.failed_on(key)) {
+            if (result.condition_failed(key)) {
                 // An earlier write of this holder with an unknown result was executed: one of this
                 // intent or one before it.
                 state_ = State::ReadDue;
@@ -134,9 +134,9 @@
         *this = {};
         return RemovalEffect::None;
     }
-    const bool changed = result.failed_on(key);
+    const bool changed = result.condition_failed(key);
     // Without an answer the record may have been removed; the next write to it shows whether.
-    state_ = changed ? State::ReadDue : State::Settled;
+    state_ = changed ? State::ReadDue : State::Completed;
     read_after_removal_ = true;
     due_at_ = changed ? now : now + kRemovalDelayMs;
     return changed ? RemovalEffect::RecordChanged : RemovalEffect::None;
@@ -190,10 +190,10 @@
     return withdrawn;
 }
 
-bool IntentSlot::settle_if_complete() {
+bool IntentSlot::complete_if_done() {
     if (state_ != State::Open || !batch_.releases.empty()) return false;
     const bool complete = std::all_of(batch_.provisions.begin(), batch_.provisions.end(),
-                                      [](const auto& provision) { return provision.settled(); });
+                                      [](const auto& provision) { return provision.finished(); });
     if (!complete) return false;
     batch_.provisions.clear();
     state_ = state_without_intent();
@@ -201,7 +201,7 @@
 }
 
 void IntentSlot::delay_removal(Millis now) {
-    if (state_ == State::Settled) due_at_ = now + kRemovalDelayMs;
+    if (state_ == State::Completed) due_at_ = now + kRemovalDelayMs;
 }
 
 // ---- content ----
--- a/src/duty/intent_slot.h
+++ b/src/duty/intent_slot.h
@@ -14,29 +14,29 @@
 /// A numbered slot for one intent: the content of the intent, the state of its record `intent/N`
 /// and the state of its requests to the cloud. All transitions:
 ///
-/// | state         | event                                      | next                            |
-/// | ------------- | ------------------------------------------ | ------------------------------- |
-/// | Free, Settled | begin_intent(): write a new batch          | Writing                         |
-/// | Free          | open_unfenced(): a batch without a record  | Open                            |
-/// | Writing       | on_written(): written                      | Open                            |
-/// | Writing       | on_written(): the record was changed       | ReadDue                         |
-/// | Writing       | on_written(): another condition failed     | Unconfirmed                     |
-/// | Writing       | on_written(): unavailable or no answer     | Unconfirmed                     |
-/// | Writing       | on_written(): too large; take_back_batch() | Settled, or Free without record |
-/// | Unconfirmed   | begin_rewrite()                            | Writing                         |
-/// | ReadDue       | begin_read()                               | Reading                         |
-/// | Reading       | on_read(): failed                          | ReadDue                         |
-/// | Reading       | on_read(): damaged                         | Damaged, set by IntentLedger    |
-/// | Reading       | on_read(): epoch and nonce as written      | Open                            |
-/// | Reading       | on_read(): anything else, after a write    | Unconfirmed                     |
-/// | Reading       | on_read(): after a removal                 | Settled, or Free without record |
-/// | Open          | settle_if_complete(): no requests are left | Settled, or Free without record |
-/// | Settled       | begin_removal()                            | Removing                        |
-/// | Removing      | on_removed(): removed                      | Free                            |
-/// | Removing      | on_removed(): the record was changed       | ReadDue                         |
-/// | Removing      | on_removed(): anything else                | Settled                         |
+/// | state           | event                                      | next                         |
+/// | --------------- | ------------------------------------------ | ---------------------------- |
+/// | Free, Completed | begin_intent(): write a new batch          | Writing                      |
+/// | Free            | open_unfenced(): a batch without a record  | Open                         |
+/// | Writing         | on_written(): written                      | Open                         |
+/// | Writing         | on_written(): the record was changed       | ReadDue                      |
+/// | Writing         | on_written(): another condition failed     | Unconfirmed                  |
+/// | Writing         | on_written(): unavailable or no answer     | Unconfirmed                  |
+/// | Writing         | on_written(): too large; take_back_batch() | Completed, Free if no record |
+/// | Unconfirmed     | begin_rewrite()                            | Writing                      |
+/// | ReadDue         | begin_read()                               | Reading                      |
+/// | Reading         | on_read(): failed                          | ReadDue                      |
+/// | Reading         | on_read(): damaged                         | Damaged, set by IntentLedger |
+/// | Reading         | on_read(): epoch and nonce as written      | Open                         |
+/// | Reading         | on_read(): anything else, after a write    | Unconfirmed                  |
+/// | Reading         | on_read(): after a removal                 | Completed, Free if no record |
+/// | Open            | complete_if_done(): no requests are left   | Completed, Free if no record |
+/// | Completed       | begin_removal()                            | Removing                     |
+/// | Removing        | on_removed(): removed                      | Free                         |
+/// | Removing        | on_removed(): the record was changed       | ReadDue                      |
+/// | Removing        | on_removed(): anything else                | Completed                    |
 ///
-/// inherited(), settled() and damaged() create slots for records that were found in the state
+/// inherited(), completed() and damaged() create slots for records that were found in the state
 /// service.
 class IntentSlot {
   public:
@@ -47,10 +47,10 @@
         Unconfirmed,  ///< the write has to be sent again; the last one may have been executed
         ReadDue,      ///< the revision was not as expected: read which write changed the record
         Reading,
-        Open,      ///< stored, or needs no record: requests may be sent
-        Settled,   ///< no requests are left; the record may be overwritten or removed
-        Removing,  ///< the removal is in flight
-        Damaged,   ///< the record cannot be parsed: it is kept, and the slot is not reused
+        Open,       ///< stored, or needs no record: requests may be sent
+        Completed,  ///< no requests are left; the record may be overwritten or removed
+        Removing,   ///< the removal is in flight
+        Damaged,    ///< the record cannot be parsed: it is kept, and the slot is not reused
     };
     /// What IntentLedger has to do after a write.
     enum class WriteEffect : std::uint8_t {
@@ -75,19 +75,19 @@
     IntentSlot() = default;
     /// An open slot for an intent of an earlier holder, which this holder has to finish.
     [[nodiscard]] static IntentSlot inherited(const StoredIntent& stored, Millis now);
-    /// A settled slot for a record whose intent needs no requests.
-    [[nodiscard]] static IntentSlot settled(std::uint64_t revision);
+    /// A completed slot for a record whose intent needs no requests.
+    [[nodiscard]] static IntentSlot completed(std::uint64_t revision);
     /// A damaged slot for a record that cannot be parsed.
     [[nodiscard]] static IntentSlot damaged();
 
-    /// Puts a batch into a slot that is free or settled and starts the write of its record. The
-    /// record of a settled slot is overwritten, which saves its removal. The caller must report the
-    /// result to on_written().
+    /// Puts a batch into a slot that is free or completed and starts the write of its record. The
+    /// record of a completed slot is overwritten, which saves its removal. The caller must report
+    /// the result to on_written().
     void begin_intent(Epoch epoch, std::uint64_t nonce, IntentBatch batch, Millis now);
     /// Puts a batch into a free slot without a record, before fencing begins.
     void open_unfenced(IntentBatch batch, Millis now);
     /// Permits requests before the record is written. Only for tests of the guard
-    /// IntentGuards::durable_first.
+    /// IntentGuards::intent_before_request.
     void open_before_written() { state_ = State::Open; }
     /// Starts another write of an unconfirmed slot. The caller must report the result to
     /// on_written().
@@ -128,9 +128,10 @@
     /// Withdraws provisioning requests that have waited too long; returns how many.
     [[nodiscard]] std::size_t withdraw_outdated(Millis now);
 
-    /// Settles an open slot that has no requests left; returns whether it did.
-    [[nodiscard]] bool settle_if_complete();
-    /// Postpones the removal of a settled record, so that the next intent can overwrite it instead.
+    /// Completes an open slot that has no requests left; returns whether it did.
+    [[nodiscard]] bool complete_if_done();
+    /// Postpones the removal of a completed record, so that the next intent can overwrite it
+    /// instead.
     void delay_removal(Millis now);
 
     /// Current state of the slot.
@@ -142,7 +143,7 @@
     }
     /// Whether the slot has a record, as far as known.
     [[nodiscard]] bool has_record() const { return revision_ != 0; }
-    /// Whether the slot holds a stored intent that is not settled.
+    /// Whether the slot holds a stored intent that is not completed.
     [[nodiscard]] bool durably_open() const { return state_ == State::Open && has_record(); }
     /// Whether any cloud request of the slot is in flight.
     [[nodiscard]] bool request_in_flight() const;
@@ -162,7 +163,7 @@
 
   private:
     [[nodiscard]] State state_without_intent() const {
-        return has_record() ? State::Settled : State::Free;
+        return has_record() ? State::Completed : State::Free;
     }
 
     State state_ = State::Free;
--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -9,7 +9,7 @@
 constexpr Millis kDamagedRetryMs = 10'000;
 
 Claim::Setup claim_setup(const MachineDutyHolder::Setup& setup, Duty duty) {
-    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditions};
+    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditional_writes};
 }
 
 }  // namespace
@@ -23,7 +23,7 @@
 
 std::vector<Action> MachineDutyHolder::due_actions(const Inputs& inputs) {
     std::vector<Action> out;
-    if (lost()) return out;
+    if (lease_lost()) return out;
     if (intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
         intents_ = InheritedIntents::Reading;
         out.emplace_back(ReadIntents{last_read_key_});
@@ -99,7 +99,7 @@
     for (const auto& stored : page.intents) {
         ledger_.inherit(stored, now);
         last_read_key_ = stored.key;
-        if (!setup_.guards.inherit) continue;
+        if (!setup_.guards.inherit_intents) continue;
         const auto& named = stored.intent.releases;
         machines.insert(machines.end(), named.begin(), named.end());
     }
@@ -130,12 +130,12 @@
                                          const WriteResult& result) {
     if (check == IntentLedger::FenceCheck::Intact) return;
     for (auto* claim : {&provisioning_, &reclaiming_}) {
-        if (result.failed_on(setup_.lease.key)) claim->on_lease_lost();
-        if (result.failed_on(claim->key())) claim->on_record_changed();
+        if (result.condition_failed(setup_.lease.key)) claim->on_lease_lost();
+        if (result.condition_failed(claim->key())) claim->on_record_changed();
     }
 }
 
-bool MachineDutyHolder::lost() const {
+bool MachineDutyHolder::lease_lost() const {
     return provisioning_.state() == Claim::State::Lost || reclaiming_.state() == Claim::State::Lost;
 }
 
--- a/src/duty/machine_duty_holder.h
+++ b/src/duty/machine_duty_holder.h
@@ -23,8 +23,8 @@
         std::uint64_t term = 0;  ///< fencing token of the leader, unique to its term
         RecordVersion lease;     ///< leader key, which exists while the leader lease is held
         bool fencing = false;    ///< false: no duty records or intents are stored
-        bool conditions = true;  ///< see Claim::Setup
-        IntentGuards guards;     ///< see IntentGuards
+        bool conditional_writes = true;  ///< see Claim::Setup
+        IntentGuards guards;             ///< see IntentGuards
     };
     /// Current time and the state outside the holder that the next actions depend on.
     struct Inputs {
@@ -88,9 +88,11 @@
         return intents_ == InheritedIntents::Loaded;
     }
     /// Whether both duties are held under an epoch.
-    [[nodiscard]] bool fenced() const { return provisioning_.held() && reclaiming_.held(); }
+    [[nodiscard]] bool fenced() const {
+        return provisioning_.holds_duty() && reclaiming_.holds_duty();
+    }
     /// Whether the lease has passed to another controller.
-    [[nodiscard]] bool lost() const;
+    [[nodiscard]] bool lease_lost() const;
     /// The claim to a duty.
     [[nodiscard]] const Claim& claim(Duty duty) const {
         return duty == Duty::Provisioning ? provisioning_ : reclaiming_;
--- a/src/duty/pending_provision.cpp
+++ b/src/duty/pending_provision.cpp
@@ -20,11 +20,11 @@
 }
 
 bool PendingProvision::result_expected_soon() const {
-    return !settled_ && attempts_ <= kMaxQuickAttempts;
+    return !finished_ && attempts_ <= kMaxQuickAttempts;
 }
 
 bool PendingProvision::outdated(Millis now) const {
-    return !in_flight_ && !maybe_executed_ && !settled_ && now - queued_at_ > kOutdatedAfterMs;
+    return !in_flight_ && !maybe_executed_ && !finished_ && now - queued_at_ > kOutdatedAfterMs;
 }
 
 void PendingProvision::begin_attempt() {
@@ -37,7 +37,7 @@
     maybe_executed_ |= outcome == CloudOutcome::NoAnswer;
     const bool responded = outcome == CloudOutcome::Done || outcome == CloudOutcome::NoCapacity;
     const auto max_attempts = inherited ? kMaxInheritedAttempts : kMaxQuickAttempts;
-    settled_ = responded || !maybe_executed_ || attempts_ > max_attempts;
+    finished_ = responded || !maybe_executed_ || attempts_ > max_attempts;
     retry_at_ = now + (attempts_ > kMaxQuickAttempts ? kSlowRetryMs : kRetryMs);
 }
 
--- a/src/duty/pending_provision.h
+++ b/src/duty/pending_provision.h
@@ -10,7 +10,7 @@
 
 using core::Millis;
 
-/// One provisioning request and its attempts. It is settled once the cloud has responded or the
+/// One provisioning request and its attempts. It is finished once the cloud has responded or the
 /// holder has stopped retrying it. Machines that were provisioned without a response are found in
 /// the cloud's list of machines.
 class PendingProvision {
@@ -26,12 +26,12 @@
     /// Whether an attempt is in flight.
     [[nodiscard]] bool in_flight() const { return in_flight_; }
     /// Whether no further attempt is to be made.
-    [[nodiscard]] bool settled() const { return settled_; }
+    [[nodiscard]] bool finished() const { return finished_; }
     /// Whether it is still retried at short intervals, so that its result can be expected soon.
     [[nodiscard]] bool result_expected_soon() const;
     /// Whether the next attempt is due.
     [[nodiscard]] bool due(Millis now) const {
-        return !in_flight_ && !settled_ && retry_at_ <= now;
+        return !in_flight_ && !finished_ && retry_at_ <= now;
     }
     /// Whether it has waited too long and certainly was never executed. Never true for an inherited
     /// request, as only the holder that queued it knows whether it was sent.
@@ -42,8 +42,8 @@
     /// Processes the outcome of the attempt. `inherited`: the intent is one of an earlier holder,
     /// which allows more attempts.
     void on_outcome(CloudOutcome outcome, bool inherited, Millis now);
-    /// Settles the request without another attempt.
-    void withdraw() { settled_ = true; }
+    /// Ends the request without another attempt.
+    void withdraw() { finished_ = true; }
 
     /// Compares all fields.
     friend bool operator==(const PendingProvision&, const PendingProvision&) = default;
@@ -51,7 +51,7 @@
   private:
     ProvisionRequest request_;
     bool in_flight_ = false;
-    bool settled_ = false;
+    bool finished_ = false;
     bool maybe_executed_ = false;  // an attempt without an answer may be executed, now or later
     int attempts_ = 0;
     Millis queued_at_ = 0;
--- a/src/duty/results.h
+++ b/src/duty/results.h
@@ -54,11 +54,11 @@
 struct WriteResult {
     WriteOutcome outcome = WriteOutcome::Unknown;  ///< whether the transaction was executed
     std::uint64_t revision = 0;                    ///< revision of the written records
-    std::vector<std::string> failed;               ///< keys whose conditions failed
+    std::vector<std::string> failed_keys;          ///< keys whose conditions failed
 
     /// Whether a condition on this key failed.
-    [[nodiscard]] bool failed_on(const std::string& key) const {
-        return std::find(failed.begin(), failed.end(), key) != failed.end();
+    [[nodiscard]] bool condition_failed(const std::string& key) const {
+        return std::find(failed_keys.begin(), failed_keys.end(), key) != failed_keys.end();
     }
 };
 
--- a/tests/duties_intents_test.cpp
+++ b/tests/duties_intents_test.cpp
@@ -30,10 +30,10 @@
     return slot;
 }
 
-IntentSlot settled_slot() {
+IntentSlot completed_slot() {
     auto slot = open_slot();
     slot.on_released(slot.begin_release(0).size(), CloudOutcome::Done, 0);
-    EXPECT_TRUE(slot.settle_if_complete());
+    EXPECT_TRUE(slot.complete_if_done());
     return slot;
 }
 
@@ -98,28 +98,28 @@
     const auto machines = slot.begin_release(0);
     EXPECT_EQ(machines.size(), 2U);
     EXPECT_TRUE(slot.on_released(machines.size(), CloudOutcome::NoAnswer, 0).empty());
-    EXPECT_FALSE(slot.settle_if_complete());
+    EXPECT_FALSE(slot.complete_if_done());
     EXPECT_FALSE(slot.release_due(0));
     EXPECT_TRUE(slot.release_due(kMuchLater));
 }
 
-TEST(IntentSlot, SettledRecordIsOverwrittenByTheNextIntent) {
-    auto slot = settled_slot();
-    EXPECT_EQ(slot.state(), IntentSlot::State::Settled);
+TEST(IntentSlot, RecordOfCompletedIntentIsOverwrittenByTheNextIntent) {
+    auto slot = completed_slot();
+    EXPECT_EQ(slot.state(), IntentSlot::State::Completed);
     slot.begin_intent(kEpoch, kNonce + 1, {{"host-3"}, {}}, 0);
     EXPECT_EQ(slot.state(), IntentSlot::State::Writing);
     EXPECT_EQ(slot.revision(), kRevision);
 }
 
 TEST(IntentSlot, RemovalFreesTheSlotOrReadsTheRecordBack) {
-    auto removed = settled_slot();
+    auto removed = completed_slot();
     removed.begin_removal();
     auto changed = removed;
     auto unanswered = removed;
     EXPECT_EQ(removed.on_removed(kWritten, kKey, 0), IntentSlot::RemovalEffect::None);
     EXPECT_EQ(removed, IntentSlot{});
     EXPECT_EQ(unanswered.on_removed(kUnanswered, kKey, 0), IntentSlot::RemovalEffect::None);
-    EXPECT_EQ(unanswered.state(), IntentSlot::State::Settled);
+    EXPECT_EQ(unanswered.state(), IntentSlot::State::Completed);
     EXPECT_EQ(changed.on_removed(kRecordChanged, kKey, 0),
               IntentSlot::RemovalEffect::RecordChanged);
     changed.begin_read();
@@ -136,10 +136,10 @@
     ASSERT_NE(provision, nullptr);
     EXPECT_EQ(provision->request(), request);
     provision->begin_attempt();
-    EXPECT_FALSE(slot.settle_if_complete());
+    EXPECT_FALSE(slot.complete_if_done());
     slot.on_provisioned(request.id, CloudOutcome::NoCapacity, 0);
-    EXPECT_TRUE(slot.settle_if_complete());
-    EXPECT_EQ(slot.state(), IntentSlot::State::Settled);
+    EXPECT_TRUE(slot.complete_if_done());
+    EXPECT_EQ(slot.state(), IntentSlot::State::Completed);
 }
 
 TEST(IntentQueue, CollectsNonUrgentReleasesForOneSecond) {
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -28,10 +28,10 @@
 
 // Guards to switch off; the tests switch off one at a time.
 struct DisabledGuards {
-    bool conditions = false;
-    bool durable_first = false;
-    bool inherit = false;
-    bool keep_unconfirmed = false;  // a release intent stays until the cloud confirms the release
+    bool conditional_writes = false;
+    bool intent_before_request = false;
+    bool inherit_intents = false;
+    bool keep_release_intents = false;  // an intent is kept until the cloud confirms the release
 };
 
 struct Record {
@@ -70,7 +70,7 @@
     std::array<bool, kMachines> gone{};
     std::vector<Node> nodes;
     std::vector<Message> messages;
-    std::string broken;
+    std::string violated_rule;
 
     bool operator==(const State& other) const {
         if (revision != other.revision || leader != other.leader || terms != other.terms ||
@@ -124,7 +124,7 @@
             std::vector<State> next;
             for (const auto& state : frontier) {
                 for (auto& successor : successors(state)) {
-                    if (!successor.broken.empty()) return successor.broken;
+                    if (!successor.violated_rule.empty()) return successor.violated_rule;
                     if (seen_.insert(successor).second) next.push_back(std::move(successor));
                 }
             }
@@ -177,15 +177,15 @@
         setup.term = 100 + node.term;
         setup.lease = {"leader", state.leader};
         setup.fencing = true;
-        setup.conditions = !disabled_.conditions;
-        setup.guards = {!disabled_.durable_first, !disabled_.inherit};
+        setup.conditional_writes = !disabled_.conditional_writes;
+        setup.guards = {!disabled_.intent_before_request, !disabled_.inherit_intents};
         node.holder = std::make_shared<MachineDutyHolder>(setup);
         state.nodes[node_index] = node;
     }
 
     static void crash(State& state, std::size_t node_index) { state.nodes[node_index] = {}; }
 
-    static std::shared_ptr<MachineDutyHolder> changed(State& state, std::size_t node_index) {
+    static std::shared_ptr<MachineDutyHolder> mutable_holder(State& state, std::size_t node_index) {
         auto holder = std::make_shared<MachineDutyHolder>(*state.nodes[node_index].holder);
         state.nodes[node_index].holder = holder;
         return holder;
@@ -200,7 +200,7 @@
         inputs.placement_records_loaded = true;
         inputs.may_begin_fencing = true;
         inputs.background_writes_allowed = true;
-        auto actions = changed(state, node_index)->due_actions(inputs);
+        auto actions = mutable_holder(state, node_index)->due_actions(inputs);
         for (auto& action : actions) {
             state.messages.push_back({node_index, state.nodes[node_index].term, true,
                                       std::make_shared<Action>(std::move(action))});
@@ -234,7 +234,7 @@
         }
         ++node.releases;
         node.unusable[machine_index] = true;
-        changed(state, node_index)->queue_release(machine(machine_index), true, 0);
+        mutable_holder(state, node_index)->queue_release(machine(machine_index), true, 0);
         return true;
     }
 
@@ -256,7 +256,7 @@
         const auto message = state.messages[index];
         if (!awaits_answer(state, message)) return false;
         state.messages[index].awaited = false;
-        const auto holder = changed(state, message.node);
+        const auto holder = mutable_holder(state, message.node);
         const auto& action = *message.action;
         const WriteResult unknown;
         if (const auto* write = std::get_if<WriteDuty>(&action)) {
@@ -267,7 +267,7 @@
             holder->on_intents_removed(removal->slots, unknown, 0);
         } else if (const auto* release = std::get_if<RequestRelease>(&action)) {
             const auto outcome =
-                disabled_.keep_unconfirmed ? CloudOutcome::Done : CloudOutcome::NoAnswer;
+                disabled_.keep_release_intents ? CloudOutcome::Done : CloudOutcome::NoAnswer;
             holder->on_released(release->slot, release->request.machines().size(), outcome, 0);
         } else {
             return false;  // losing a read or a provisioning request changes nothing in this model
@@ -282,14 +282,14 @@
             if (const auto it = state.records.find(condition.key); it != state.records.end()) {
                 revision = it->second.revision;
             }
-            if (revision != condition.revision) result.failed.push_back(condition.key);
+            if (revision != condition.revision) result.failed_keys.push_back(condition.key);
         }
-        if (!result.failed.empty()) return result;
+        if (!result.failed_keys.empty()) return result;
         ++state.revision;
         for (const auto& change : write.changes()) {
             if (const auto* record = std::get_if<DutyRecord>(&change.value)) {
                 const auto before = std::get<DutyRecord>(state.records[change.key].value).epoch;
-                if (record->epoch <= before) state.broken = "an epoch went back";
+                if (record->epoch <= before) state.violated_rule = "an epoch went back";
             }
             if (std::holds_alternative<std::monostate>(change.value)) {
                 state.records.erase(change.key);
@@ -300,62 +300,63 @@
         return {WriteOutcome::Written, state.revision, {}};
     }
 
-    void execute(State& state, const Message& from, const WriteDuty& action) const {
+    void execute(State& state, const Message& message, const WriteDuty& action) const {
         const auto result = apply(state, action.write);
-        if (awaits_answer(state, from))
-            changed(state, from.node)->on_duty_written(action.duty, result, 0);
+        if (awaits_answer(state, message))
+            mutable_holder(state, message.node)->on_duty_written(action.duty, result, 0);
     }
-    void execute(State& state, const Message& from, const WriteIntent& action) const {
+    void execute(State& state, const Message& message, const WriteIntent& action) const {
         const auto result = apply(state, action.write);
-        if (awaits_answer(state, from))
-            changed(state, from.node)->on_intent_written(action.slot, result, 0);
+        if (awaits_answer(state, message))
+            mutable_holder(state, message.node)->on_intent_written(action.slot, result, 0);
     }
-    void execute(State& state, const Message& from, const RemoveIntents& action) const {
+    void execute(State& state, const Message& message, const RemoveIntents& action) const {
         const auto result = apply(state, action.write);
-        if (awaits_answer(state, from))
-            changed(state, from.node)->on_intents_removed(action.slots, result, 0);
+        if (awaits_answer(state, message))
+            mutable_holder(state, message.node)->on_intents_removed(action.slots, result, 0);
     }
-    void execute(State& state, const Message& from, const ReadDuty& action) const {
+    void execute(State& state, const Message& message, const ReadDuty& action) const {
         const auto& record = state.records.at(record_key(action.duty));
-        if (!awaits_answer(state, from)) return;
-        changed(state, from.node)
+        if (!awaits_answer(state, message)) return;
+        mutable_holder(state, message.node)
             ->on_duty_read(
                 action.duty,
                 {ReadOutcome::Found, std::get<DutyRecord>(record.value), record.revision}, 0);
     }
-    void execute(State& state, const Message& from, const ReadIntent& action) const {
-        if (!awaits_answer(state, from)) return;
+    void execute(State& state, const Message& message, const ReadIntent& action) const {
+        if (!awaits_answer(state, message)) return;
         const auto it = state.records.find(intent_key(action.slot));
         IntentReadResult result{ReadOutcome::Missing, {}, 0};
         if (it != state.records.end()) {
             result = {ReadOutcome::Found, std::get<Intent>(it->second.value), it->second.revision};
         }
-        changed(state, from.node)->on_intent_read(action.slot, result, 0);
+        mutable_holder(state, message.node)->on_intent_read(action.slot, result, 0);
     }
-    void execute(State& state, const Message& from, const ReadIntents& /*all*/) const {
-        if (!awaits_answer(state, from)) return;
+    void execute(State& state, const Message& message, const ReadIntents& /*all*/) const {
+        if (!awaits_answer(state, message)) return;
         IntentPage page;
         for (const auto& [key, record] : state.records) {
             if (!key.starts_with(kIntentPrefix)) continue;
             page.intents.push_back({key, record.revision, false, std::get<Intent>(record.value)});
         }
-        const auto named = changed(state, from.node)->on_intents_read(page, 0);
+        const auto named = mutable_holder(state, message.node)->on_intents_read(page, 0);
         for (std::size_t m = 0; m < kMachines; ++m) {
-            const bool is = std::find(named.begin(), named.end(), machine(m)) != named.end();
-            if (is) state.nodes[from.node].unusable[m] = true;
+            const bool releases_machine =
+                std::find(named.begin(), named.end(), machine(m)) != named.end();
+            if (releases_machine) state.nodes[message.node].unusable[m] = true;
         }
     }
-    void execute(State& state, const Message& from, const RequestRelease& action) const {
+    void execute(State& state, const Message& message, const RequestRelease& action) const {
         for (std::size_t m = 0; m < kMachines; ++m) {
             const auto& names = action.request.machines();
             if (std::find(names.begin(), names.end(), machine(m)) == names.end()) continue;
-            if (!state.gone[m] && state.used_by[m] > from.term) {
-                state.broken = "a replaced holder releases a machine in use";
+            if (!state.gone[m] && state.used_by[m] > message.term) {
+                state.violated_rule = "a replaced holder releases a machine in use";
             }
             state.gone[m] = true;
         }
-        if (!awaits_answer(state, from)) return;
-        changed(state, from.node)
+        if (!awaits_answer(state, message)) return;
+        mutable_holder(state, message.node)
             ->on_released(action.slot, action.request.machines().size(), CloudOutcome::Done, 0);
     }
     void execute(State&, const Message&, const RequestProvision&) const {}
@@ -399,9 +400,10 @@
     for (const auto& [disabled, expected] : cases) {
         Explorer explorer({2, 2, 1, 14}, disabled);
         EXPECT_EQ(explorer.run(), expected)
-            << "guards switched off (conditions, durable_first, inherit, keep_unconfirmed): "
-            << disabled.conditions << disabled.durable_first << disabled.inherit
-            << disabled.keep_unconfirmed;
+            << "guards switched off (conditional_writes, intent_before_request, inherit_intents, "
+               "keep_release_intents): "
+            << disabled.conditional_writes << disabled.intent_before_request
+            << disabled.inherit_intents << disabled.keep_release_intents;
     }
 }
 
