--- a/src/control/cleanup_rounds.h
+++ b/src/control/cleanup_rounds.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Periodic scans of the cleanup duty over the stored records.
+/// Periodic scans of the stored records for records that cleanup can remove.
 
 #include <memory>
 #include <string>
--- a/src/control/image_hint_store.h
+++ b/src/control/image_hint_store.h
@@ -28,7 +28,7 @@
     void on_hints_read(store::Outcome outcome, const wire::ItemPage& page);
 
     Term& term_;
-    Millis part_checked_at_ = 0;
+    Millis part_checked_at_ = 0;                         // time of the last check of any part
     std::size_t part_ = 0;                               // index of the part that was checked last
     std::map<std::size_t, std::string> written_values_;  // last written value of each part
 };
--- a/src/control/job_count_publisher.h
+++ b/src/control/job_count_publisher.h
@@ -11,8 +11,8 @@
     /// `term` must outlive the publisher.
     explicit JobCountPublisher(Term& term) : term_(term) {}
 
-    /// Publishes the counts that have changed if the interval has passed since the last time; every
-    /// so often it publishes all counts instead.
+    /// Publishes the counts that have changed if the interval has passed since the last time. At
+    /// regular intervals it publishes all counts instead.
     void publish_if_due();
 
   private:
--- a/src/control/machine_duties.h
+++ b/src/control/machine_duties.h
@@ -95,7 +95,9 @@
 
     Services services_;
     duty::MachineDutyHolder holder_;
-    bool keep_unconfirmed_intents_;  // SafetyGuards::keep_release_intents; only tests switch it off
+    // False only in tests of SafetyGuards::keep_release_intents: a release without a response then
+    // counts as done.
+    bool keep_unconfirmed_intents_;
     bool stopped_ = false;
     bool placement_records_loaded_ = false;
     bool running_actions_ = false;
--- a/src/control/plan_loop.h
+++ b/src/control/plan_loop.h
@@ -34,9 +34,10 @@
     PlanExecutor& planner_;
     std::function<void(const core::Plan&)> on_plan_ready_;
     bool planning_ = false;
-    bool requested_again_ = false;    // a request came while the planner was running
-    bool timer_set_ = false;          // a timer calls request() when the spacing has passed
-    Millis last_plan_at_ = kLongAgo;  // start of the plan; after it is ready, the time of that
+    bool requested_again_ = false;  // a request came while the planner was running
+    bool timer_set_ = false;        // a timer calls request() when the spacing has passed
+    // Start of the plan that is being made; otherwise the time at which the last one was ready.
+    Millis last_plan_at_ = kLongAgo;
     Millis last_duration_ms_ = 0;
 };
 
--- a/src/control/record_writer.h
+++ b/src/control/record_writer.h
@@ -17,8 +17,8 @@
 /// after failover is complete.
 class RecordWriter {
   public:
-    /// `on_placements_durable` is called after the outcomes of placement writes are applied to the
-    /// cluster state, which may make commands due.
+    /// `on_placements_durable` is called after the outcomes of placement writes, failed ones
+    /// included, are applied to the cluster state. Commands may then be due.
     RecordWriter(Term& term, JobWatcher& job_watcher, std::function<void()> on_placements_durable)
         : term_(term),
           job_watcher_(job_watcher),
--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -21,13 +21,13 @@
     /// State of the claim.
     enum class State : std::uint8_t {
         Unfenced,  ///< fencing has not begun: the lease alone permits actions
-        ReadDue,
-        Reading,
-        WriteDue,
-        Writing,
-        Held,
-        Damaged,  ///< the record cannot be parsed: no permits, so this duty is not performed
-        Lost,     ///< the lease has passed to another controller; final state
+        ReadDue,   ///< the record has to be read
+        Reading,   ///< a read of the record is in flight
+        WriteDue,  ///< the record names another claim: write it with the next epoch
+        Writing,   ///< a write of the record is in flight
+        Held,      ///< the record names this claim as the duty's holder
+        Damaged,   ///< the record cannot be parsed: no permits, so this duty is not performed
+        Lost,      ///< the lease has passed to another controller; final state
     };
     /// Configuration of a claim.
     struct Setup {
--- a/src/duty/intent_ledger.cpp
+++ b/src/duty/intent_ledger.cpp
@@ -88,7 +88,7 @@
 std::uint32_t IntentLedger::free_slot(bool may_overwrite) const {
     std::uint32_t number = 0;
     for (const auto& [used, slot] : slots_) {
-        if (used > number) break;  // a gap
+        if (used > number) break;  // no slot has this number yet
         if (slot.state() == State::Free) return used;
         if (may_overwrite && slot.state() == State::Completed) return used;
         number = used + 1;
--- a/src/duty/intent_ledger.h
+++ b/src/duty/intent_ledger.h
@@ -63,8 +63,8 @@
     /// Before fencing begins: allows the requests for everything that is queued, without storing
     /// intents.
     void open_unfenced(Millis now);
-    /// Once fencing has begun: queues the content of intents without a record again, unless one of
-    /// their requests is in flight.
+    /// Once fencing has begun: puts the content of intents without a record back into the queue, so
+    /// that it is stored before its requests are sent. Skips intents with a request in flight.
     void requeue_unfenced();
 
     /// The next write of an intent that is due. The caller must report its result to on_written().
--- a/src/duty/intent_queue.h
+++ b/src/duty/intent_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Releases and provisioning requests of a holder that are not part of an intent yet.
+/// Queue of a holder's releases and provisioning requests that no intent contains yet.
 
 #include <cstddef>
 #include <deque>
@@ -30,9 +30,10 @@
     void add_release(std::string machine, bool urgent, Millis now);
     /// Queues a provisioning request.
     void add_provision(PendingProvision provision);
-    /// Queues the content of an intent again that was never stored, except completed requests.
+    /// Puts the content of an intent that was never stored back into the queue, except provisioning
+    /// requests that are finished.
     void requeue(IntentBatch batch, Millis queued_at);
-    /// Queues a batch again, at the front, that was too large for a record. From now on batches
+    /// Puts a batch that was too large for a record back at the front of the queue. Later batches
     /// have at most half as many entries.
     void requeue_rejected(IntentBatch batch, Millis queued_at);
 
--- a/src/duty/intent_slot.h
+++ b/src/duty/intent_slot.h
@@ -42,15 +42,15 @@
   public:
     /// State of the intent and its record.
     enum class State : std::uint8_t {
-        Free,
-        Writing,
+        Free,         ///< no intent and no record
+        Writing,      ///< a write of the record is in flight
         Unconfirmed,  ///< the write has to be sent again; the last one may have been executed
-        ReadDue,      ///< the revision was not as expected: read which write changed the record
-        Reading,
-        Open,       ///< stored, or needs no record: requests may be sent
-        Completed,  ///< no requests are left; the record may be overwritten or removed
-        Removing,   ///< the removal is in flight
-        Damaged,    ///< the record cannot be parsed: it is kept, and the slot is not reused
+        ReadDue,      ///< a condition on the record's revision failed: read back what it contains
+        Reading,      ///< the read is in flight
+        Open,         ///< stored, or needs no record: requests may be sent
+        Completed,    ///< no requests are left; the record may be overwritten or removed
+        Removing,     ///< the removal is in flight
+        Damaged,      ///< the record cannot be parsed: it is kept, and the slot is not reused
     };
     /// What IntentLedger has to do after a write.
     enum class WriteEffect : std::uint8_t {
--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -19,13 +19,13 @@
       provisioning_(claim_setup(setup, Duty::Provisioning)),
       reclaiming_(claim_setup(setup, Duty::Reclaiming)),
       ledger_(setup.guards),
-      intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
+      inherited_intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
 
 std::vector<Action> MachineDutyHolder::due_actions(const Inputs& inputs) {
     std::vector<Action> out;
     if (lease_lost()) return out;
-    if (intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
-        intents_ = InheritedIntents::Reading;
+    if (inherited_intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
+        inherited_intents_ = InheritedIntents::Reading;
         out.emplace_back(ReadIntents{last_read_key_});
     }
     add_claim_actions(provisioning_, inputs, out);
@@ -95,22 +95,22 @@
 
 std::vector<std::string> MachineDutyHolder::on_intents_read(const IntentPage& page, Millis now) {
     std::vector<std::string> machines;
-    if (intents_ != InheritedIntents::Reading) return machines;
+    if (inherited_intents_ != InheritedIntents::Reading) return machines;
     for (const auto& stored : page.intents) {
         ledger_.inherit(stored, now);
         last_read_key_ = stored.key;
         if (!setup_.guards.inherit_intents) continue;
-        const auto& named = stored.intent.releases;
-        machines.insert(machines.end(), named.begin(), named.end());
+        const auto& releases = stored.intent.releases;
+        machines.insert(machines.end(), releases.begin(), releases.end());
     }
     const bool more = page.more && !page.intents.empty();
-    intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
+    inherited_intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
     return machines;
 }
 
 void MachineDutyHolder::on_intents_read_failed(Millis now) {
-    if (intents_ != InheritedIntents::Reading) return;
-    intents_ = InheritedIntents::ReadDue;
+    if (inherited_intents_ != InheritedIntents::Reading) return;
+    inherited_intents_ = InheritedIntents::ReadDue;
     retry_at_ = now + kRetryMs;
 }
 
--- a/src/duty/machine_duty_holder.h
+++ b/src/duty/machine_duty_holder.h
@@ -85,7 +85,7 @@
 
     /// Whether all intents of earlier holders have been read. No work is placed before.
     [[nodiscard]] bool inherited_intents_loaded() const {
-        return intents_ == InheritedIntents::Loaded;
+        return inherited_intents_ == InheritedIntents::Loaded;
     }
     /// Whether both duties are held under an epoch.
     [[nodiscard]] bool fenced() const {
@@ -103,7 +103,7 @@
     /// Compares the state that determines the next actions.
     friend bool operator==(const MachineDutyHolder& left, const MachineDutyHolder& right) {
         return left.provisioning_ == right.provisioning_ && left.reclaiming_ == right.reclaiming_ &&
-               left.ledger_ == right.ledger_ && left.intents_ == right.intents_;
+               left.ledger_ == right.ledger_ && left.inherited_intents_ == right.inherited_intents_;
     }
 
   private:
@@ -122,7 +122,7 @@
     Claim provisioning_;
     Claim reclaiming_;
     IntentLedger ledger_;
-    InheritedIntents intents_ = InheritedIntents::ReadDue;
+    InheritedIntents inherited_intents_ = InheritedIntents::ReadDue;
     std::string last_read_key_;
     Millis retry_at_ = 0;
 };
--- a/src/duty/pending_provision.h
+++ b/src/duty/pending_provision.h
@@ -33,8 +33,8 @@
     [[nodiscard]] bool due(Millis now) const {
         return !in_flight_ && !finished_ && retry_at_ <= now;
     }
-    /// Whether it has waited too long and certainly was never executed. Never true for an inherited
-    /// request, as only the holder that queued it knows whether it was sent.
+    /// Whether it has waited too long to be sent and certainly was never executed. Never true for
+    /// an inherited request, as only the holder that queued it knows whether it was sent.
     [[nodiscard]] bool outdated(Millis now) const;
 
     /// Starts an attempt. The caller must report its outcome to on_outcome().
@@ -52,7 +52,7 @@
     ProvisionRequest request_;
     bool in_flight_ = false;
     bool finished_ = false;
-    bool maybe_executed_ = false;  // an attempt without an answer may be executed, now or later
+    bool maybe_executed_ = false;  // an unanswered attempt may have been or may yet be executed
     int attempts_ = 0;
     Millis queued_at_ = 0;
     Millis retry_at_ = 0;
--- a/tests/duties_conditions_test.cpp
+++ b/tests/duties_conditions_test.cpp
@@ -51,10 +51,10 @@
         Simulation simulation(options);
         std::mt19937_64 rng(seed);
         for (std::size_t n = 0; n < options.nodes; ++n) {
-            const auto turn = static_cast<Millis>(n) * 1500;
-            simulation.at(10'000 + turn, [&simulation, n] { simulation.upgrade(n, 900); });
-            simulation.at(50'000 + turn, [&simulation, n] { simulation.downgrade(n, 900); });
-            simulation.at(85'000 + turn, [&simulation, n] { simulation.upgrade(n, 900); });
+            const auto offset = static_cast<Millis>(n) * 1500;
+            simulation.at(10'000 + offset, [&simulation, n] { simulation.upgrade(n, 900); });
+            simulation.at(50'000 + offset, [&simulation, n] { simulation.downgrade(n, 900); });
+            simulation.at(85'000 + offset, [&simulation, n] { simulation.upgrade(n, 900); });
         }
         for (Millis t = 14'000; t < 110'000; t += 5000 + static_cast<Millis>(rng() % 6000)) {
             const auto span = 1000 + static_cast<Millis>(rng() % 7000);
@@ -248,7 +248,7 @@
 TEST(Fencing, NoCloudRequestsUnderADamagedDutyRecordUntilItIsRepaired) {
     Simulation simulation(fenced_options(75'100, 2));
     simulation.advance(5000);
-    const auto good = simulation.store()["duty/provisioning"].first;
+    const auto valid_value = simulation.store()["duty/provisioning"].first;
     simulation.store()["duty/provisioning"].first = R"({"m":"n0","e":"seven"})";
     simulation.crash(*simulation.leader(), 1000);
     simulation.jobs().push_back(plain(numbered(1), 2, 5, 9000));
@@ -256,7 +256,7 @@
     EXPECT_TRUE(simulation.jobs()[0].done_reported);
     EXPECT_EQ(machines_left(simulation), 2U);
     EXPECT_EQ(simulation.releases().requests, 0U);
-    simulation.store()["duty/provisioning"].first = good;
+    simulation.store()["duty/provisioning"].first = valid_value;
     simulation.advance(130'000);
     EXPECT_EQ(machines_left(simulation), 0U);
     EXPECT_EQ(simulation.broken(), "");
@@ -305,35 +305,35 @@
     EXPECT_LT(more_writes / machines, 2.5);
 }
 
-// Measures the time from the crash of a holder to the first request of its successor, in leader
-// leases of 3 s.
+// Measures the time from the crash of a holder to the first release request of its successor. It
+// must be shorter than three leader leases of 3 s.
 TEST(Fencing, SuccessorActsWithinThreeLeases) {
-    std::vector<Millis> took;
+    std::vector<Millis> takeover_ms;
     for (std::uint64_t seed = 77'000; seed < 77'040; ++seed) {
         Simulation simulation(fenced_options(seed, 6));
-        Millis crashed = -1;
-        Millis acted = -1;
+        Millis crashed_at = -1;
+        Millis acted_at = -1;
         std::size_t holder = 0;
         simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
             if (!is_release(request)) return;
-            if (crashed < 0) {
-                crashed = simulation.now();
+            if (crashed_at < 0) {
+                crashed_at = simulation.now();
                 holder = node;
                 simulation.cut(node_name(node), "cloud", 30'000, true);
                 simulation.at(simulation.now() + 1,
                               [&simulation, node] { simulation.crash(node, 30'000); });
-            } else if (acted < 0 && node != holder) {
-                acted = simulation.now();
+            } else if (acted_at < 0 && node != holder) {
+                acted_at = simulation.now();
             }
         });
         simulation.advance(120'000);
-        ASSERT_GE(acted, 0) << "seed " << seed;
-        took.push_back(acted - crashed);
+        ASSERT_GE(acted_at, 0) << "seed " << seed;
+        takeover_ms.push_back(acted_at - crashed_at);
     }
-    std::sort(took.begin(), took.end());
-    RecordProperty("median_ms", static_cast<int>(took[took.size() / 2]));
-    RecordProperty("maximum_ms", static_cast<int>(took.back()));
-    EXPECT_LT(took.back(), 3 * 3000);
+    std::sort(takeover_ms.begin(), takeover_ms.end());
+    RecordProperty("median_ms", static_cast<int>(takeover_ms[takeover_ms.size() / 2]));
+    RecordProperty("maximum_ms", static_cast<int>(takeover_ms.back()));
+    EXPECT_LT(takeover_ms.back(), 3 * 3000);
 }
 
 }  // namespace
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -27,9 +27,9 @@
     return options;
 }
 
-// Freezes the leader, in one of four cases any controller, for less or more than its lease. In one
-// of three cases its requests to the cloud are delayed too, as if they were held in the kernel or
-// in the network.
+// Freezes the leader, or in one of four cases a random controller, for a time that may be shorter
+// or longer than its lease. In one of three cases its requests to the cloud are delayed too, as if
+// they were queued in the kernel or in the network.
 void schedule_freezes(Simulation& simulation, std::mt19937_64& rng, Millis from, Millis until) {
     for (Millis t = from; t < until; t += 1000 + static_cast<Millis>(rng() % 2000)) {
         const auto draw = rng();
@@ -58,7 +58,7 @@
     }
 }
 
-// On some requests to the cloud and on some transactions with intents, freezes the sender for
+// On one in three requests to the cloud and transactions with intents, freezes the sender for
 // longer than its lease. A request to the cloud is delayed by the network as well, for up to 45 s.
 void freeze_during_requests(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     simulation.observe(
@@ -121,8 +121,9 @@
     bool core::SafetyGuards::*guard;
 };
 
-// Machines are idle between waves of jobs and are released. At a release request, the leader
-// freezes and the request is delayed, so that the next wave is placed by another leader.
+// Submits jobs in waves; machines that are idle in between are released. On half of the release
+// requests, the leader freezes and the request is delayed, so that another leader places the next
+// wave.
 void schedule_job_waves(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
@@ -183,8 +184,9 @@
 
 // ---- scripted fault scenarios ----
 
-// An idle fleet, or an empty one for provisioning. A script injects a fault when the leader sends
-// the request given by `when`, and a burst of jobs then needs every machine.
+// A scenario that starts with an idle fleet, or with no machines if it tests provisioning. A script
+// injects a fault when the leader sends the request given by `when`, and a burst of jobs then needs
+// every machine.
 struct FaultScenario {
     const char* name;
     // The request of the leader that triggers the fault: to the cloud, or to the state service for
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -185,14 +185,16 @@
 
     static void crash(State& state, std::size_t node_index) { state.nodes[node_index] = {}; }
 
+    // Replaces the holder of a node, which other states may share, by a copy and returns the copy.
     static std::shared_ptr<MachineDutyHolder> mutable_holder(State& state, std::size_t node_index) {
         auto holder = std::make_shared<MachineDutyHolder>(*state.nodes[node_index].holder);
         state.nodes[node_index].holder = holder;
         return holder;
     }
 
-    // Carries out the actions that are due. Reads are answered at once. Their results can still be
-    // outdated when the holder acts on them, as other events may come in between.
+    // Sends the actions that are due; returns whether there were any. Reads are answered at once,
+    // but their results can be outdated when the holder acts on them, as other events come in
+    // between.
     bool step(State& state, std::size_t node_index) const {
         MachineDutyHolder::Inputs inputs;
         inputs.now = kNow;
@@ -339,10 +341,10 @@
             if (!key.starts_with(kIntentPrefix)) continue;
             page.intents.push_back({key, record.revision, false, std::get<Intent>(record.value)});
         }
-        const auto named = mutable_holder(state, message.node)->on_intents_read(page, 0);
+        const auto releases = mutable_holder(state, message.node)->on_intents_read(page, 0);
         for (std::size_t m = 0; m < kMachines; ++m) {
             const bool releases_machine =
-                std::find(named.begin(), named.end(), machine(m)) != named.end();
+                std::find(releases.begin(), releases.end(), machine(m)) != releases.end();
             if (releases_machine) state.nodes[message.node].unusable[m] = true;
         }
     }
