--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -121,6 +121,10 @@
     bool core::SafetyGuards::*guard;
 };
 
+// Makes GoogleTest print the name of the case instead of raw bytes.
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls it by this name.
+void PrintTo(const DisabledGuard& guard, std::ostream* out) { *out << guard.name; }
+
 // Submits jobs in waves; machines that are idle in between are released. On half of the release
 // requests, the leader freezes and the request is delayed, so that another leader places the next
 // wave.
@@ -197,6 +201,9 @@
     bool core::SafetyGuards::*guard = nullptr;  // without this guard the scenario breaks a rule
 };
 
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls it by this name.
+void PrintTo(const FaultScenario& scenario, std::ostream* out) { *out << scenario.name; }
+
 constexpr Millis kIdleFrom = 14'000;
 constexpr std::size_t kFleet = 6;
 constexpr std::size_t kBurst = 14;
