--- a/src/control/machine_duties.cpp
+++ b/src/control/machine_duties.cpp
@@ -237,12 +237,12 @@
     const auto& ledger = holder_.ledger();
     const auto& counters = ledger.counters();
     services_.host.log(events::IntentsReport{
-        ledger.open_count(), counters.written, counters.completed, counters.inherited,
+        ledger.open_intent_count(), counters.written, counters.completed, counters.inherited,
         counters.withdrawn, counters.damaged, stale_epoch_refusals_});
 }
 
 void MachineDuties::log_overdue_intent() {
-    const auto oldest = holder_.ledger().oldest_open();
+    const auto oldest = holder_.ledger().oldest_open_intent();
     if (!oldest) return;
     const auto now = services_.runtime.now();
     const auto open_ms = now - oldest->opened_at;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -110,7 +110,7 @@
         cluster.on_record_written(write, result.outcome == store::Outcome::Ok, result.revision,
                                   now);
     });
-    // The refresh brings the job's terminal state.
+    // After the refresh, the job watcher reports the job's terminal state to the leader.
     if (job_ended) job_watcher_.refresh([](bool) {});
 }
 
--- a/src/duty/claim.cpp
+++ b/src/duty/claim.cpp
@@ -36,8 +36,8 @@
     state_ = own ? State::Held : State::WriteDue;
 }
 
-std::optional<FencedWrite> Claim::begin_write(bool may_create) {
-    const bool creates = state_ == State::Unfenced && setup_.fencing && may_create;
+std::optional<FencedWrite> Claim::begin_write(bool may_begin_fencing) {
+    const bool creates = state_ == State::Unfenced && setup_.fencing && may_begin_fencing;
     if (state_ != State::WriteDue && !creates) return std::nullopt;
     state_ = State::Writing;
     FencedWrite write(conditions());
--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -47,9 +47,9 @@
     /// the record and report the result to on_read().
     [[nodiscard]] bool begin_read();
     /// The write that is due now, if any. The caller must report its result to on_written().
-    /// `may_create`: whether a missing record may be created, which begins fencing of the duty;
-    /// once the record exists, the duty stays fenced.
-    [[nodiscard]] std::optional<FencedWrite> begin_write(bool may_create);
+    /// `may_begin_fencing`: whether a missing record may be created, which begins fencing of the
+    /// duty; once the record exists, the duty stays fenced.
+    [[nodiscard]] std::optional<FencedWrite> begin_write(bool may_begin_fencing);
     /// Processes the result of reading the record.
     void on_read(const DutyReadResult& result);
     /// Processes the result of writing the record.
--- a/src/duty/intent_ledger.cpp
+++ b/src/duty/intent_ledger.cpp
@@ -288,15 +288,15 @@
     });
 }
 
-std::size_t IntentLedger::open_count() const {
-    const auto open = [](const auto& entry) { return entry.second.durably_open(); };
+std::size_t IntentLedger::open_intent_count() const {
+    const auto open = [](const auto& entry) { return entry.second.has_open_stored_intent(); };
     return static_cast<std::size_t>(std::count_if(slots_.begin(), slots_.end(), open));
 }
 
-std::optional<IntentLedger::OldestIntent> IntentLedger::oldest_open() const {
+std::optional<IntentLedger::OldestIntent> IntentLedger::oldest_open_intent() const {
     std::optional<OldestIntent> oldest;
     for (const auto& [number, slot] : slots_) {
-        if (!slot.durably_open()) continue;
+        if (!slot.has_open_stored_intent()) continue;
         if (oldest && oldest->opened_at <= slot.opened_at()) continue;
         const auto& batch = slot.batch();
         oldest = OldestIntent{number, slot.opened_at(), batch.releases.size(), {}, {}};
--- a/src/duty/intent_ledger.h
+++ b/src/duty/intent_ledger.h
@@ -107,7 +107,7 @@
     /// waits for it.
     [[nodiscard]] bool provisioning_in_flight() const;
     /// Number of stored intents that are not completed.
-    [[nodiscard]] std::size_t open_count() const;
+    [[nodiscard]] std::size_t open_intent_count() const;
     /// Summary of the oldest open intent, for the log.
     struct OldestIntent {
         std::uint32_t slot = 0;         ///< slot of the intent
@@ -117,7 +117,7 @@
         std::string provision_request;  ///< id of the first provisioning request, if no releases
     };
     /// The oldest stored intent that is not completed; nothing if there is none.
-    [[nodiscard]] std::optional<OldestIntent> oldest_open() const;
+    [[nodiscard]] std::optional<OldestIntent> oldest_open_intent() const;
     /// Counts since this holder was created.
     [[nodiscard]] const Counters& counters() const { return counters_; }
 
--- a/src/duty/intent_slot.h
+++ b/src/duty/intent_slot.h
@@ -144,7 +144,9 @@
     /// Whether the slot has a record, as far as known.
     [[nodiscard]] bool has_record() const { return revision_ != 0; }
     /// Whether the slot holds a stored intent that is not completed.
-    [[nodiscard]] bool durably_open() const { return state_ == State::Open && has_record(); }
+    [[nodiscard]] bool has_open_stored_intent() const {
+        return state_ == State::Open && has_record();
+    }
     /// Whether any cloud request of the slot is in flight.
     [[nodiscard]] bool request_in_flight() const;
     /// Whether a request to release machines is in flight.
--- a/tests/duties_intents_test.cpp
+++ b/tests/duties_intents_test.cpp
@@ -43,7 +43,7 @@
 
 TEST(IntentSlot, IsOpenOnceItsRecordIsWritten) {
     const auto slot = open_slot();
-    EXPECT_TRUE(slot.durably_open());
+    EXPECT_TRUE(slot.has_open_stored_intent());
     EXPECT_EQ(slot.revision(), kRevision);
     EXPECT_EQ(slot.content(), (Intent{kEpoch, kNonce, {"host-1", "host-2"}, {}}));
 }
@@ -65,7 +65,7 @@
     slot.begin_read();
     auto other = slot;
     EXPECT_EQ(slot.on_read(read_back(kNonce), 0), IntentSlot::ReadEffect::Durable);
-    EXPECT_TRUE(slot.durably_open());
+    EXPECT_TRUE(slot.has_open_stored_intent());
     EXPECT_EQ(other.on_read(read_back(kNonce - 1), 0), IntentSlot::ReadEffect::None);
     EXPECT_EQ(other.state(), IntentSlot::State::Unconfirmed);
     EXPECT_EQ(other.revision(), kRevision);
@@ -130,7 +130,7 @@
 TEST(IntentSlot, InheritedProvisioningRequestIsRetriedAndNotWithdrawn) {
     const ProvisionRequest request{"r-1", "box", "a", false, 2};
     auto slot = IntentSlot::inherited({kKey, kRevision, false, {kEpoch, kNonce, {}, {request}}}, 0);
-    EXPECT_TRUE(slot.durably_open());
+    EXPECT_TRUE(slot.has_open_stored_intent());
     EXPECT_EQ(slot.withdraw_outdated(kMuchLater), 0U);
     auto* provision = slot.due_provision(0);
     ASSERT_NE(provision, nullptr);
--- a/tests/duty_exploration_test.cpp
+++ b/tests/duty_exploration_test.cpp
@@ -64,7 +64,7 @@
 struct State {
     std::uint64_t revision = 0;
     std::uint64_t leader = 0;  // revision of the leader key; 0: no leader
-    std::uint64_t terms = 0;
+    std::uint64_t terms = 0;   // number of elections so far
     std::map<std::string, Record> records;
     std::array<std::uint64_t, kMachines> used_by{};  // last term that placed work on the machine
     std::array<bool, kMachines> gone{};
@@ -104,7 +104,7 @@
     }
 };
 
-std::string machine(std::size_t index) { return "host-" + std::to_string(index); }
+std::string machine_name(std::size_t index) { return "host-" + std::to_string(index); }
 
 class Explorer {
   public:
@@ -221,11 +221,12 @@
     // uses only machines that are not to be released.
     static bool place(State& state, std::size_t node_index, std::size_t machine_index) {
         const auto& node = state.nodes[node_index];
-        const bool may = node.holder->inherited_intents_loaded() &&
-                         state.leader == node.lease_revision && !node.unusable[machine_index] &&
-                         !state.gone[machine_index] && state.used_by[machine_index] != node.term;
-        if (may) state.used_by[machine_index] = node.term;
-        return may;
+        const bool allowed = node.holder->inherited_intents_loaded() &&
+                             state.leader == node.lease_revision && !node.unusable[machine_index] &&
+                             !state.gone[machine_index] &&
+                             state.used_by[machine_index] != node.term;
+        if (allowed) state.used_by[machine_index] = node.term;
+        return allowed;
     }
 
     bool decide_release(State& state, std::size_t node_index, std::size_t machine_index) const {
@@ -236,7 +237,7 @@
         }
         ++node.releases;
         node.unusable[machine_index] = true;
-        mutable_holder(state, node_index)->queue_release(machine(machine_index), true, 0);
+        mutable_holder(state, node_index)->queue_release(machine_name(machine_index), true, 0);
         return true;
     }
 
@@ -291,7 +292,7 @@
         for (const auto& change : write.changes()) {
             if (const auto* record = std::get_if<DutyRecord>(&change.value)) {
                 const auto before = std::get<DutyRecord>(state.records[change.key].value).epoch;
-                if (record->epoch <= before) state.violated_rule = "an epoch went back";
+                if (record->epoch <= before) state.violated_rule = "an epoch decreased";
             }
             if (std::holds_alternative<std::monostate>(change.value)) {
                 state.records.erase(change.key);
@@ -344,14 +345,14 @@
         const auto releases = mutable_holder(state, message.node)->on_intents_read(page, 0);
         for (std::size_t m = 0; m < kMachines; ++m) {
             const bool releases_machine =
-                std::find(releases.begin(), releases.end(), machine(m)) != releases.end();
+                std::find(releases.begin(), releases.end(), machine_name(m)) != releases.end();
             if (releases_machine) state.nodes[message.node].unusable[m] = true;
         }
     }
     void execute(State& state, const Message& message, const RequestRelease& action) const {
         for (std::size_t m = 0; m < kMachines; ++m) {
             const auto& names = action.request.machines();
-            if (std::find(names.begin(), names.end(), machine(m)) == names.end()) continue;
+            if (std::find(names.begin(), names.end(), machine_name(m)) == names.end()) continue;
             if (!state.gone[m] && state.used_by[m] > message.term) {
                 state.violated_rule = "a replaced holder releases a machine in use";
             }
