--- a/src/control/cleanup_rounds.cpp
+++ b/src/control/cleanup_rounds.cpp
@@ -15,7 +15,7 @@
 
 constexpr Millis kRoundPauseMs = 300'000;
 constexpr std::size_t kMaxJobsPerPage = 20;  // each costs a read of its terminal state
-constexpr std::size_t kWritesPerPage = 2;    // the rate limit must allow them before a page begins
+constexpr std::size_t kWritesPerPage = 2;    // a page begins only if the rate limit allows these
 
 // The job id in a key `place/ID/K`; empty if the key has another form.
 std::string job_id_from_key(const std::string& key) {
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -91,7 +91,7 @@
     if (term_.step_down_if_replaced(result)) return;
     for (const auto& write : writes) on_placement_record_written(write, result);
     write_due();
-    on_placements_durable_();
+    on_placement_outcomes_();
 }
 
 void RecordWriter::on_placement_record_written(const core::RecordWrite& write,
@@ -141,7 +141,7 @@
     term_.cluster->with_lock(
         [&](core::Cluster& cluster) { cluster.on_record_reread(write, revision, nonce, now); });
     write_due();
-    on_placements_durable_();
+    on_placement_outcomes_();
 }
 
 std::optional<RecordWriter::TerminalWrite> RecordWriter::next_terminal_write() {
--- a/src/control/record_writer.h
+++ b/src/control/record_writer.h
@@ -17,12 +17,12 @@
 /// after failover is complete.
 class RecordWriter {
   public:
-    /// `on_placements_durable` is called after the outcomes of placement writes, failed ones
+    /// `on_placement_outcomes` is called after the outcomes of placement writes, failed ones
     /// included, are applied to the cluster state. Commands may then be due.
-    RecordWriter(Term& term, JobWatcher& job_watcher, std::function<void()> on_placements_durable)
+    RecordWriter(Term& term, JobWatcher& job_watcher, std::function<void()> on_placement_outcomes)
         : term_(term),
           job_watcher_(job_watcher),
-          on_placements_durable_(std::move(on_placements_durable)) {}
+          on_placement_outcomes_(std::move(on_placement_outcomes)) {}
 
     /// Sends the writes that are due, within the bounds on transactions in flight. Does nothing
     /// unless the leader's lease is valid.
@@ -57,7 +57,7 @@
 
     Term& term_;
     JobWatcher& job_watcher_;
-    std::function<void()> on_placements_durable_;
+    std::function<void()> on_placement_outcomes_;
     int placement_writes_in_flight_ = 0;
     int terminal_writes_in_flight_ = 0;
     bool removing_orphans_ = false;
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -14,9 +14,9 @@
 
 using core::Millis;
 
-/// Permission to act for a duty, to the holder's knowledge. The holder may have been replaced
-/// already, so a permit alone does not make an action safe: a write depends on the conditions of
-/// its transaction, a cloud request on an intent that was stored before.
+/// Permission to act for a duty, as far as the holder knows. It may have been replaced without
+/// knowing, so a permit alone does not make an action safe: a write is protected by the conditions
+/// of its transaction, a cloud request by an intent that is stored before it is sent.
 class Permit {
   public:
     /// Duty that the permit is for.
