--- a/src/duty/claim.h
+++ b/src/duty/claim.h
@@ -21,13 +21,13 @@
     /// State of the claim.
     enum class State : std::uint8_t {
         Unfenced,  ///< fencing has not begun: the lease alone permits actions
-        ReadDue,
-        Reading,
-        WriteDue,
-        Writing,
-        Held,
-        Damaged,  ///< the record cannot be parsed: no permits, so this duty is not performed
-        Lost,     ///< the lease has passed to another controller; final state
+        ReadDue,   ///< the record has to be read
+        Reading,   ///< a read of the record is in flight
+        WriteDue,  ///< the record names another claim: write it with the next epoch
+        Writing,   ///< a write of the record is in flight
+        Held,      ///< the record names this claim as the duty's holder
+        Damaged,   ///< the record cannot be parsed: no permits, so this duty is not performed
+        Lost,      ///< the lease has passed to another controller; final state
     };
     /// Configuration of a claim.
     struct Setup {
@@ -36,7 +36,8 @@
         std::uint64_t nonce = 0;         ///< unique among all claims to this duty
         RecordVersion lease;             ///< key that exists while the lease is held
         bool fencing = false;            ///< false: the claim stays unfenced
-        bool conditions = true;  ///< false only in tests of this guard: permits have no conditions
+        /// False only in tests of this guard: permits then have no conditions.
+        bool conditional_writes = true;
     };
 
     /// Starts by reading the record; without fencing it stays unfenced.
@@ -46,9 +47,9 @@
     /// the record and report the result to on_read().
     [[nodiscard]] bool begin_read();
     /// The write that is due now, if any. The caller must report its result to on_written().
-    /// `may_create`: whether a missing record may be created, which begins fencing of the duty;
-    /// once the record exists, the duty stays fenced.
-    [[nodiscard]] std::optional<FencedWrite> begin_write(bool may_create);
+    /// `may_begin_fencing`: whether a missing record may be created, which begins fencing of the
+    /// duty; once the record exists, the duty stays fenced.
+    [[nodiscard]] std::optional<FencedWrite> begin_write(bool may_begin_fencing);
     /// Processes the result of reading the record.
     void on_read(const DutyReadResult& result);
     /// Processes the result of writing the record.
@@ -68,9 +69,9 @@
     /// Current state of the claim.
     [[nodiscard]] State state() const { return state_; }
     /// Whether the duty's record names this claim as its holder.
-    [[nodiscard]] bool held() const { return state_ == State::Held; }
+    [[nodiscard]] bool holds_duty() const { return state_ == State::Held; }
     /// Epoch of this holder; 0 while the duty is not held.
-    [[nodiscard]] Epoch epoch() const { return held() ? record_.epoch : 0; }
+    [[nodiscard]] Epoch epoch() const { return holds_duty() ? record_.epoch : 0; }
     /// Key of the duty's record.
     [[nodiscard]] std::string key() const { return record_key(setup_.duty); }
     /// Duty that this claim is for.
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -14,9 +14,9 @@
 
 using core::Millis;
 
-/// Permission to act for a duty, to the holder's knowledge. The holder may have been replaced
-/// already, so a permit alone does not make an action safe: a write depends on the conditions of
-/// its transaction, a cloud request on an intent that was stored before.
+/// Permission to act for a duty, as far as the holder knows. It may have been replaced without
+/// knowing, so a permit alone does not make an action safe: a write is protected by the conditions
+/// of its transaction, a cloud request by an intent that is stored before it is sent.
 class Permit {
   public:
     /// Duty that the permit is for.
@@ -58,7 +58,7 @@
     /// An empty write under the conditions of a permit.
     explicit FencedWrite(const Permit& permit) : conditions_(permit.conditions()) {}
     /// Adds a condition.
-    void require(RecordVersion version) { conditions_.push_back(std::move(version)); }
+    void add_condition(RecordVersion version) { conditions_.push_back(std::move(version)); }
     /// Adds a value to write.
     void set(std::string key, StoredValue value) {
         changes_.push_back({std::move(key), std::move(value)});
--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -9,7 +9,7 @@
 constexpr Millis kDamagedRetryMs = 10'000;
 
 Claim::Setup claim_setup(const MachineDutyHolder::Setup& setup, Duty duty) {
-    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditions};
+    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditional_writes};
 }
 
 }  // namespace
@@ -19,13 +19,13 @@
       provisioning_(claim_setup(setup, Duty::Provisioning)),
       reclaiming_(claim_setup(setup, Duty::Reclaiming)),
       ledger_(setup.guards),
-      intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
+      inherited_intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
 
 std::vector<Action> MachineDutyHolder::due_actions(const Inputs& inputs) {
     std::vector<Action> out;
-    if (lost()) return out;
-    if (intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
-        intents_ = InheritedIntents::Reading;
+    if (lease_lost()) return out;
+    if (inherited_intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
+        inherited_intents_ = InheritedIntents::Reading;
         out.emplace_back(ReadIntents{last_read_key_});
     }
     add_claim_actions(provisioning_, inputs, out);
@@ -95,22 +95,22 @@
 
 std::vector<std::string> MachineDutyHolder::on_intents_read(const IntentPage& page, Millis now) {
     std::vector<std::string> machines;
-    if (intents_ != InheritedIntents::Reading) return machines;
+    if (inherited_intents_ != InheritedIntents::Reading) return machines;
     for (const auto& stored : page.intents) {
         ledger_.inherit(stored, now);
         last_read_key_ = stored.key;
-        if (!setup_.guards.inherit) continue;
-        const auto& named = stored.intent.releases;
-        machines.insert(machines.end(), named.begin(), named.end());
+        if (!setup_.guards.inherit_intents) continue;
+        const auto& releases = stored.intent.releases;
+        machines.insert(machines.end(), releases.begin(), releases.end());
     }
     const bool more = page.more && !page.intents.empty();
-    intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
+    inherited_intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
     return machines;
 }
 
 void MachineDutyHolder::on_intents_read_failed(Millis now) {
-    if (intents_ != InheritedIntents::Reading) return;
-    intents_ = InheritedIntents::ReadDue;
+    if (inherited_intents_ != InheritedIntents::Reading) return;
+    inherited_intents_ = InheritedIntents::ReadDue;
     retry_at_ = now + kRetryMs;
 }
 
@@ -130,12 +130,12 @@
                                          const WriteResult& result) {
     if (check == IntentLedger::FenceCheck::Intact) return;
     for (auto* claim : {&provisioning_, &reclaiming_}) {
-        if (result.failed_on(setup_.lease.key)) claim->on_lease_lost();
-        if (result.failed_on(claim->key())) claim->on_record_changed();
+        if (result.condition_failed(setup_.lease.key)) claim->on_lease_lost();
+        if (result.condition_failed(claim->key())) claim->on_record_changed();
     }
 }
 
-bool MachineDutyHolder::lost() const {
+bool MachineDutyHolder::lease_lost() const {
     return provisioning_.state() == Claim::State::Lost || reclaiming_.state() == Claim::State::Lost;
 }
 
--- a/src/duty/machine_duty_holder.h
+++ b/src/duty/machine_duty_holder.h
@@ -23,8 +23,8 @@
         std::uint64_t term = 0;  ///< fencing token of the leader, unique to its term
         RecordVersion lease;     ///< leader key, which exists while the leader lease is held
         bool fencing = false;    ///< false: no duty records or intents are stored
-        bool conditions = true;  ///< see Claim::Setup
-        IntentGuards guards;     ///< see IntentGuards
+        bool conditional_writes = true;  ///< see Claim::Setup
+        IntentGuards guards;             ///< see IntentGuards
     };
     /// Current time and the state outside the holder that the next actions depend on.
     struct Inputs {
@@ -85,12 +85,14 @@
 
     /// Whether all intents of earlier holders have been read. No work is placed before.
     [[nodiscard]] bool inherited_intents_loaded() const {
-        return intents_ == InheritedIntents::Loaded;
+        return inherited_intents_ == InheritedIntents::Loaded;
     }
     /// Whether both duties are held under an epoch.
-    [[nodiscard]] bool fenced() const { return provisioning_.held() && reclaiming_.held(); }
+    [[nodiscard]] bool fenced() const {
+        return provisioning_.holds_duty() && reclaiming_.holds_duty();
+    }
     /// Whether the lease has passed to another controller.
-    [[nodiscard]] bool lost() const;
+    [[nodiscard]] bool lease_lost() const;
     /// The claim to a duty.
     [[nodiscard]] const Claim& claim(Duty duty) const {
         return duty == Duty::Provisioning ? provisioning_ : reclaiming_;
@@ -101,7 +103,7 @@
     /// Compares the state that determines the next actions.
     friend bool operator==(const MachineDutyHolder& left, const MachineDutyHolder& right) {
         return left.provisioning_ == right.provisioning_ && left.reclaiming_ == right.reclaiming_ &&
-               left.ledger_ == right.ledger_ && left.intents_ == right.intents_;
+               left.ledger_ == right.ledger_ && left.inherited_intents_ == right.inherited_intents_;
     }
 
   private:
@@ -120,7 +122,7 @@
     Claim provisioning_;
     Claim reclaiming_;
     IntentLedger ledger_;
-    InheritedIntents intents_ = InheritedIntents::ReadDue;
+    InheritedIntents inherited_intents_ = InheritedIntents::ReadDue;
     std::string last_read_key_;
     Millis retry_at_ = 0;
 };
--- a/src/duty/pending_provision.h
+++ b/src/duty/pending_provision.h
@@ -10,7 +10,7 @@
 
 using core::Millis;
 
-/// One provisioning request and its attempts. It is settled once the cloud has responded or the
+/// One provisioning request and its attempts. It is finished once the cloud has responded or the
 /// holder has stopped retrying it. Machines that were provisioned without a response are found in
 /// the cloud's list of machines.
 class PendingProvision {
@@ -26,15 +26,15 @@
     /// Whether an attempt is in flight.
     [[nodiscard]] bool in_flight() const { return in_flight_; }
     /// Whether no further attempt is to be made.
-    [[nodiscard]] bool settled() const { return settled_; }
+    [[nodiscard]] bool finished() const { return finished_; }
     /// Whether it is still retried at short intervals, so that its result can be expected soon.
     [[nodiscard]] bool result_expected_soon() const;
     /// Whether the next attempt is due.
     [[nodiscard]] bool due(Millis now) const {
-        return !in_flight_ && !settled_ && retry_at_ <= now;
+        return !in_flight_ && !finished_ && retry_at_ <= now;
     }
-    /// Whether it has waited too long and certainly was never executed. Never true for an inherited
-    /// request, as only the holder that queued it knows whether it was sent.
+    /// Whether it has waited too long to be sent and certainly was never executed. Never true for
+    /// an inherited request, as only the holder that queued it knows whether it was sent.
     [[nodiscard]] bool outdated(Millis now) const;
 
     /// Starts an attempt. The caller must report its outcome to on_outcome().
@@ -42,8 +42,8 @@
     /// Processes the outcome of the attempt. `inherited`: the intent is one of an earlier holder,
     /// which allows more attempts.
     void on_outcome(CloudOutcome outcome, bool inherited, Millis now);
-    /// Settles the request without another attempt.
-    void withdraw() { settled_ = true; }
+    /// Ends the request without another attempt.
+    void withdraw() { finished_ = true; }
 
     /// Compares all fields.
     friend bool operator==(const PendingProvision&, const PendingProvision&) = default;
@@ -51,8 +51,8 @@
   private:
     ProvisionRequest request_;
     bool in_flight_ = false;
-    bool settled_ = false;
-    bool maybe_executed_ = false;  // an attempt without an answer may be executed, now or later
+    bool finished_ = false;
+    bool maybe_executed_ = false;  // an unanswered attempt may have been or may yet be executed
     int attempts_ = 0;
     Millis queued_at_ = 0;
     Millis retry_at_ = 0;
--- a/tests/duties_intents_test.cpp
+++ b/tests/duties_intents_test.cpp
@@ -30,10 +30,10 @@
     return slot;
 }
 
-IntentSlot settled_slot() {
+IntentSlot completed_slot() {
     auto slot = open_slot();
     slot.on_released(slot.begin_release(0).size(), CloudOutcome::Done, 0);
-    EXPECT_TRUE(slot.settle_if_complete());
+    EXPECT_TRUE(slot.complete_if_done());
     return slot;
 }
 
@@ -43,7 +43,7 @@
 
 TEST(IntentSlot, IsOpenOnceItsRecordIsWritten) {
     const auto slot = open_slot();
-    EXPECT_TRUE(slot.durably_open());
+    EXPECT_TRUE(slot.has_open_stored_intent());
     EXPECT_EQ(slot.revision(), kRevision);
     EXPECT_EQ(slot.content(), (Intent{kEpoch, kNonce, {"host-1", "host-2"}, {}}));
 }
@@ -65,7 +65,7 @@
     slot.begin_read();
     auto other = slot;
     EXPECT_EQ(slot.on_read(read_back(kNonce), 0), IntentSlot::ReadEffect::Durable);
-    EXPECT_TRUE(slot.durably_open());
+    EXPECT_TRUE(slot.has_open_stored_intent());
     EXPECT_EQ(other.on_read(read_back(kNonce - 1), 0), IntentSlot::ReadEffect::None);
     EXPECT_EQ(other.state(), IntentSlot::State::Unconfirmed);
     EXPECT_EQ(other.revision(), kRevision);
@@ -98,28 +98,28 @@
     const auto machines = slot.begin_release(0);
     EXPECT_EQ(machines.size(), 2U);
     EXPECT_TRUE(slot.on_released(machines.size(), CloudOutcome::NoAnswer, 0).empty());
-    EXPECT_FALSE(slot.settle_if_complete());
+    EXPECT_FALSE(slot.complete_if_done());
     EXPECT_FALSE(slot.release_due(0));
     EXPECT_TRUE(slot.release_due(kMuchLater));
 }
 
-TEST(IntentSlot, SettledRecordIsOverwrittenByTheNextIntent) {
-    auto slot = settled_slot();
-    EXPECT_EQ(slot.state(), IntentSlot::State::Settled);
+TEST(IntentSlot, RecordOfCompletedIntentIsOverwrittenByTheNextIntent) {
+    auto slot = completed_slot();
+    EXPECT_EQ(slot.state(), IntentSlot::State::Completed);
     slot.begin_intent(kEpoch, kNonce + 1, {{"host-3"}, {}}, 0);
     EXPECT_EQ(slot.state(), IntentSlot::State::Writing);
     EXPECT_EQ(slot.revision(), kRevision);
 }
 
 TEST(IntentSlot, RemovalFreesTheSlotOrReadsTheRecordBack) {
-    auto removed = settled_slot();
+    auto removed = completed_slot();
     removed.begin_removal();
     auto changed = removed;
     auto unanswered = removed;
     EXPECT_EQ(removed.on_removed(kWritten, kKey, 0), IntentSlot::RemovalEffect::None);
     EXPECT_EQ(removed, IntentSlot{});
     EXPECT_EQ(unanswered.on_removed(kUnanswered, kKey, 0), IntentSlot::RemovalEffect::None);
-    EXPECT_EQ(unanswered.state(), IntentSlot::State::Settled);
+    EXPECT_EQ(unanswered.state(), IntentSlot::State::Completed);
     EXPECT_EQ(changed.on_removed(kRecordChanged, kKey, 0),
               IntentSlot::RemovalEffect::RecordChanged);
     changed.begin_read();
@@ -130,16 +130,16 @@
 TEST(IntentSlot, InheritedProvisioningRequestIsRetriedAndNotWithdrawn) {
     const ProvisionRequest request{"r-1", "box", "a", false, 2};
     auto slot = IntentSlot::inherited({kKey, kRevision, false, {kEpoch, kNonce, {}, {request}}}, 0);
-    EXPECT_TRUE(slot.durably_open());
+    EXPECT_TRUE(slot.has_open_stored_intent());
     EXPECT_EQ(slot.withdraw_outdated(kMuchLater), 0U);
     auto* provision = slot.due_provision(0);
     ASSERT_NE(provision, nullptr);
     EXPECT_EQ(provision->request(), request);
     provision->begin_attempt();
-    EXPECT_FALSE(slot.settle_if_complete());
+    EXPECT_FALSE(slot.complete_if_done());
     slot.on_provisioned(request.id, CloudOutcome::NoCapacity, 0);
-    EXPECT_TRUE(slot.settle_if_complete());
-    EXPECT_EQ(slot.state(), IntentSlot::State::Settled);
+    EXPECT_TRUE(slot.complete_if_done());
+    EXPECT_EQ(slot.state(), IntentSlot::State::Completed);
 }
 
 TEST(IntentQueue, CollectsNonUrgentReleasesForOneSecond) {
