--- a/src/cli/settings_table.h
+++ b/src/cli/settings_table.h
@@ -47,7 +47,8 @@
     /// The tables of an array of tables; empty if the key is missing.
     [[nodiscard]] std::vector<SettingsTable> tables(const char* key) const;
 
-    /// Reports a problem of a key of this table.
+    /// Adds a problem with `key`, such as "is missing", to the list that was passed to the
+    /// constructor. The problem names the full path of the key.
     void report(const std::string& key, std::string message) const;
 
   private:
--- a/src/control/policy_settings.h
+++ b/src/control/policy_settings.h
@@ -44,15 +44,15 @@
 /// The allowed values of a setting; a value outside of them is rejected.
 [[nodiscard]] PolicyRange policy_range(PolicySetting setting);
 
-/// Appends the values of the `job.` variables, in the order in which they are declared.
+/// Appends the values of the variables of `job`, in the order in which they are declared.
 void append_variables(std::vector<policy::Value>& out, const core::JobFacts& job);
-/// Appends the values of the `fleet.` variables, in the order in which they are declared.
+/// Appends the values of the variables of `fleet`, in the order in which they are declared.
 void append_variables(std::vector<policy::Value>& out, const core::FleetFacts& fleet);
-/// Appends the values of the `machine.` variables. They are declared after those of the fleet,
+/// Appends the values of the variables of `machine`. They are declared after those of the fleet,
 /// which have to be appended first.
 void append_variables(std::vector<policy::Value>& out, const core::MachineFacts& machine);
-/// Appends the value of `job.rent_patience` in seconds. It is declared after the other `job.`
-/// variables, which have to be appended first.
+/// Appends the value of `job.rent_patience` in seconds. It is declared after the other variables
+/// of `job`, which have to be appended first.
 void append_provision_wait(std::vector<policy::Value>& out, double wait_s);
 
 }  // namespace lichendrift::control
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -152,7 +152,8 @@
     /// `max_records` placement records are removed with it.
     std::optional<TerminalStateWrite> next_terminal_state_write(std::size_t max_records,
                                                                 Millis now);
-    /// The terminal state is durable, or (not `ok`) was certainly not written.
+    /// Processes the result of writing a terminal state. `ok`: the state is durable; otherwise it
+    /// was certainly not written, and the write is repeated after a delay.
     void on_terminal_state_written(const TerminalStateWrite& write, bool ok, Millis now);
     /// Keys of placement records that are no longer needed and have to be removed, at most `limit`.
     /// None while those of an earlier call are being removed.
@@ -215,7 +216,7 @@
     /// Values of the operators' policy that were out of range since the last call, each reported
     /// once.
     std::vector<events::PolicyValueRejected> take_rejected_policy_values();
-    /// The known jobs.
+    /// Jobs by index, including those in a terminal state that still have tasks.
     [[nodiscard]] const std::map<JobIndex, Job>& jobs() const { return jobs_; }
     /// Machines by index. An entry in the state Gone may be free.
     [[nodiscard]] const std::vector<Machine>& machines() const { return machines_; }
--- a/src/core/safety_guards.h
+++ b/src/core/safety_guards.h
@@ -7,7 +7,8 @@
 /// docs/duties.md. All are on in production, and no setting changes them. Tests switch one off at a
 /// time to show that the simulation's checker, or the test of the fault, detects its absence.
 struct SafetyGuards {
-    // ---- "When a task is off a machine" ----
+    // ---- allocations: they are kept while their attempt may still run or start ("When a task is
+    // off a machine") ----
 
     /// A run is sent only after the placement record of its attempt is durable, so that a later
     /// leader knows of every attempt that may exist.
@@ -45,7 +46,7 @@
     /// controller may not know of yet.
     bool cancellations_bound_leases = true;
 
-    // ---- requests to the cloud (docs/duties.md) ----
+    // ---- requests to the cloud: a later holder of the duty can finish them (docs/duties.md) ----
 
     /// A request to the cloud is sent only after the intent to do so is durable.
     bool intent_before_request = true;
@@ -63,7 +64,8 @@
     /// ("Failure detection", unreachable).
     bool command_effect_check = true;
 
-    // ---- upgrades ("Layouts of placement records") ----
+    // ---- upgrades: controllers of two versions run at once and have to understand the same
+    // records ("Layouts of placement records") ----
 
     /// Off: the controller only knows the formats and messages of the version before services.
     bool current_version = true;
--- a/src/duty/intent_slot.h
+++ b/src/duty/intent_slot.h
@@ -157,7 +157,8 @@
     [[nodiscard]] Millis opened_at() const { return opened_at_; }
     /// Releases and provisioning requests that are not finished.
     [[nodiscard]] const IntentBatch& batch() const { return batch_; }
-    /// Value of the record.
+    /// The intent to write into the slot's record: epoch, nonce, and the releases and provisioning
+    /// requests that are not finished.
     [[nodiscard]] Intent content() const;
 
     /// Compares all fields.
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -72,7 +72,7 @@
     /// Enables writable events while data is unsent and disables them otherwise.
     void wait_for_events();
 
-    /// Result of `receive`.
+    /// Whether `receive` read any bytes, and if not, whether more can still arrive.
     enum class ReceiveResult : std::uint8_t {
         Data,     ///< bytes were read
         Nothing,  ///< no data is available yet
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -55,7 +55,8 @@
     Millis last_answered_at = -1;  // time of the last poll that was answered
     Millis fits_since = -1;        // since when some of it has been waiting though it would fit
     Millis first_run_at = -1;      // first time that a gang ran as a whole, or any task of an array
-    // Actual state.
+    // What the simulated workers have executed so far, even if no controller or user knows of it
+    // yet.
     std::set<std::uint32_t> done_tasks;
     std::map<std::uint64_t, double> progress;  // saved seconds by task; a gang uses task 0
     std::uint64_t starts = 0;
@@ -95,7 +96,8 @@
     bool fails_tasks = false;
     Millis hung_until = 0;
     Millis outbound_blocked_until = 0;  // cannot connect to any controller
-    // Its reports arrive, but neither responses nor commands reach it.
+    // Until then this worker's heartbeats reach the controllers, but neither their responses nor
+    // their commands reach the worker.
     Millis inbound_blocked_until = 0;
     bool inbound_delayed = false;  // commands are delivered after the block, otherwise lost
     Millis interrupted_at = -1;    // when the cloud takes the machine away; negative: never
