--- a/src/control/cleaner.cpp
+++ b/src/control/cleaner.cpp
@@ -27,6 +27,7 @@
         if (services_.host.leading() && !should_campaign()) hand_over();
         return;
     }
+    // The poll is skipped while it could delay other requests to the state service.
     if (!services_.job_watcher.loaded() || !services_.store.can_write_immediately(1)) return;
     services_.store.get(
         store::RequestPriority::Read, std::string(duty::kCleanupLeaseKey),
@@ -41,7 +42,7 @@
 }
 
 // The leader is busy with other work, so it campaigns only if it has no peers or none of them has
-// taken the duty for a while.
+// taken the duty for a while. A leader that already has a tenure ends it if this returns false.
 bool Cleaner::should_campaign() const {
     if (!services_.host.leading() || services_.settings.peers.empty()) return true;
     return vacant_since_ && services_.runtime.now() - *vacant_since_ > kLeaderCampaignsAfterMs;
@@ -58,6 +59,8 @@
 
 void Cleaner::write_lease_key(std::uint64_t lease, Millis requested_at) {
     const std::string key(duty::kCleanupLeaseKey);
+    // Written at the lowest priority: cleanup may wait. No controller parses the value; what counts
+    // is whether the key exists and its revision.
     services_.store.transact(
         store::RequestPriority::Read, {{key, 0}},
         {{key, wire::leader_value({services_.settings.member, 0}), lease}},
--- a/src/control/cleaner.h
+++ b/src/control/cleaner.h
@@ -12,9 +12,10 @@
 namespace lichendrift::control {
 
 /// Takes part in the election for the cleanup duty: removing stored records that are no longer
-/// needed. One controller holds the duty, preferably not the leader. A Cleaner lives as long as its
-/// controller; the state of one tenure (one period of holding the duty) is in CleanupTenure and
-/// CleanupRounds. Used on the event loop's thread only.
+/// needed. One controller holds the duty, preferably not the leader. It first acquires the duty's
+/// lease, then the duty: it holds the duty once the duty's record names it as the holder. A Cleaner
+/// lives as long as its controller; the state of one tenure (one period of holding the lease) is in
+/// CleanupTenure and CleanupRounds. Used on the event loop's thread only.
 class Cleaner : private CleanupTenureListener {
   public:
     /// Does nothing before start().
@@ -22,7 +23,8 @@
 
     /// Starts polling whether the duty is vacant, unless cleanup is switched off in the settings.
     void start();
-    /// Gives up the duty at once, so that another controller can take it over.
+    /// Gives up the lease, and with it the duty, at once, so that another controller can take it
+    /// over.
     void hand_over();
     /// Called when the process ends: hands over the duty and does not campaign again.
     void stop();
@@ -46,7 +48,9 @@
     CleanerServices services_;
     std::shared_ptr<CleanupTenure> tenure_;  // null: this controller does not hold the duty's lease
     CleanupCounters counters_;
-    std::optional<Millis> vacant_since_;  // empty: not known to be vacant
+    // When the lease key was first found missing; empty: not known to be vacant. Reset when the
+    // key is found present and when a tenure of this controller ends, not when a tenure begins.
+    std::optional<Millis> vacant_since_;
     bool stopped_ = false;
 };
 
--- a/src/control/cleanup_tenure.h
+++ b/src/control/cleanup_tenure.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// One tenure of the cleanup duty: the period in which one controller holds the duty's lease.
+/// One tenure of the cleanup duty: the period in which one controller holds the duty's lease. The
+/// controller holds the duty itself only once the duty's record names it.
 
 #include <memory>
 #include <optional>
@@ -26,10 +27,11 @@
     virtual void on_duty_ended(events::DutyEnd reason, duty::Epoch epoch) = 0;
 };
 
-/// One tenure of the cleanup duty, from the creation of the lease until it is lost or given up.
-/// Renews the lease, claims the duty's record and issues permits (the fencing conditions of
-/// writes). Each tenure has its own object; callbacks share ownership of it and do nothing after it
-/// has ended. Used on the event loop's thread only.
+/// One tenure of the cleanup duty. It begins when the lease key has been written under a new lease
+/// and ends when the lease or the duty is lost or given up. Renews the lease, claims the duty's
+/// record and issues permits (the fencing conditions of writes). Each tenure has its own object;
+/// callbacks share ownership of it and do nothing after it has ended. Used on the event loop's
+/// thread only.
 class CleanupTenure : public std::enable_shared_from_this<CleanupTenure> {
   public:
     /// The lease under which the duty is held.
@@ -39,8 +41,8 @@
         std::uint64_t key_revision = 0;  ///< of the key that was written under the lease
     };
 
-    /// `nonce`: a value that no claim of this duty has used before. `listener` must outlive every
-    /// callback.
+    /// `nonce`: a value that no claim of this duty has used before; by it, the claim recognizes its
+    /// own write of the duty's record. `listener` must outlive every callback.
     CleanupTenure(const CleanerServices& services, CleanupTenureListener& listener, Lease lease,
                   std::uint64_t nonce);
 
--- a/src/core/plan_new_machines.cpp
+++ b/src/core/plan_new_machines.cpp
@@ -31,6 +31,7 @@
         if (zone != kInvalidIndex && pool.zone != zone) continue;
         if (!free.covers(spec.need)) continue;
         free -= spec.need;
+        // Below the smallest need of all waiting jobs and warm capacity, no task fits any more.
         if (!free.covers(state_.capacity.smallest_need())) {
             with_capacity_.erase(with_capacity_.begin() + static_cast<std::ptrdiff_t>(k));
         }
--- a/src/core/plan_new_machines.h
+++ b/src/core/plan_new_machines.h
@@ -13,8 +13,11 @@
     /// Keeps a reference to the state, which has to outlive it.
     explicit NewMachines(PlanState& state) : state_(state) {}
 
-    /// Places `count` tasks of the job on new machines, adding spot or on-demand machines as
-    /// needed, in the zone or, with kInvalidIndex, in any zone. Returns the number of tasks not
+    /// Places `count` tasks of the job on new machines and adds machines as needed. `zone`: the
+    /// only zone that this call uses, chosen by the caller; kInvalidIndex: any. Machines are also
+    /// added only in `spec.zone`, if set. `spot`: whether spot or on-demand machines are added; the
+    /// tasks may also be placed on machines of the other kind that the plan added before. A job
+    /// that may not use spot machines is never placed on one. Returns the number of tasks not
     /// placed.
     std::uint32_t place(const JobSpec& spec, ZoneIndex zone, std::uint32_t count, bool spot);
     /// Adds to the entry of each zone the number of the job's tasks that still fit on its new
@@ -23,8 +26,9 @@
     /// Number of machines by zone, including new ones; the last entry counts machines without a
     /// known zone.
     const std::vector<std::int64_t>& machines_by_zone();
-    /// The machines to provision, grouped by pool in the order in which they were added: if the
-    /// cloud has little capacity left, jobs that come first in the queue are served first.
+    /// The machines to provision: one entry for each pool, ordered by when the pool's first machine
+    /// was added. If the caller places jobs in queue order, the pools that the first jobs need are
+    /// requested first, which matters if the cloud has little capacity left.
     [[nodiscard]] std::vector<Provision> provisions() const;
 
   private:
--- a/src/core/plan_state.h
+++ b/src/core/plan_state.h
@@ -33,7 +33,8 @@
         quota.use(spec, placement.tasks());
         capacity.prune_full_machines();
     }
-    /// Counts a machine or allocation that was examined, for Plan::steps.
+    /// Counts a machine or allocation that was examined, for Plan::steps. The count measures the
+    /// plan's cost; it does not limit the plan.
     void count_step() { ++plan.steps; }
 
     const Snapshot& snapshot;            ///< the input of the plan
--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -34,7 +34,8 @@
         return out;
     const auto provisioning = provisioning_.permit(inputs.not_after);
     const auto reclaiming = reclaiming_.permit(inputs.not_after);
-    // While fencing begins, one duty may already be fenced and the other not: wait for both.
+    // Fencing of a duty begins when its record is first written, once every controller supports
+    // it. One duty may then already be fenced and the other not yet: wait for both.
     if (!provisioning || !reclaiming || provisioning->fenced() != reclaiming->fenced()) return out;
     if (provisioning->fenced()) {
         ledger_.requeue_unfenced();
@@ -124,8 +125,9 @@
     on_fence_checked(ledger_.on_removed(slots, result, now), result);
 }
 
-// The failed condition shows whether the lease has passed to another controller or only the record
-// of a duty has changed.
+// Called after the transaction that writes or removes intents. If a condition other than an
+// intent's revision failed, it shows whether the lease has passed to another controller or only the
+// record of a duty has changed.
 void MachineDutyHolder::on_fence_checked(IntentLedger::FenceCheck check,
                                          const WriteResult& result) {
     if (check == IntentLedger::FenceCheck::Intact) return;
--- a/src/duty/machine_duty_holder.h
+++ b/src/duty/machine_duty_holder.h
@@ -10,11 +10,11 @@
 namespace lichendrift::duty {
 
 /// Performs the duties of provisioning and reclaiming for a leader, in a fixed order: it reads the
-/// intents of earlier holders and claims the duties under the leader's lease before it sends
-/// requests to the cloud. The class does no I/O: due_actions() returns actions, and each is in
-/// flight until its result is reported. The daemon carries the actions out
-/// (control/machine_duties.h); the exploration in the tests drives the same class through all
-/// interleavings.
+/// intents of earlier holders (stored lists of the cloud requests that they were about to send) and
+/// claims the duties under the leader's lease before it sends requests to the cloud. The class does
+/// no I/O: due_actions() returns actions, and each is in flight until its result is reported. The
+/// daemon carries the actions out (control/machine_duties.h); the exploration in the tests drives
+/// the same class through all interleavings.
 class MachineDutyHolder {
   public:
     /// Configuration of a holder.
@@ -55,7 +55,8 @@
     [[nodiscard]] std::vector<std::string> on_intents_read(const IntentPage& page, Millis now);
     /// Reports that ReadIntents failed; it is retried after a delay.
     void on_intents_read_failed(Millis now);
-    /// Reports the result of ReadIntent.
+    /// Reports the result of ReadIntent. `slot`, here and below: number of the IntentSlot, which
+    /// holds one intent and the state of its record and requests.
     void on_intent_read(std::uint32_t slot, const IntentReadResult& result, Millis now) {
         ledger_.on_read(slot, result, now);
     }
@@ -83,7 +84,8 @@
         ledger_.queue_provision(std::move(request), now);
     }
 
-    /// Whether all intents of earlier holders have been read. No work is placed before.
+    /// Whether all intents of earlier holders have been read. A new leader places no work before
+    /// (enforced by control::Leader), because machines to be released must not get tasks.
     [[nodiscard]] bool inherited_intents_loaded() const {
         return inherited_intents_ == InheritedIntents::Loaded;
     }
@@ -100,7 +102,8 @@
     /// The intents of this holder.
     [[nodiscard]] const IntentLedger& ledger() const { return ledger_; }
 
-    /// Compares the state that determines the next actions.
+    /// Compares the claims, the ledger and the progress of reading inherited intents. The setup and
+    /// the time and start key of the next read are not compared.
     friend bool operator==(const MachineDutyHolder& left, const MachineDutyHolder& right) {
         return left.provisioning_ == right.provisioning_ && left.reclaiming_ == right.reclaiming_ &&
                left.ledger_ == right.ledger_ && left.inherited_intents_ == right.inherited_intents_;
