--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -298,7 +298,8 @@
     const ClassObjectives& objectives_of(ClassIndex index, const std::string& name);
     void note_arrival(const JobSpec& spec, Millis now);
 
-    // Reports, see heartbeats.cpp.
+    // Reconcile the state of a machine and its allocations with a worker's report; defined in
+    // heartbeats.cpp.
     void update_machine(Reconciliation& context);
     void on_new_session(Reconciliation& context);
     void update_sync(Reconciliation& context);
@@ -313,7 +314,8 @@
     void add_unexpected_allocation(Reconciliation& context, JobIndex index, const TaskReport& task);
     void collect_tasks_to_reap(Reconciliation& context);
 
-    // Commands, see commands.cpp.
+    // Choose the commands to send to a worker and handle the results of direct run commands;
+    // defined in commands.cpp.
     std::vector<Command> commands_for(MachineIndex index, const CommandMessage& message);
     void append_reaps(Machine& machine, const CommandMessage& message, std::vector<Command>& out);
     [[nodiscard]] bool awaits_durable_result(const TaskReport& task) const;
@@ -322,7 +324,8 @@
     PendingCommands pending_commands(const Machine& machine, bool may_start);
     void on_run_result(MachineIndex index, const Command& run, DirectResult result, Millis now);
 
-    // Machines, see machines.cpp.
+    // Check machines for failures, start their release and forget them some time after it; defined
+    // in machines.cpp.
     [[nodiscard]] std::optional<Millis> policy_heartbeat_timeout() const;
     static void start_release(Machine& machine, const FailureDetector::Failure& failure,
                               std::vector<events::Event>& events);
@@ -331,7 +334,7 @@
     [[nodiscard]] const Allocation* unwanted_unconfirmed_run(const Machine& machine,
                                                              Millis now) const;
 
-    // Plans, see cluster.cpp.
+    // Apply the starts, preemptions, releases and drains of a plan; defined in cluster.cpp.
     void apply_start(const Start& start, AppliedPlan& applied, Millis now);
     [[nodiscard]] events::JobPlaced placed_event(const Job& job, const Start& start,
                                                  const std::vector<TaskPlacement>& placements,
@@ -341,7 +344,7 @@
     void cancel_consolidation(AppliedPlan& applied);
     void move_tasks_off(MachineIndex index, Millis now);
 
-    // The planner's snapshot, see snapshot.cpp.
+    // Most of these build the planner's snapshot of the cluster and are defined in snapshot.cpp.
     void add_teams(Snapshot& out) const;
     void add_warm_capacity(Snapshot& out) const;
     void add_unavailable_pools(Snapshot& out) const;
--- a/src/duty/fence.h
+++ b/src/duty/fence.h
@@ -57,7 +57,8 @@
   public:
     /// An empty write under the conditions of a permit.
     explicit FencedWrite(const Permit& permit) : conditions_(permit.conditions()) {}
-    /// Adds a condition.
+    /// Adds the condition that the key of `version` has its revision when the write is executed;
+    /// revision 0: that the key does not exist.
     void add_condition(RecordVersion version) { conditions_.push_back(std::move(version)); }
     /// Adds a value to write.
     void set(std::string key, StoredValue value) {
--- a/src/duty/intent_ledger.cpp
+++ b/src/duty/intent_ledger.cpp
@@ -152,7 +152,8 @@
             ++counters_.written;
             return FenceCheck::Intact;
         case IntentSlot::WriteEffect::TooLarge: {
-            // The limits of the state service have been lowered.
+            // The limits of the state service have been lowered. The batch goes back to the front
+            // of the queue, and the limit for later batches is half its entries, but at least one.
             const auto queued_at = slot.opened_at();
             queue_.requeue_rejected(slot.take_back_batch(now), queued_at);
             return FenceCheck::Intact;
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -430,7 +430,9 @@
     Millis link_delay_until_ = 0;
     Millis state_delay_ = 0;
     Millis state_delay_until_ = 0;
-    // Duties.
+    // For the checks and tests of duties: a callback for the controllers' requests, the epochs seen
+    // in the state service and at the cloud, counts of release requests and of freezes, and the
+    // injected loss of the cloud's responses.
     Observer observer_;
     std::map<std::uint64_t, std::uint64_t> token_by_epoch_;  // holders' fencing tokens
     std::map<std::string, std::uint64_t> highest_epoch_by_duty_;
