--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -1,5 +1,4 @@
-// What all parts of the leader share: the condition of their writes and how they find out that
-// another controller leads.
+// The condition of the leader's writes, and the check that detects another controller's election.
 #include "control/term.h"
 
 #include <algorithm>
@@ -9,7 +8,7 @@
 namespace lichendrift::control {
 
 wire::Condition Term::leadership_condition() const {
-    if (!settings.guards.leader_condition) return {"no-such-key", 0};
+    if (!settings.guards.leader_record_condition) return {"no-such-key", 0};
     return {std::string(core::keys::kLeader), leader_revision};
 }
 
--- a/src/core/admission_check.cpp
+++ b/src/core/admission_check.cpp
@@ -1,4 +1,4 @@
-// The admission check: whether what the planner wants to start is still allowed.
+// The admission check: whether a start that the planner decided on is still allowed.
 #include "core/admission_check.h"
 
 #include <algorithm>
@@ -7,21 +7,22 @@
 
 namespace {
 
-constexpr Millis kUsableMargin = 500;  // beyond two intervals between heartbeats
+// A machine is usable until its newest heartbeat is older than two intervals and this margin.
+constexpr Millis kUsableMargin = 500;
 
 }  // namespace
 
 bool AdmissionCheck::is_usable(const Machine& machine, Millis now) const {
-    return machine.life == Machine::Life::Up && machine.synced && !machine.drain.any() &&
-           !machine.taken_at && machine.type != kInvalidIndex && machine.quarantine_until <= now &&
-           machine.unreachable_since == 0 &&
+    return machine.lifecycle == Machine::Lifecycle::Up && machine.synced && !machine.drain.any() &&
+           !machine.reclaim_at && machine.type != kInvalidIndex &&
+           machine.quarantine_until <= now && machine.unreachable_since == 0 &&
            now - machine.last_heartbeat_at <= report_ms_ * 2 + kUsableMargin;
 }
 
 tl::expected<void, StartRefusal> AdmissionCheck::check_start(
     const Job& job, const std::vector<TaskPlacement>& placements, Millis now) const {
     const JobSpec& spec = job.spec;
-    if (job.over || job.finishing || spec.team == kInvalidIndex) {
+    if (job.terminal || job.writing_terminal_state || spec.team == kInvalidIndex) {
         return tl::unexpected(StartRefusal::JobNotOpen);
     }
     std::map<MachineIndex, Resources> free;
@@ -39,8 +40,8 @@
         if (!meets_constraints(spec, machine)) {
             return tl::unexpected(StartRefusal::ConstraintViolated);
         }
-        const auto [it, fresh] = free.try_emplace(index, state_.types[machine.type].room);
-        if (fresh) it->second -= machine.used;
+        const auto [it, inserted] = free.try_emplace(index, state_.types[machine.type].capacity);
+        if (inserted) it->second -= machine.used;
         if (!it->second.covers(spec.need)) return tl::unexpected(StartRefusal::NoCapacity);
         it->second -= spec.need;
         ++zones[machine.zone];
@@ -59,14 +60,14 @@
     return spec.spot || !machine.spot;
 }
 
-// `zones`: how many tasks of the job would be in each.
+// `zones`: number of the job's tasks in each zone after the start.
 bool AdmissionCheck::zones_allowed(const JobSpec& spec,
                                    const std::map<ZoneIndex, std::uint32_t>& zones) {
-    if (!spec.one_zone && !spec.apart) return true;
-    // Tasks on machines whose zone is not known could be anywhere.
+    if (!spec.one_zone && !spec.spread_zones) return true;
+    // A task on a machine whose zone is unknown could be in any zone.
     if (zones.contains(kInvalidIndex)) return false;
     if (spec.one_zone && zones.size() > 1) return false;
-    if (!spec.apart) return true;
+    if (!spec.spread_zones) return true;
     return std::all_of(zones.begin(), zones.end(),
                        [&](const auto& zone) { return zone.second <= (spec.count + 1) / 2; });
 }
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -1,4 +1,4 @@
-// Jobs as they come and go, and the plans of the planner as they are checked and applied.
+// Adding and ending jobs, and checking and applying the plans of the planner.
 #include "core/cluster.h"
 
 #include <cmath>
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr Millis kStarvingGang = 60'000;
-constexpr Millis kStarvingArray = 120'000;
-constexpr std::size_t kMaxWarm = 16;  // images
+constexpr Millis kGangStarvationThreshold = 60'000;
+constexpr Millis kArrayStarvationThreshold = 120'000;
+constexpr std::size_t kMaxRecentImages = 16;  // images with a recent arrival that are remembered
 constexpr std::uint64_t kAttemptsPerToken = 10'000'000;
-constexpr double kMinRestToMoveMs = 60'000;  // what ends sooner is not moved off a drained machine
+constexpr double kMinRemainingToMoveMs = 60'000;  // tasks that end sooner are not moved by a drain
 
-constexpr double kRoundingError = 1e-6;  // of decimal amounts as doubles, in thousandths
+constexpr double kRoundingError = 1e-6;  // of decimal amounts stored as doubles, in thousandths
 
 std::int64_t need_thousandths(double amount) {
     return static_cast<std::int64_t>(std::ceil(amount * 1000.0 - kRoundingError));
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Cluster::Cluster(ClusterSettings settings, Names& types, Names& zones)
+Cluster::Cluster(ClusterSettings settings, NameTable& types, NameTable& zones)
     : settings_(std::move(settings)),
       types_(types),
       zones_(zones),
@@ -34,8 +34,8 @@
         team_list_.push_back(team);
     }
     team_used_.resize(team_list_.size());
-    team_busy_.resize(team_list_.size(), -1);
-    settings_.tuning.reservations = settings_.guards.claims;
+    team_last_active_.resize(team_list_.size(), -1);
+    settings_.tuning.reservations = settings_.guards.starvation_reservations;
     for (const auto& objective : settings_.objectives) {
         if (objective.kind == Objective::Kind::Guarantee) guarantee_s_ = objective.within_s;
     }
@@ -50,37 +50,37 @@
     }
 }
 
-void Cluster::add_job(const JobText& text, std::uint64_t open_revision, Millis now, bool over,
-                      Millis age_ms) {
+void Cluster::add_job(const JobDescription& text, std::uint64_t open_revision, Millis now,
+                      bool terminal, Millis age_ms) {
     if (job_ids_.contains(text.id)) return;
     const auto index = next_job_++;
     job_ids_.emplace(text.id, index);
     Job& job = jobs_[index];
     job.id = text.id;
-    job.text = text;
+    job.description = text;
     job.open_revision = open_revision;
-    job.over = over;
-    job.aborted = over;
-    // A new leader goes on counting: with a change of leader every few minutes nothing would ever
-    // have waited long enough to go first.
+    job.terminal = terminal;
+    job.cancelled = terminal;
+    // The waiting time counts from the submission, not from the start of the term. With a change of
+    // leader every few minutes, no job would ever reach its starvation threshold otherwise.
     job.waiting_since = now - std::max<Millis>(age_ms, 0);
     job.done_flags.resize(text.count);
     job.spec = make_spec(text);
     JobSpec& spec = job.spec;
     const ClassObjectives& objectives = objectives_of(spec.cls, text.cls);
-    // A replica that is not up is a loss for as long as it is not.
+    // Replicas should always start soon, as their service suffers for as long as they are down.
     spec.has_start_objective = spec.service || !objectives.start_within_s.empty();
-    spec.starvation_threshold_ms = spec.gang ? kStarvingGang : kStarvingArray;
+    spec.starvation_threshold_ms = spec.gang ? kGangStarvationThreshold : kArrayStarvationThreshold;
     if (settings_.policy) {
-        const auto about = facts(job);
-        spec.weights = settings_.policy->weights(about);
+        const auto job_facts = facts(job);
+        spec.weights = settings_.policy->weights(job_facts);
         spec.starvation_threshold_ms =
-            static_cast<Millis>(settings_.policy->starvation_threshold_s(about) * 1000);
+            static_cast<Millis>(settings_.policy->starvation_threshold_s(job_facts) * 1000);
     }
     if (spec.has_start_objective) note_arrival(spec, now);
 }
 
-JobSpec Cluster::make_spec(const JobText& text) {
+JobSpec Cluster::make_spec(const JobDescription& text) {
     JobSpec spec;
     spec.cls = classes_.intern(text.cls);
     spec.team = teams_.find(text.team);
@@ -101,7 +101,7 @@
     }
     spec.zone = text.zone ? zones_.intern(*text.zone) : kInvalidIndex;
     spec.one_zone = text.one_zone;
-    spec.apart = text.apart;
+    spec.spread_zones = text.spread_zones;
     spec.spot = text.spot;
     spec.estimate_s = text.estimate_s;
     spec.checkpoint_s = text.checkpoint_s;
@@ -111,7 +111,7 @@
     return spec;
 }
 
-// The objectives of a class are collected when the first job of it comes.
+// Collects the objectives of a class when its first job is added.
 const ClassObjectives& Cluster::objectives_of(ClassIndex index, const std::string& name) {
     if (class_objectives_.size() > index) return class_objectives_[index];
     class_objectives_.resize(index + 1);
@@ -128,29 +128,30 @@
     return objectives;
 }
 
-// What keeps capacity warm for the next jobs of the class.
+// Updates the arrival rate and the recent images, from which follows what capacity is kept warm for
+// the next jobs of the class.
 void Cluster::note_arrival(const JobSpec& spec, Millis now) {
-    warm_[spec.image] = now;
+    recent_images_[spec.image] = now;
     Arrivals& arrivals = arrivals_[spec.cls];
-    const double passed = static_cast<double>(now - arrivals.at) / kRateFor;
-    arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kRateFor;
+    const double passed = static_cast<double>(now - arrivals.at) / kArrivalRateWindowMs;
+    arrivals.rate = arrivals.rate * std::exp(-passed) + spec.count * 1000.0 / kArrivalRateWindowMs;
     arrivals.at = now;
     arrivals.spec = spec;
-    if (warm_.size() <= kMaxWarm) return;
-    warm_.erase(std::min_element(
-        warm_.begin(), warm_.end(),
+    if (recent_images_.size() <= kMaxRecentImages) return;
+    recent_images_.erase(std::min_element(
+        recent_images_.begin(), recent_images_.end(),
         [](const auto& one, const auto& other) { return one.second < other.second; }));
 }
 
-void Cluster::job_over(const std::string& job_id, bool aborted, Millis now) {
+void Cluster::on_job_terminal(const std::string& job_id, bool cancelled, Millis now) {
     auto found = job_ids_.find(job_id);
     if (found == job_ids_.end()) return;
     const auto index = found->second;
     Job& job = jobs_[index];
-    if (job.over) return;
-    job.over = true;
-    job.aborted = aborted;
-    job.finishing = false;
+    if (job.terminal) return;
+    job.terminal = true;
+    job.cancelled = cancelled;
+    job.writing_terminal_state = false;
     std::vector<AllocationIndex> allocated;
     for (const auto& [task, allocation_index] : job.allocations) {
         allocated.push_back(allocation_index);
@@ -159,11 +160,11 @@
         const Allocation& allocation = allocations_[allocation_index];
         if (is_unsent(allocation)) {
             release(allocation_index, false, now);
-        } else if (aborted) {
+        } else if (cancelled) {
             stop_allocation(allocation_index, 0, now);
         }
     }
-    drop_if_gone(index);
+    forget_if_finished(index);
 }
 
 std::vector<events::PolicyValueRejected> Cluster::take_rejected_policy_values() {
@@ -177,11 +178,12 @@
     for (const auto& preemption : plan.preemptions) apply_preemption(preemption, applied, now);
     for (const auto index : plan.releases) apply_release(machines_[index], applied);
     if (plan.capacity_short) cancel_consolidation(applied);
-    const bool may_drain = now - drained_at_ >= settings_.tuning.drain_interval_ms;
+    const bool may_drain = now - last_drain_at_ >= settings_.tuning.drain_interval_ms;
     for (const auto index : plan.drains) {
         Machine& machine = machines_[index];
-        if (machine.life != Machine::Life::Up || machine.drain.any() || !may_drain) continue;
-        drained_at_ = now;
+        if (machine.lifecycle != Machine::Lifecycle::Up || machine.drain.any() || !may_drain)
+            continue;
+        last_drain_at_ = now;
         machine.drain.add(DrainReason::Consolidation);
         applied.events.emplace_back(events::MachineDrainStarted{machine.name});
         move_work_off(index, now);
@@ -196,7 +198,7 @@
     Job& job = it->second;
     const auto limit = static_cast<std::uint32_t>(start.machines.size());
     if (waiting(job) < limit || job.retry_at > now) return;
-    const auto tasks = take_waiting(job, limit);
+    const auto tasks = next_waiting_tasks(job, limit);
     if (job.spec.gang && tasks.size() != job.spec.count) return;
     std::vector<TaskPlacement> placements;
     placements.reserve(tasks.size());
@@ -218,9 +220,9 @@
         allocation.attempt = attempt;
         allocation.machine = machine;
         allocation.session = machines_[machine].session;
-        allocation.since = now;
-        if (!settings_.guards.record_first) allocation.state = Allocation::State::Ready;
-        take_from_waiting(job, task);
+        allocation.created_at = now;
+        if (!settings_.guards.record_before_run) allocation.state = Allocation::State::Ready;
+        remove_from_waiting(job, task);
         add_allocation(allocation);
         mark_dirty(job, task);
     }
@@ -234,7 +236,7 @@
     const auto& images = machines_[placements.front().machine].images;
     events::JobPlaced event;
     event.job = job.id;
-    event.job_class = job.text.cls;
+    event.job_class = job.description.cls;
     event.waited_s = (now - job.waiting_since) / 1000;
     event.image_present = std::find(images.begin(), images.end(), job.spec.image) != images.end();
     event.score_percent = std::lround(start.score * 100);
@@ -251,32 +253,34 @@
     const auto index = preemption.allocation;
     if (index >= allocations_.size()) return;
     const Allocation& allocation = allocations_[index];
-    if (allocation.attempt != preemption.attempt || allocation.stop) return;
+    if (allocation.attempt != preemption.attempt || allocation.stop_requested) return;
     const Job& job = jobs_.at(allocation.job);
-    // Saving is worth its time only if more than that would be lost.
+    // A checkpoint is only worth its time if more work than that would be lost without it: half of
+    // the checkpoint interval on average.
     const bool save = job.spec.checkpoint_s > 0 && allocation.phase == TaskPhase::Running &&
                       job.spec.checkpoint_s / 2 > job.spec.save_s;
-    const auto winner = jobs_.find(preemption.preemptor);
+    const auto preemptor = jobs_.find(preemption.preemptor);
     applied.events.emplace_back(
         events::TaskPreempted{job.id, allocation.task, machines_[allocation.machine].name,
-                              winner == jobs_.end() ? std::string() : winner->second.id});
+                              preemptor == jobs_.end() ? std::string() : preemptor->second.id});
     stop_with_gang(index, save ? job.spec.save_s : 0, now);
-    ++applied.stops;
+    ++applied.preemptions;
 }
 
 void Cluster::apply_release(Machine& machine, Applied& applied) {
-    if (machine.life != Machine::Life::Up || !machine.allocations.empty()) return;
+    if (machine.lifecycle != Machine::Lifecycle::Up || !machine.allocations.empty()) return;
     machine.start_release();
     applied.events.emplace_back(
         events::MachineReleaseStarted{machine.name, events::ReleaseReason::Idle, 0, {}});
 }
 
-// Draining several machines in a row left jobs waiting beside half-empty machines that took nothing
-// any more: one in a while, and all are kept as soon as resources are short.
+// Withdraws all drains for consolidation, as capacity is short. When several machines in a row were
+// drained, jobs waited beside half-empty machines that took no new work. For the same reason only
+// one plan in a drain interval may drain machines.
 void Cluster::cancel_consolidation(Applied& applied) {
     for (auto& machine : machines_) {
         if (!machine.drain.contains(DrainReason::Consolidation) ||
-            machine.life != Machine::Life::Up) {
+            machine.lifecycle != Machine::Lifecycle::Up) {
             continue;
         }
         machine.drain.remove(DrainReason::Consolidation);
@@ -284,8 +288,8 @@
     }
 }
 
-// From a machine that is drained to save its price, what saves its progress and would run for long
-// is moved. The rest ends there.
+// Moves work off a machine that is drained for consolidation: replicas, and tasks that save
+// checkpoints and would still run for long. Other tasks finish on the machine.
 void Cluster::move_work_off(MachineIndex index, Millis now) {
     const auto allocated = machines_[index].allocations;
     for (const auto allocation_index : allocated) {
@@ -298,7 +302,7 @@
         }
         if (spec.checkpoint_s <= 0 || allocation.phase != TaskPhase::Running) continue;
         const auto ran_ms = static_cast<double>(now - allocation.running_since);
-        if (spec.estimate_s * 1000 - ran_ms < kMinRestToMoveMs) continue;
+        if (spec.estimate_s * 1000 - ran_ms < kMinRemainingToMoveMs) continue;
         stop_with_gang(allocation_index, spec.save_s, now);
     }
 }
@@ -306,7 +310,7 @@
 std::vector<std::pair<std::string, Cluster::Counts>> Cluster::job_counts(bool all) {
     std::vector<std::pair<std::string, Counts>> out;
     for (auto& [job_index, job] : jobs_) {
-        if (job.over) continue;
+        if (job.terminal) continue;
         Counts counts{job.done, 0};
         for (const auto& [task, allocation_index] : job.allocations) {
             if (allocations_[allocation_index].phase == TaskPhase::Running) ++counts.running;
--- a/src/core/machines.cpp
+++ b/src/core/machines.cpp
@@ -7,21 +7,27 @@
 
 namespace {
 
-constexpr std::size_t kMaxImages = 8;        // remembered of a machine
-constexpr Millis kUnlistedMargin = 2000;     // beyond two intervals between heartbeats
-constexpr Millis kFirstRefusedPause = 5000;  // no capacity: not asked again; then doubled
-constexpr Millis kMaxRefusedPause = 12'000;
-constexpr Millis kReleaseRetryPause = 3000;  // until a release is requested again
-constexpr Millis kForgetGone = 900'000;
-constexpr Millis kNoticeForgotten = 60'000;  // after its end, if the machine is still there
-constexpr Millis kUnlistedFor = 12'000;      // no list is that late
-// Between two tries of a job that fails everywhere. With the fetch of its image a try has to come
-// well within the 90 s for which no job may be left waiting beside capacity that fits.
+constexpr std::size_t kMaxImages = 8;     // remembered per machine
+constexpr Millis kUnlistedMargin = 2000;  // beyond two intervals between heartbeats
+// After the cloud had no capacity for a kind of machine; doubled each time.
+constexpr Millis kFirstNoCapacityBackoff = 5000;
+constexpr Millis kMaxNoCapacityBackoff = 12'000;
+constexpr Millis kReleaseRetryDelay = 3000;  // until a release is requested again
+constexpr Millis kForgetReleasedAfter = 900'000;
+// After the announced time, if the machine is still there.
+constexpr Millis kForgetNoticeAfter = 60'000;
+constexpr Millis kMaxListDelay = 12'000;  // lists of the cloud are never out of date by more
+// Between two attempts to start a job that fails everywhere. An attempt, including the download of
+// the image, has to come well within 90 s: no job may wait longer than that beside capacity that
+// fits.
 constexpr double kLongestBackoffSeconds = 30;
-constexpr Millis kReplicaRunsWell = 10'000;
-constexpr std::size_t kMaxFailedOn = 16;  // machines that a service keeps off
-constexpr double kNoticeShare = 0.7;      // of a notice; what ends sooner goes on
-constexpr Millis kFailedPause = 3000;     // for which a machine on which a task failed gets no work
+constexpr Millis kReplicaProvenAfter = 10'000;
+// Failed machines remembered for a service; when there are so many, all are forgotten.
+constexpr std::size_t kMaxFailedMachines = 16;
+// Tasks that end within this share of a notice are not stopped.
+constexpr double kNoticeShare = 0.7;
+// Time for which a machine gets no work after a task failed there.
+constexpr Millis kFailureQuarantine = 3000;
 
 }  // namespace
 
@@ -52,20 +58,21 @@
     return it->second;
 }
 
-// "Failure detection", unreachable: something that was sent to the machine has had its effect.
+// "Failure detection", unreachable: a machine is unreachable while nothing that is sent to it has
+// an effect. Something that was sent to this one had its effect.
 void Cluster::on_command_effect(MachineIndex index) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
-    machine.misses = 0;
+    machine.missed_commands = 0;
     machine.unreachable_since = 0;
 }
 
-// So many answers or commands have had no effect, although later heartbeats came.
+// `count` answers or commands had no effect, although later heartbeats have arrived.
 void Cluster::on_commands_missed(MachineIndex index, int count, Millis now) {
     if (!settings_.guards.command_effect_check) return;
     Machine& machine = machines_[index];
-    machine.misses += count;
-    if (machine.misses >= kUnreachableMisses && machine.unreachable_since == 0) {
+    machine.missed_commands += count;
+    if (machine.missed_commands >= kUnreachableMisses && machine.unreachable_since == 0) {
         machine.unreachable_since = now;
     }
 }
@@ -79,49 +86,52 @@
 void Cluster::note_failure(Job& job, MachineIndex index, Millis now) {
     job.failures++;
     note_machine_failure(job, index, now);
-    const bool sound = has_run_well(job, now);
-    // The first failure is mostly the machine's; a job that fails everywhere waits longer.
-    if (!sound && job.failed_on.size() >= 2) {
+    const bool succeeded = has_succeeded(job, now);
+    // A failure on one machine is mostly the fault of the machine. A job that has failed on several
+    // ones backs off.
+    if (!succeeded && job.failed_on.size() >= 2) {
         const double backoff_s = settings_.policy
-                                     ? settings_.policy->retry_s(facts(job))
+                                     ? settings_.policy->retry_delay_s(facts(job))
                                      : std::min(std::exp2(job.failures), kLongestBackoffSeconds);
         job.retry_at = now + static_cast<Millis>(backoff_s * 1000);
     }
 }
 
-// A job of which a task has completed has no mistake in it: its failures are the machines', and the
-// rest of it must not wait for them. Of a service, a replica that goes on running says the same.
-bool Cluster::has_run_well(const Job& job, Millis now) const {
+// Whether the job has shown that it can run: a task of it has completed or, of a service, a replica
+// has been running for some time. Failures are then the fault of the machines, and the other tasks
+// of the job must not back off for them.
+bool Cluster::has_succeeded(const Job& job, Millis now) const {
     if (!job.spec.service) return job.done > 0;
     return std::any_of(job.allocations.begin(), job.allocations.end(), [&](const auto& allocated) {
         const Allocation& allocation = allocations_[allocated.second];
         return allocation.phase == TaskPhase::Running && allocation.running_since > 0 &&
-               now - allocation.running_since >= kReplicaRunsWell;
+               now - allocation.running_since >= kReplicaProvenAfter;
     });
 }
 
-// What fails for several jobs in a row is faulty: it is drained.
+// A machine on which several jobs have failed, and no task has completed in between, is faulty and
+// is drained.
 void Cluster::note_machine_failure(Job& job, MachineIndex index, Millis now) {
-    // A service lives for long: what failed for it long ago says nothing any more.
-    if (job.spec.service && job.failed_on.size() >= kMaxFailedOn) job.failed_on.clear();
+    // A service runs for long, and machines on which it failed long ago may well be sound by now.
+    if (job.spec.service && job.failed_on.size() >= kMaxFailedMachines) job.failed_on.clear();
     job.failed_on.insert(index);
-    if (job.failed_on.size() > 2 && !has_run_well(job, now)) return;
+    if (job.failed_on.size() > 2 && !has_succeeded(job, now)) return;
     Machine& machine = machines_[index];
     machine.failed_jobs.insert(static_cast<JobIndex>(job_ids_[job.id]));
-    machine.quarantine_until = now + kFailedPause;
+    machine.quarantine_until = now + kFailureQuarantine;
     if (machine.failed_jobs.size() >= 2) {
         machine.drain.add(DrainReason::Faulty);
         stop_replicas(index, now);
     }
 }
 
-void Cluster::notice(MachineIndex index, double notice_s, Millis now) {
+void Cluster::on_spot_notice(MachineIndex index, double notice_s, Millis now) {
     Machine& machine = machines_[index];
-    machine.taken_at = now + static_cast<Millis>(notice_s * 1000);
+    machine.reclaim_at = now + static_cast<Millis>(notice_s * 1000);
     const auto allocated = machine.allocations;
     for (auto allocation_index : allocated) {
         const Allocation& allocation = allocations_[allocation_index];
-        if (allocation.job == kInvalidIndex || allocation.stop) continue;
+        if (allocation.job == kInvalidIndex || allocation.stop_requested) continue;
         const auto& spec = jobs_[allocation.job].spec;
         const double ran_s =
             allocation.running_since > 0 ? (now - allocation.running_since) / 1000.0 : 0;
@@ -144,7 +154,7 @@
         if (machine.endpoint.empty()) machine.endpoint = listed.endpoint;
         if (listed.state == ListedMachine::State::Running) machine.running = true;
         if (listed.state == ListedMachine::State::Failed && !machine.failed &&
-            machine.life != Machine::Life::Gone) {
+            machine.lifecycle != Machine::Lifecycle::Gone) {
             machine.failed = true;
             machine.start_release();
         }
@@ -153,42 +163,43 @@
 
 void Cluster::on_list_complete(const std::set<std::string>& names, Millis now) {
     for (auto& machine : machines_) {
-        // "Failure detection", stale machine entries. A record names it and newer machines are
-        // listed, it is not: it was released before its tasks were placed anew. Only its release
-        // proves that, but nothing has to be waited for.
-        if (machine.life == Machine::Life::Booting && !machine.listed &&
+        // "Failure detection", stale machine entries: a record names the machine, and the list
+        // has newer machines but not this one. So it was released, and its tasks were not placed
+        // again since. Only the confirmation of a release proves that, but it is requested at once.
+        if (machine.lifecycle == Machine::Lifecycle::Booting && !machine.listed &&
             !machine.allocations.empty() && machine.last_heartbeat_at == 0 && !names.empty() &&
             machine.name < *names.rbegin()) {
             machine.start_release();
             continue;
         }
-        // A late copy of a report makes a machine look up that was gone before this term.
+        // A late copy of a report makes a machine that was gone before this term look
+        // as if it were up.
         const bool stale = !machine.listed && !machine.allocations.empty() &&
-                           now - machine.first_seen > kUnlistedFor + settings_.report_ms;
-        if (machine.life != Machine::Life::Up || !(machine.listed || stale) ||
+                           now - machine.first_seen > kMaxListDelay + settings_.report_ms;
+        if (machine.lifecycle != Machine::Lifecycle::Up || !(machine.listed || stale) ||
             names.contains(machine.name)) {
             continue;
         }
-        // Lists are out of date at times, so it has to be silent as well.
+        // The list may be out of date, so the machine has to be silent as well.
         if (now - std::max(machine.last_heartbeat_at, machine.first_seen) >
             settings_.report_ms * 2 + kUnlistedMargin) {
             machine.start_release();
         }
     }
-    // A new leader learns here of machines that have not reported to it: nothing is provisioned
-    // beside them.
-    failure_detector_.update_cut_zones(machines_, zones_.size(), now);
+    // From the list a new leader learns of running machines that have not reported to it. A zone in
+    // which too few machines report counts as cut off, and nothing is provisioned there.
+    failure_detector_.update_partitioned_zones(machines_, zones_.size(), now);
 }
 
 void Cluster::on_provisioned(const std::string& type, const std::string& zone, bool spot,
                              const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) machine_for(name, type, zone, spot, now);
-    refused_.erase({types_.intern(type), zones_.intern(zone), spot});
+    refused_pools_.erase({types_.intern(type), zones_.intern(zone), spot});
 }
 
-void Cluster::on_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
-    auto& [until, step] = refused_[{type, zone, spot}];
-    step = std::min<Millis>(step == 0 ? kFirstRefusedPause : step * 2, kMaxRefusedPause);
+void Cluster::on_provision_refused(TypeIndex type, ZoneIndex zone, bool spot, Millis now) {
+    auto& [until, step] = refused_pools_[{type, zone, spot}];
+    step = std::min<Millis>(step == 0 ? kFirstNoCapacityBackoff : step * 2, kMaxNoCapacityBackoff);
     until = now + step;
 }
 
@@ -196,9 +207,9 @@
     std::vector<std::string> out;
     for (auto& machine : machines_) {
         if (out.size() >= limit) break;
-        if (machine.life != Machine::Life::Releasing) continue;
+        if (machine.lifecycle != Machine::Lifecycle::Releasing) continue;
         if (machine.release_requested_at != 0 &&
-            now - machine.release_requested_at < kReleaseRetryPause)
+            now - machine.release_requested_at < kReleaseRetryDelay)
             continue;
         machine.release_requested_at = now;
         out.push_back(machine.name);
@@ -213,15 +224,15 @@
         if (it == machine_ids_.end()) continue;
         Machine& machine = machines_[it->second];
         machine.on_released();
-        // The cloud has capacity for one of its kind again: an earlier refusal says nothing any
-        // more.
-        refused_.erase({machine.type, machine.zone, machine.spot});
+        // The cloud has capacity for another machine of this kind again, whatever it refused
+        // before.
+        refused_pools_.erase({machine.type, machine.zone, machine.spot});
         exited_.erase(name);
         release_all(it->second, std::numeric_limits<std::uint64_t>::max(), now);
     }
 }
 
-void Cluster::release_pending(const std::vector<std::string>& names, Millis now) {
+void Cluster::on_pending_releases(const std::vector<std::string>& names, Millis now) {
     for (const auto& name : names) {
         Machine& machine = machines_[machine_for(name, "", "", false, now)];
         machine.start_release();
@@ -235,28 +246,28 @@
 
 std::optional<Millis> Cluster::wanted_patience() const {
     if (!settings_.policy) return std::nullopt;
-    return static_cast<Millis>(settings_.policy->silent_s(fleet_facts()) * 1000);
+    return static_cast<Millis>(settings_.policy->heartbeat_timeout_s(fleet_facts()) * 1000);
 }
 
-std::vector<events::Event> Cluster::tick(Millis now, bool sure) {
+std::vector<events::Event> Cluster::tick(Millis now, bool lease_valid) {
     std::vector<events::Event> events;
-    // "Failure detection", no release without a valid leader lease.
-    if (!sure) {
+    // "Failure detection": no machine is released without a valid leader lease.
+    if (!lease_valid) {
         failure_detector_.suspend();
         return events;
     }
     failure_detector_.begin_round(machines_, zones_.size(), wanted_patience(), now);
     for (auto& machine : machines_) {
-        switch (machine.life) {
-            case Machine::Life::Gone:
+        switch (machine.lifecycle) {
+            case Machine::Lifecycle::Gone:
                 forget_released(machine, now);
                 break;
-            case Machine::Life::Releasing:
+            case Machine::Lifecycle::Releasing:
                 break;
-            case Machine::Life::Up:
+            case Machine::Lifecycle::Up:
                 check_up(machine, events, now);
                 break;
-            case Machine::Life::Booting: {
+            case Machine::Lifecycle::Booting: {
                 const bool known = machine.type != kInvalidIndex;
                 const double boot_s = known ? type_info_[machine.type].boot_s : 0;
                 if (const auto failure = failure_detector_.check_booting(machine, boot_s)) {
@@ -276,10 +287,10 @@
         events::MachineReleaseStarted{machine.name, failure.reason, failure.for_ms, {}});
 }
 
-// Its index is used again once no late report or list is to be expected; without that a leader of
-// many days would grow without bound.
+// Frees the entry of a released machine once no late report or list can name it any more. Without
+// that, the memory of a leader that stays for days would grow without bound.
 void Cluster::forget_released(Machine& machine, Millis now) {
-    if (machine.name.empty() || now - machine.release_requested_at < kForgetGone ||
+    if (machine.name.empty() || now - machine.release_requested_at < kForgetReleasedAfter ||
         !machine.allocations.empty()) {
         return;
     }
@@ -292,25 +303,27 @@
 void Cluster::check_up(Machine& machine, std::vector<events::Event>& events, Millis now) {
     const auto index = static_cast<MachineIndex>(&machine - machines_.data());
     if (const auto failure = failure_detector_.check_up(machine)) {
-        // "When a task is off a machine": no clock is part of it.
+        // "When a task is off a machine": no length of silence proves that its tasks have ended, so
+        // they count until its release is confirmed. Only tests turn this guard off.
         if (failure->reason == events::ReleaseReason::Silent &&
-            !settings_.guards.silence_is_no_proof) {
+            !settings_.guards.silent_tasks_stay_allocated) {
             release_all(index, std::numeric_limits<std::uint64_t>::max(), now);
         }
         start_release(machine, *failure, events);
         return;
     }
-    if (machine.lost_leases > 0 && now - machine.session_at > settings_.lease_ms * 3) {
+    if (machine.lost_leases > 0 && now - machine.session_started_at > settings_.lease_ms * 3) {
         machine.lost_leases = 0;
     }
     if (machine.drain.any() && machine.allocations.empty()) machine.start_release();
-    // Replicas never end by themselves and would keep it for ever.
-    if (machine.drain.any() && only_replicas(machine)) stop_replicas(index, now);
+    // Replicas never end by themselves, so the machine would never become empty.
+    if (machine.drain.any() && has_only_replicas(machine)) stop_replicas(index, now);
     if (const auto failure = failure_detector_.check_notice(machine)) {
         start_release(machine, *failure, events);
         return;
     }
-    if (machine.taken_at && now > *machine.taken_at + kNoticeForgotten) machine.taken_at.reset();
+    if (machine.reclaim_at && now > *machine.reclaim_at + kForgetNoticeAfter)
+        machine.reclaim_at.reset();
     if (const auto* run = unwanted_unconfirmed_run(machine, now)) {
         machine.start_release();
         events.emplace_back(events::MachineReleaseStarted{
@@ -318,14 +331,15 @@
     }
 }
 
-// "When a task is off a machine": unwanted and still unconfirmed, only the machine's release proves
-// that the run will not come.
+// A direct run command that is no longer wanted and still unconfirmed after a third of cancel_ms,
+// if there is one. Only the release of the machine proves that it will not be executed any more
+// ("When a task is off a machine").
 const Allocation* Cluster::unwanted_unconfirmed_run(const Machine& machine, Millis now) const {
     for (const auto index : machine.allocations) {
         const Allocation& allocation = allocations_[index];
-        if (allocation.stop && allocation.state == Allocation::State::Sent &&
+        if (allocation.stop_requested && allocation.state == Allocation::State::Sent &&
             allocation.direct_unconfirmed &&
-            now - allocation.stop_since > settings_.cancel_ms / 3) {
+            now - allocation.stop_requested_at > settings_.cancel_ms / 3) {
             return &allocation;
         }
     }
@@ -339,7 +353,7 @@
                        });
 }
 
-bool Cluster::only_replicas(const Machine& machine) const {
+bool Cluster::has_only_replicas(const Machine& machine) const {
     return !machine.allocations.empty() &&
            std::all_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](AllocationIndex allocation_index) {
@@ -350,7 +364,7 @@
 bool Cluster::has_cancelled_work(const Machine& machine) const {
     return std::any_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](AllocationIndex allocation_index) {
-                           return jobs_.at(allocations_[allocation_index].job).aborted;
+                           return jobs_.at(allocations_[allocation_index].job).cancelled;
                        });
 }
 
@@ -358,7 +372,7 @@
     ImageHints out;
     for (std::size_t i = part; i < machines_.size(); i += parts) {
         const auto& machine = machines_[i];
-        if (machine.life != Machine::Life::Up || machine.images.empty()) continue;
+        if (machine.lifecycle != Machine::Lifecycle::Up || machine.images.empty()) continue;
         auto& [name, images] = out.emplace_back(machine.name, std::vector<std::string>{});
         for (auto image : machine.images) images.push_back(images_.name(image));
     }
@@ -373,9 +387,9 @@
 }
 
 std::size_t Cluster::machine_count() const {
-    return static_cast<std::size_t>(
-        std::count_if(machines_.begin(), machines_.end(),
-                      [](const Machine& machine) { return machine.life != Machine::Life::Gone; }));
+    return static_cast<std::size_t>(std::count_if(
+        machines_.begin(), machines_.end(),
+        [](const Machine& machine) { return machine.lifecycle != Machine::Lifecycle::Gone; }));
 }
 
 }  // namespace lichendrift::core
--- a/src/core/plan_placement.cpp
+++ b/src/core/plan_placement.cpp
@@ -1,20 +1,20 @@
-// Trial placement: the best machines for tasks of a job (KEP-5732, phases 2 and 3).
+// Trial placement: finds the best machines for tasks of a job (KEP-5732, phases 2 and 3).
 #include "core/plan_placement.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// Points off for each replica of the same service on the machine and in the zone: the loss of one
-// should take few replicas with it (docs/design.md, "Services"). The machine's is less than the
-// weight of the image being there.
-constexpr double kMachineCrowding = 2.5;
-constexpr double kZoneCrowding = 0.5;
+// Points subtracted for each replica of the same service on the machine and in the zone, so that
+// the loss of a machine or a zone takes down few replicas (docs/design.md, "Services"). The penalty
+// for the machine is less than the weight of the image being there (kImageWeight).
+constexpr double kMachineColocationPenalty = 2.5;
+constexpr double kZoneColocationPenalty = 0.5;
 
 }  // namespace
 
 Placement PlacementPhase::find(const PlacementRequest& request, CapacitySource source) {
-    if (state_.failed_fits.known(request, source)) return {};
+    if (state_.failed_placements.is_known_to_fail(request, source)) return {};
     Placement best;
     std::vector<ZoneIndex> rejected_zones;
     for (const auto zone : candidate_zones(request.job.spec, state_.snapshot.zone_count)) {
@@ -23,18 +23,19 @@
             if (zone != kInvalidIndex) rejected_zones.push_back(zone);
             continue;
         }
-        // With a partial placement more tasks come first, then the tightest fit.
+        // A partial placement with more tasks wins over one with a higher score.
         if (placement.tasks() > best.tasks() ||
             (placement.tasks() == best.tasks() && placement.score > best.score)) {
             best = std::move(placement);
         }
     }
     best.rejected_zones = std::move(rejected_zones);
-    if (best.tasks() < request.count) state_.failed_fits.note(request, source);
+    if (best.tasks() < request.count) state_.failed_placements.record(request, source);
     return best;
 }
 
-// Scores each machine that fits a task at least; returns how many tasks fit on all of them.
+// Scores each machine that fits at least one task; returns how many tasks fit on all of them
+// together.
 std::int64_t PlacementPhase::score_candidates(const QueuedJob& job, ZoneIndex zone,
                                               CapacitySource source) {
     const auto& spec = job.spec;
@@ -50,13 +51,13 @@
     return fitting;
 }
 
-// Places the tasks one by one inside a candidate zone, each where it scores best.
+// Places the tasks one by one in a candidate zone, each on the machine with the highest score.
 Placement PlacementPhase::place_in(const PlacementRequest& request, ZoneIndex zone,
                                    CapacitySource source) {
     const auto& spec = request.job.spec;
     const auto fitting = score_candidates(request.job, zone, source);
     Placement placement;
-    // KEP-5732's early rejection.
+    // Early rejection (KEP-5732): the zone as a whole lacks capacity for the request.
     if (candidates_.empty() || (!request.partial && fitting < request.count)) return placement;
     auto zone_counts = request.job.waiting.zone_counts;
     zone_counts.resize(state_.snapshot.zone_count);
@@ -66,52 +67,53 @@
         state_.count_step();
         auto& best = pop_best(candidates_);
         auto& in_zone = zone_counts[state_.snapshot.machines[best.machine].zone];
-        if (spec.apart && in_zone + 1 > max_tasks_in_zone(spec)) {
+        if (spec.spread_zones && in_zone + 1 > max_tasks_in_zone(spec)) {
             candidates_.pop_back();
             continue;
         }
         if (spec.service &&
-            lower_for_crowding(best, request.job, zone_counts, placement.machines)) {
+            apply_colocation_penalty(best, request.job, zone_counts, placement.machines)) {
             std::push_heap(candidates_.begin(), candidates_.end());
             continue;
         }
         ++in_zone;
         score += best.score;
         placement.machines.push_back(best.machine);
-        return_candidate(spec);
+        reinsert_candidate(spec);
     }
     if (!request.accepts(placement.tasks())) return {};
     placement.score = score / static_cast<double>(placement.tasks());
     return placement;
 }
 
-// Lowers the score of a machine for the replicas that were placed since it was computed; returns
-// whether it fell.
-bool PlacementPhase::lower_for_crowding(ScoredMachine& candidate, const QueuedJob& job,
-                                        const std::vector<std::uint32_t>& zone_counts,
-                                        const std::vector<MachinePosition>& chosen) const {
+// Lowers the score of a machine by the penalty for replicas placed since the score was computed;
+// returns whether the score fell.
+bool PlacementPhase::apply_colocation_penalty(ScoredMachine& candidate, const QueuedJob& job,
+                                              const std::vector<std::uint32_t>& zone_counts,
+                                              const std::vector<MachinePosition>& chosen) const {
     const auto& machine = state_.snapshot.machines[candidate.machine];
     const auto& replicas = job.waiting.replica_machines;
     const auto on_machine = std::count(replicas.begin(), replicas.end(), machine.index) +
                             std::count(chosen.begin(), chosen.end(), candidate.machine);
     const auto in_zone = machine.zone < zone_counts.size() ? zone_counts[machine.zone] : 0;
-    const auto crowding = kMachineCrowding * static_cast<double>(on_machine) +
-                          kZoneCrowding * static_cast<double>(in_zone);
-    if (crowding <= candidate.crowding) return false;
-    candidate.score -= crowding - candidate.crowding;
-    candidate.crowding = crowding;
+    const auto penalty = kMachineColocationPenalty * static_cast<double>(on_machine) +
+                         kZoneColocationPenalty * static_cast<double>(in_zone);
+    if (penalty <= candidate.colocation_penalty) return false;
+    candidate.score -= penalty - candidate.colocation_penalty;
+    candidate.colocation_penalty = penalty;
     return true;
 }
 
-// The machine at the heap's back got a task: it stays a candidate while another one fits.
-void PlacementPhase::return_candidate(const JobSpec& spec) {
+// Called after the candidate at the heap's back got a task: updates its score and puts it back into
+// the heap, or removes it if no further task fits.
+void PlacementPhase::reinsert_candidate(const JobSpec& spec) {
     auto& candidate = candidates_.back();
     candidate.available -= spec.need;
     if (!candidate.available.covers(spec.need)) {
         candidates_.pop_back();
         return;
     }
-    candidate.crowding = 0;
+    candidate.colocation_penalty = 0;
     candidate.score = state_.score.of(spec, candidate.machine, candidate.available);
     std::push_heap(candidates_.begin(), candidates_.end());
 }
--- a/src/core/plan_queue.cpp
+++ b/src/core/plan_queue.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-// Jobs are starved against those of the same rank.
+// The number of starved jobs is limited for each rank separately.
 struct QueueRank {
     bool in_guarantee;
     Priority priority;
     auto operator<=>(const QueueRank&) const = default;
 };
 
-bool beyond_threshold(const PlannerTuning& tuning, const QueuedJob& job) {
+bool past_starvation_threshold(const PlannerTuning& tuning, const QueuedJob& job) {
     if (!tuning.reservations || job.waiting.waited_ms <= job.spec.starvation_threshold_ms) {
         return false;
     }
     return !job.spec.gang || job.spec.count > 1;
 }
 
-// What waited too long goes first among its equals, a few at a time: without that, newcomers with
-// an objective still ahead of them kept the largest jobs from starting for as long as they came
-// (docs/design.md, exception 1).
+// Marks the longest-waiting jobs as starved, up to max_starved_jobs of each rank: they go first
+// within their rank. Without that, the largest jobs did not start as long as new jobs kept coming
+// whose objectives could still be met (docs/design.md, exception 1).
 void mark_starved(const PlannerTuning& tuning, std::vector<QueuedJob*> jobs) {
     std::stable_sort(jobs.begin(), jobs.end(), [](const auto* left, const auto* right) {
         return left->waiting.waited_ms > right->waiting.waited_ms;
@@ -50,13 +50,15 @@
 std::vector<QueuedJob> scheduling_queue(const Snapshot& snapshot) {
     std::vector<QueuedJob> jobs;
     jobs.reserve(snapshot.waiting_jobs.size());
-    std::vector<QueuedJob*> waited_long;
+    std::vector<QueuedJob*> starvation_candidates;
     for (const auto& waiting : snapshot.waiting_jobs) {
         if (waiting.backing_off) continue;
         jobs.push_back({waiting, snapshot.jobs.at(waiting.job).spec});
-        if (beyond_threshold(snapshot.tuning, jobs.back())) waited_long.push_back(&jobs.back());
+        if (past_starvation_threshold(snapshot.tuning, jobs.back())) {
+            starvation_candidates.push_back(&jobs.back());
+        }
     }
-    mark_starved(snapshot.tuning, std::move(waited_long));
+    mark_starved(snapshot.tuning, std::move(starvation_candidates));
     std::vector<const QueuedJob*> order;
     order.reserve(jobs.size());
     for (const auto& job : jobs) order.push_back(&job);
--- a/src/core/plan_warm_capacity.cpp
+++ b/src/core/plan_warm_capacity.cpp
@@ -1,40 +1,41 @@
-// Capacity kept free for classes with a start objective.
+// Keeps capacity free for classes with a start objective.
 #include "core/plan_warm_capacity.h"
 
 namespace lichendrift::core {
 
 namespace {
 
-// A job with less slack is itself too urgent to wait for others.
+// A job with no more slack than this is too urgent to be placed after warm capacity.
 constexpr double kUrgentSlackS = 15;
 
 }  // namespace
 
-void WarmCapacityPhase::before(const QueuedJob& job) {
+void WarmCapacityPhase::before_job(const QueuedJob& job) {
     if (kept_ || job.spec.has_start_objective || job.waiting.slack_s <= kUrgentSlackS) return;
     kept_ = true;
     for (const auto& warm : state_.snapshot.warm_capacity) {
-        if (warm.spec.priority <= job.spec.priority) keep(warm);
+        if (warm.spec.priority <= job.spec.priority) keep_free(warm);
     }
 }
 
 void WarmCapacityPhase::after_all_jobs() {
     if (kept_) return;
-    for (const auto& warm : state_.snapshot.warm_capacity) keep(warm);
+    for (const auto& warm : state_.snapshot.warm_capacity) keep_free(warm);
 }
 
-void WarmCapacityPhase::keep(const WarmCapacity& warm) {
+void WarmCapacityPhase::keep_free(const WarmCapacity& warm) {
     auto left = warm.tasks;
     for (const auto source : {CapacitySource::Free, CapacitySource::Booting}) {
-        collect(warm.spec, source, left);
+        collect_candidates(warm.spec, source, left);
         left -= take_best(warm.spec, left);
     }
-    state_.capacity.thin_out();
+    state_.capacity.prune_full_machines();
     if (left > 0) provisioning_.request_warm(warm.spec, left);
 }
 
-// Scores the machines that fit a task; none if no task is left.
-void WarmCapacityPhase::collect(const JobSpec& spec, CapacitySource source, std::uint32_t count) {
+// Collects and scores the machines that fit a task; none if `count` is 0.
+void WarmCapacityPhase::collect_candidates(const JobSpec& spec, CapacitySource source,
+                                           std::uint32_t count) {
     candidates_.clear();
     for (const auto at : state_.capacity.machines_with(source)) {
         if (count == 0) break;
@@ -49,7 +50,8 @@
     std::make_heap(candidates_.begin(), candidates_.end());
 }
 
-// Takes capacity for the tasks one by one where they score best; returns for how many.
+// Takes capacity for the tasks one by one, each on the machine with the highest score. Returns the
+// number of tasks for which there was capacity.
 std::uint32_t WarmCapacityPhase::take_best(const JobSpec& spec, std::uint32_t count) {
     std::uint32_t taken = 0;
     while (taken < count && !candidates_.empty()) {
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -151,7 +151,7 @@
         for (Millis later = 1300; later < 2600; later += 50) {
             auto options = calm(230);
             options.late_start_ms = 1050;
-            options.guards.runs_on_fresh_copy = guarded;
+            options.guards.runs_need_fresh_jobs = guarded;
             Simulation simulation(options);
             simulation.set_capacity(3);
             auto j = plain("job-000001", 3, 60, 11'000);
@@ -244,20 +244,20 @@
 // tasks yet, was forgotten, and its team's quota was given to others while its tasks ran on.
 TEST(FaultCombinations, CancelledAmidATakeOverItStillCountsUntilItsTasksAreGone) {
     for (const bool guarded : {true, false}) {
-        core::Names types;
-        core::Names zones;
+        core::NameTable types;
+        core::NameTable zones;
         core::ClusterSettings settings;
         settings.teams = {{"core", {}, {4000, 0, 0}}};
         settings.token = 7;
-        settings.guards.kept_until_loaded = guarded;
+        settings.guards.keep_ended_jobs_until_records_loaded = guarded;
         core::Cluster cluster(settings, types, zones);
-        core::JobText job;
+        core::JobDescription job;
         job.id = "job-000001";
         job.team = "core";
         job.cpus = 4;
-        cluster.records_to_come();
+        cluster.await_records();
         cluster.add_job(job, 1, 1000);
-        cluster.job_over(job.id, true, 1010);
+        cluster.on_job_terminal(job.id, true, 1010);
         EXPECT_EQ(cluster.has_job(job.id), guarded);
         cluster.load_record(job.id, 0, {3, 1, {{0, 30'000'001, "host-000001", 1}}, {}}, 5, 1020);
         cluster.records_loaded();
