--- a/src/control/announcements.cpp
+++ b/src/control/announcements.cpp
@@ -1,4 +1,4 @@
-// Announcements of the leader to the other controllers.
+// Announcements from the leader to the other controllers.
 #include "control/announcements.h"
 
 #include <utility>
@@ -29,7 +29,7 @@
         {self.member, self.token, store_.responsive() && election_.has_leader_lease(), all,
          counts});
     for (const auto& peer : peers_.all()) {
-        peers_.call(peer, peer_path::kAnnouncement, body, kDeadlineMs,
+        peers_.call(peer, peer_path::kLeaderAnnouncement, body, kDeadlineMs,
                     [](const net::HttpReply&) {});
     }
 }
@@ -42,7 +42,7 @@
         on_higher_token_(announcement->token);
     }
     if (election_.accept_announcement(*announcement)) {
-        users_.set_counts(announcement->counts, announcement->complete);
+        users_.update_task_counts(announcement->counts, announcement->complete);
     }
     respond(peer_response(net::http_status::kOk));
 }
--- a/src/core/snapshot.cpp
+++ b/src/core/snapshot.cpp
@@ -10,10 +10,10 @@
 // How long a job waits for resources that are about to be free before machines are provisioned
 // for it. Used without an operators' policy.
 constexpr double kProvisionShareOfSlack = 0.5;
-constexpr double kMinProvisionPatienceS = 3;
-constexpr double kMaxProvisionPatienceS = 20;
+constexpr double kMinProvisionWaitS = 3;
+constexpr double kMaxProvisionWaitS = 20;
 constexpr double kOnDemandShareOfSlack = 0.6;
-constexpr double kMaxOnDemandPatienceS = 60;
+constexpr double kMaxOnDemandWaitS = 60;
 
 // Time since its last use for which an image of a class with a start objective counts as in use.
 constexpr Millis kImageInUseFor = 600'000;
@@ -178,7 +178,7 @@
             static_cast<double>(now - std::max(job.waiting_since, job.started_at)) / 1000.0};
         item.waited_ms = now - std::max(job.waiting_since, job.started_at);
         item.slack_s = slack_of(job.spec, class_objectives_[job.spec.cls], times,
-                                job.in_guarantee ? guarantee_s_ : 0);
+                                job.in_guarantee ? guaranteed_start_s_ : 0);
         fill_waiting_job(job, times.age_s, now, item);
         add_zone_counts(job, item);
     }
@@ -188,7 +188,7 @@
 void Cluster::add_teams(Snapshot& out) const {
     out.team_used = team_used_;
     out.teams = team_list_;
-    out.guaranteed_start_s = guarantee_s_;
+    out.guaranteed_start_s = guaranteed_start_s_;
     for (std::size_t index = 0; index < team_list_.size(); ++index) {
         // Limited in time: otherwise the guarantee of a team without work would be retained for
         // ever.
@@ -224,8 +224,8 @@
         auto& zones = out.type_zones.emplace_back();
         for (const auto& zone : type.zones) zones.push_back(zones_.intern(zone));
     }
-    for (const auto& [kind, until] : refused_pools_) {
-        if (until.first > out.now) out.refused_provisions.push_back(kind);
+    for (const auto& [pool, backoff] : refused_pools_) {
+        if (backoff.first > out.now) out.refused_provisions.push_back(pool);
     }
     for (TypeIndex type = 0; type < out.type_zones.size(); ++type) {
         for (const auto zone : out.type_zones[type]) {
@@ -257,8 +257,8 @@
         const double age_s = static_cast<double>(view.age_ms) / 1000.0;
         view.booting = age_s < type.boot_s * kBootTimeFactor + kBootMarginSeconds;
     } else if (!view.usable) {
-        // Without a report under this leader's token so far, or in quarantine, it will most likely
-        // be usable soon.
+        // A machine that has not reported under this leader's token yet, or is in quarantine, will
+        // most likely be usable soon.
         view.booting =
             !machine.drain.any() && !machine.reclaim_at &&
             now - std::max(machine.last_heartbeat_at, machine.first_seen) < kUsableAgainWithin;
@@ -311,13 +311,14 @@
     item.in_guarantee = job.in_guarantee;
     item.backing_off = job.retry_at > now;
     item.has_started = job.next_unplaced > 0;
-    // While a replica waits its service lacks it, however long ago the service was submitted.
+    // A service lacks capacity for as long as one of its replicas waits, so the slack is small,
+    // however long ago the service was submitted.
     if (job.spec.service) item.slack_s = std::min(item.slack_s, kReplicaSlackS);
     item.order_s = item.slack_s;
-    item.provision_wait_s = std::clamp(item.slack_s * kProvisionShareOfSlack,
-                                       kMinProvisionPatienceS, kMaxProvisionPatienceS);
-    item.on_demand_wait_s = std::clamp(item.slack_s * kOnDemandShareOfSlack, item.provision_wait_s,
-                                       kMaxOnDemandPatienceS);
+    item.provision_wait_s =
+        std::clamp(item.slack_s * kProvisionShareOfSlack, kMinProvisionWaitS, kMaxProvisionWaitS);
+    item.on_demand_wait_s =
+        std::clamp(item.slack_s * kOnDemandShareOfSlack, item.provision_wait_s, kMaxOnDemandWaitS);
     if (settings_.policy) {
         auto job_facts = facts(job);
         job_facts.slack_s = item.slack_s;
@@ -329,7 +330,8 @@
         item.on_demand_wait_s = settings_.policy->on_demand_wait_s(job_facts);
     }
     // A job that fails on every machine is itself at fault. If it avoided ever more machines, a new
-    // one would be provisioned for each attempt, and it would wait beside capacity that fits.
+    // one would be provisioned for each attempt, and it would wait although capacity that fits is
+    // free.
     if (has_succeeded(job, now) || job.failed_on.size() < kMachinesForJobFault) {
         item.avoided_machines.assign(job.failed_on.begin(), job.failed_on.end());
     }
--- a/src/duty/machine_duty_holder.cpp
+++ b/src/duty/machine_duty_holder.cpp
@@ -9,7 +9,7 @@
 constexpr Millis kDamagedRetryMs = 10'000;
 
 Claim::Setup claim_setup(const MachineDutyHolder::Setup& setup, Duty duty) {
-    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditions};
+    return {duty, setup.member, setup.term, setup.lease, setup.fencing, setup.conditional_writes};
 }
 
 }  // namespace
@@ -19,13 +19,13 @@
       provisioning_(claim_setup(setup, Duty::Provisioning)),
       reclaiming_(claim_setup(setup, Duty::Reclaiming)),
       ledger_(setup.guards),
-      intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
+      inherited_intents_(setup.fencing ? InheritedIntents::ReadDue : InheritedIntents::Loaded) {}
 
 std::vector<Action> MachineDutyHolder::due_actions(const Inputs& inputs) {
     std::vector<Action> out;
-    if (lost()) return out;
-    if (intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
-        intents_ = InheritedIntents::Reading;
+    if (lease_lost()) return out;
+    if (inherited_intents_ == InheritedIntents::ReadDue && retry_at_ <= inputs.now) {
+        inherited_intents_ = InheritedIntents::Reading;
         out.emplace_back(ReadIntents{last_read_key_});
     }
     add_claim_actions(provisioning_, inputs, out);
@@ -34,7 +34,8 @@
         return out;
     const auto provisioning = provisioning_.permit(inputs.not_after);
     const auto reclaiming = reclaiming_.permit(inputs.not_after);
-    // While fencing begins, one duty may already be fenced and the other not: wait for both.
+    // Fencing of a duty begins when its record is first written, once every controller supports
+    // it. One duty may then already be fenced and the other not yet: wait for both.
     if (!provisioning || !reclaiming || provisioning->fenced() != reclaiming->fenced()) return out;
     if (provisioning->fenced()) {
         ledger_.requeue_unfenced();
@@ -95,22 +96,22 @@
 
 std::vector<std::string> MachineDutyHolder::on_intents_read(const IntentPage& page, Millis now) {
     std::vector<std::string> machines;
-    if (intents_ != InheritedIntents::Reading) return machines;
+    if (inherited_intents_ != InheritedIntents::Reading) return machines;
     for (const auto& stored : page.intents) {
         ledger_.inherit(stored, now);
         last_read_key_ = stored.key;
-        if (!setup_.guards.inherit) continue;
-        const auto& named = stored.intent.releases;
-        machines.insert(machines.end(), named.begin(), named.end());
+        if (!setup_.guards.inherit_intents) continue;
+        const auto& releases = stored.intent.releases;
+        machines.insert(machines.end(), releases.begin(), releases.end());
     }
     const bool more = page.more && !page.intents.empty();
-    intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
+    inherited_intents_ = more ? InheritedIntents::ReadDue : InheritedIntents::Loaded;
     return machines;
 }
 
 void MachineDutyHolder::on_intents_read_failed(Millis now) {
-    if (intents_ != InheritedIntents::Reading) return;
-    intents_ = InheritedIntents::ReadDue;
+    if (inherited_intents_ != InheritedIntents::Reading) return;
+    inherited_intents_ = InheritedIntents::ReadDue;
     retry_at_ = now + kRetryMs;
 }
 
@@ -124,18 +125,19 @@
     on_fence_checked(ledger_.on_removed(slots, result, now), result);
 }
 
-// The failed condition shows whether the lease has passed to another controller or only the record
-// of a duty has changed.
+// Called after the transaction that writes or removes intents. If a condition other than an
+// intent's revision failed, it shows whether the lease has passed to another controller or only the
+// record of a duty has changed.
 void MachineDutyHolder::on_fence_checked(IntentLedger::FenceCheck check,
                                          const WriteResult& result) {
     if (check == IntentLedger::FenceCheck::Intact) return;
     for (auto* claim : {&provisioning_, &reclaiming_}) {
-        if (result.failed_on(setup_.lease.key)) claim->on_lease_lost();
-        if (result.failed_on(claim->key())) claim->on_record_changed();
+        if (result.condition_failed(setup_.lease.key)) claim->on_lease_lost();
+        if (result.condition_failed(claim->key())) claim->on_record_changed();
     }
 }
 
-bool MachineDutyHolder::lost() const {
+bool MachineDutyHolder::lease_lost() const {
     return provisioning_.state() == Claim::State::Lost || reclaiming_.state() == Claim::State::Lost;
 }
 
--- a/src/store/size_limits.cpp
+++ b/src/store/size_limits.cpp
@@ -1,4 +1,4 @@
-// How the limits on sizes are lowered.
+// Lowers the size limits after rejected transactions.
 #include "store/size_limits.h"
 
 #include "events/format.h"
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Below these the size was hardly the reason.
+// Limits are not lowered further than this; smaller transactions are unlikely to be rejected
+// because of their size.
 constexpr std::size_t kMinValueBytes = 512;
 constexpr std::size_t kMinOperations = 2;
 constexpr Millis kLogInterval = 3000;
@@ -22,7 +23,7 @@
 void SizeLimits::on_rejected(const RejectedTransaction& rejected, Millis now) {
     lowered_ = true;
     if (rejected.largest_value_bytes > next_max_value_bytes_) {
-        max_value_bytes_ = max_value_bytes_from_now_on();
+        max_value_bytes_ = max_value_bytes_after_reduction();
     } else if (rejected.largest_value_bytes > kMinValueBytes) {
         max_value_bytes_ = std::max(kMinValueBytes, rejected.largest_value_bytes / 2);
     } else if (rejected.operations > kMinOperations) {
--- a/src/wire/stored_duties.cpp
+++ b/src/wire/stored_duties.cpp
@@ -1,4 +1,4 @@
-// Values of duties and intents in the state service.
+// Stored values of duties and intents.
 #include "wire/json_reader.h"
 #include "wire/json_writer.h"
 #include "wire/stored_names.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxProvisioned = 1000;       // in one request; the protocol allows fewer
+constexpr std::uint32_t kMaxProvisioned = 1000;  // in one request; the protocol's limit is lower
 constexpr rapidjson::SizeType kProvisionEntries = 5;  // id, type, zone, spot, count
 
 void write_provision(json::Writer& out, const duty::ProvisionRequest& provision) {
@@ -21,12 +21,12 @@
 
 std::optional<duty::ProvisionRequest> read_provision(const json::Value& entry) {
     if (!entry.IsArray() || entry.Size() != kProvisionEntries) return std::nullopt;
-    rapidjson::SizeType at = 0;
+    rapidjson::SizeType index = 0;
     duty::ProvisionRequest provision;
     const bool typed =
-        json::read(entry[at++], provision.id) && json::read(entry[at++], provision.type) &&
-        json::read(entry[at++], provision.zone) && json::read(entry[at++], provision.spot) &&
-        json::read(entry[at++], provision.count);
+        json::read(entry[index++], provision.id) && json::read(entry[index++], provision.type) &&
+        json::read(entry[index++], provision.zone) && json::read(entry[index++], provision.spot) &&
+        json::read(entry[index++], provision.count);
     const bool valid = typed && json::is_valid_name(provision.id) &&
                        json::is_valid_name(provision.type) && json::is_valid_name(provision.zone) &&
                        provision.count > 0 && provision.count <= kMaxProvisioned;
@@ -40,20 +40,21 @@
     return name;
 }
 
-// Takes every entry that can be read. False if any could not, or if the field is no list.
+// Appends all entries of an array that can be read to `out`. Returns false if any can't be read, or
+// if the field is not an array.
 template <typename Entry, typename ReadEntry>
-bool salvage(const json::ObjectReader& in, std::string_view name, ReadEntry read_entry,
-             std::vector<Entry>& out) {
+bool read_valid_entries(const json::ObjectReader& in, std::string_view name, ReadEntry read_entry,
+                        std::vector<Entry>& out) {
     const auto* list = in.find(name);
     if (list == nullptr) return true;
     if (!list->IsArray()) return false;
-    bool whole = true;
+    bool complete = true;
     for (const auto& element : list->GetArray()) {
         auto entry = read_entry(element);
-        whole &= entry.has_value();
+        complete &= entry.has_value();
         if (entry) out.push_back(std::move(*entry));
     }
-    return whole;
+    return complete;
 }
 
 }  // namespace
@@ -100,11 +101,11 @@
     if (document.failed()) return stored;
     const auto in = document.root();
     auto& intent = stored.intent;
-    bool whole =
+    bool complete =
         in.optional(names::kEpoch, intent.epoch) && in.optional(names::kNonce, intent.nonce);
-    whole &= salvage(in, names::kReleases, read_release, intent.releases);
-    whole &= salvage(in, names::kProvisions, read_provision, intent.provisions);
-    stored.damaged = !whole;
+    complete &= read_valid_entries(in, names::kReleases, read_release, intent.releases);
+    complete &= read_valid_entries(in, names::kProvisions, read_provision, intent.provisions);
+    stored.damaged = !complete;
     return stored;
 }
 
--- a/tests/duties_cleanup_test.cpp
+++ b/tests/duties_cleanup_test.cpp
@@ -11,7 +11,7 @@
 
 Options cleanup_options(std::uint64_t seed,
                         control::CleanupMode mode = control::CleanupMode::Remove) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.features.fenced_duties = true;
     options.features.cleanup = mode;
     options.features.cleanup_page_s = 2;
@@ -22,7 +22,7 @@
 std::optional<std::size_t> cleanup_holder(Simulation& simulation) {
     for (std::size_t n = 0; n < simulation.node_count(); ++n) {
         const auto* controller = simulation.controller(n);
-        if (controller != nullptr && controller->cleans_up()) return n;
+        if (controller != nullptr && controller->holds_cleanup_duty()) return n;
     }
     return std::nullopt;
 }
@@ -70,7 +70,7 @@
                             "place/job-000002/0", "place/job-000004/0", "place/job-000005/0"}) {
         EXPECT_TRUE(store.contains(key)) << key;
     }
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(Cleanup, ReportsWithoutRemoving) {
@@ -105,17 +105,17 @@
         Simulation simulation(options);
         for (std::size_t n = 0; n < 400; ++n) {
             simulation.jobs().push_back(
-                plain(numbered(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
+                batch_job(numbered_job_id(n), 1, 2, 8000 + static_cast<Millis>(n) * 100));
         }
         // Cuts off users, because their requests would make the controller refresh its copy.
         simulation.at(18'000, [&] {
-            simulation.cut(node_name(*cleanup_holder(simulation)), "user", 60'000, false);
+            simulation.partition(node_name(*cleanup_holder(simulation)), "user", 60'000, false);
         });
         simulation.advance(70'000);
         for (std::size_t n = 0; n < simulation.node_count(); ++n) {
             EXPECT_EQ(simulation.controller(n)->suspicious_records(), 0U) << "seed " << seed;
         }
-        EXPECT_EQ(simulation.broken(), "");
+        EXPECT_EQ(simulation.violation(), "");
     }
 }
 
@@ -169,7 +169,7 @@
         const bool removes = request.target == "/txn" &&
                              request.body.find("\"remove\":\"place/") != std::string::npos;
         if (!removes || ++removals > 1) return;
-        simulation.cut(node_name(node), "state", 45'000, true);
+        simulation.partition(node_name(node), "state", 45'000, true);
         simulation.freeze(node, 44'000);
         simulation.at(simulation.now() + 45'500, [&] {
             late_removal_refused =
@@ -181,7 +181,7 @@
     EXPECT_TRUE(late_removal_refused);
     simulation.advance(160'000);
     EXPECT_FALSE(simulation.store().contains("place/job-000001/0"));
-    EXPECT_EQ(simulation.broken(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 // The cloud's list of machines lags behind: a machine newer than all listed ones may exist without
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -27,9 +27,9 @@
     return options;
 }
 
-// Freezes the leader, in one of four cases any controller, for less or more than its lease. In one
-// of three cases its requests to the cloud are delayed too, as if they were held in the kernel or
-// in the network.
+// Freezes the leader, or in one of four cases a random controller, for a time that may be shorter
+// or longer than its lease. In one of three cases its requests to the cloud are delayed too, as if
+// they were queued in the kernel or in the network.
 void schedule_freezes(Simulation& simulation, std::mt19937_64& rng, Millis from, Millis until) {
     for (Millis t = from; t < until; t += 1000 + static_cast<Millis>(rng() % 2000)) {
         const auto draw = rng();
@@ -37,7 +37,7 @@
             const auto leader = simulation.leader();
             const auto node = leader && draw % 4 != 0 ? *leader : (draw >> 4U) % 3;
             const auto span = 200 + static_cast<Millis>((draw >> 8U) % 6000);
-            if (draw % 3 == 0) simulation.cut(node_name(node), "cloud", span * 5, true);
+            if (draw % 3 == 0) simulation.partition(node_name(node), "cloud", span * 5, true);
             simulation.freeze(node, span);
         });
     }
@@ -58,7 +58,7 @@
     }
 }
 
-// On some requests to the cloud and on some transactions with intents, freezes the sender for
+// On one in three requests to the cloud and transactions with intents, freezes the sender for
 // longer than its lease. A request to the cloud is delayed by the network as well, for up to 45 s.
 void freeze_during_requests(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     simulation.observe(
@@ -69,8 +69,8 @@
             if ((!to_cloud && !concerns_intent) || simulation.now() > until || rng() % 3 != 0)
                 return;
             if (to_cloud) {
-                simulation.cut(node_name(node), "cloud", 5000 + static_cast<Millis>(rng() % 40'000),
-                               true);
+                simulation.partition(node_name(node), "cloud",
+                                     5000 + static_cast<Millis>(rng() % 40'000), true);
             }
             simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
         });
@@ -121,24 +121,30 @@
     bool core::SafetyGuards::*guard;
 };
 
-// Machines are idle between waves of jobs and are released. At a release request, the leader
-// freezes and the request is delayed, so that the next wave is placed by another leader.
+// Makes GoogleTest print the name of the case instead of raw bytes.
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls it by this name.
+void PrintTo(const DisabledGuard& guard, std::ostream* out) { *out << guard.name; }
+
+// Submits jobs in waves; machines that are idle in between are released. On half of the release
+// requests, the leader freezes and the request is delayed, so that another leader places the next
+// wave.
 void schedule_job_waves(Simulation& simulation, std::mt19937_64& rng, Millis until) {
     std::size_t number = 700'000;
     for (Millis wave = 6000; wave < until; wave += 16'000) {
         for (std::size_t n = 0; n < 8; ++n) {
-            auto job = plain(numbered(number++), 1, 3 + static_cast<double>(rng() % 3),
-                             wave + static_cast<Millis>(rng() % 6000));
+            auto job = batch_job(numbered_job_id(number++), 1, 3 + static_cast<double>(rng() % 3),
+                                 wave + static_cast<Millis>(rng() % 6000));
             job.cpus = 4;
             simulation.jobs().push_back(job);
         }
     }
-    simulation.observe([&simulation, &rng, until](std::size_t node,
-                                                  const net::HttpRequest& request) {
-        if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
-        simulation.cut(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000), true);
-        simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
-    });
+    simulation.observe(
+        [&simulation, &rng, until](std::size_t node, const net::HttpRequest& request) {
+            if (!is_release(request) || simulation.now() > until || rng() % 2 == 0) return;
+            simulation.partition(node_name(node), "cloud", 4000 + static_cast<Millis>(rng() % 9000),
+                                 true);
+            simulation.freeze(node, 3500 + static_cast<Millis>(rng() % 9000));
+        });
 }
 
 Options idle_between_waves_options(std::uint64_t seed) {
@@ -183,8 +189,9 @@
 
 // ---- scripted fault scenarios ----
 
-// An idle fleet, or an empty one for provisioning. A script injects a fault when the leader sends
-// the request given by `when`, and a burst of jobs then needs every machine.
+// A scenario that starts with an idle fleet, or with no machines if it tests provisioning. A script
+// injects a fault when the leader sends the request given by `when`, and a burst of jobs then needs
+// every machine.
 struct FaultScenario {
     const char* name;
     // The request of the leader that triggers the fault: to the cloud, or to the state service for
@@ -195,12 +202,15 @@
     bool core::SafetyGuards::*guard = nullptr;  // without this guard the scenario breaks a rule
 };
 
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls it by this name.
+void PrintTo(const FaultScenario& scenario, std::ostream* out) { *out << scenario.name; }
+
 constexpr Millis kIdleFrom = 14'000;
 constexpr std::size_t kFleet = 6;
 constexpr std::size_t kBurst = 14;
 
 Options scenario_options(const FaultScenario& scenario, std::uint64_t seed) {
-    auto options = calm(seed);
+    auto options = fault_free_options(seed);
     options.nodes = seed % 2 == 0 ? 3 : 5;
     options.features.fenced_duties = true;
     options.machines = scenario.when == FaultScenario::When::ProvisionRequested ? 0 : kFleet;
@@ -224,7 +234,7 @@
 
 void submit_burst(Simulation& simulation, Millis at) {
     for (std::size_t n = 0; n < kBurst; ++n) {
-        auto job = plain(numbered(800'000 + n), 1, 14, at);
+        auto job = batch_job(numbered_job_id(800'000 + n), 1, 14, at);
         job.cpus = 8;
         simulation.jobs().push_back(job);
     }
@@ -236,7 +246,8 @@
                          const std::function<void(Simulation&)>& after = nullptr) {
     Simulation simulation(options);
     simulation.set_capacity(static_cast<int>(kFleet));
-    if (options.machines > 0) simulation.jobs().push_back(plain(numbered(1), 1, 2, 1000));
+    if (options.machines > 0)
+        simulation.jobs().push_back(batch_job(numbered_job_id(1), 1, 2, 1000));
     bool injected = false;
     simulation.observe([&](std::size_t node, const net::HttpRequest& request) {
         if (injected || simulation.now() < kIdleFrom || !matches(scenario.when, request)) return;
@@ -255,7 +266,7 @@
 }
 
 void delay_and_freeze(Simulation& simulation, std::size_t leader) {
-    simulation.cut(node_name(leader), "cloud", 14'000, true);
+    simulation.partition(node_name(leader), "cloud", 14'000, true);
     simulation.freeze(leader, 9000);
 }
 
@@ -266,14 +277,14 @@
      [](Simulation& simulation, std::size_t leader) { simulation.freeze(leader, 9000); }},
     {"LeaderCrashesAfterReleaseRequestTimedOut", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         simulation.cut(node_name(leader), "cloud", 20'000, true);
+         simulation.partition(node_name(leader), "cloud", 20'000, true);
          simulation.at(simulation.now() + 8000,
                        [&simulation, leader] { simulation.crash(leader, 20'000); });
      },
      9000, &core::SafetyGuards::keep_release_intents},
     {"ReleaseRequestDelayedForMoreThanAMinute", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
-         simulation.cut(node_name(leader), "cloud", 75'000, true);
+         simulation.partition(node_name(leader), "cloud", 75'000, true);
          simulation.freeze(leader, 9000);
      },
      68'000},
@@ -311,7 +322,9 @@
     {"StateServiceSlow", FaultScenario::When::IntentWritten,
      [](Simulation& simulation, std::size_t) { simulation.slow_state(900, 9000); }},
     {"StateServiceRefusesLeader", FaultScenario::When::IntentWritten,
-     [](Simulation& simulation, std::size_t leader) { simulation.refuse_node(leader, 9000); }},
+     [](Simulation& simulation, std::size_t leader) {
+         simulation.refuse_state_requests(leader, 9000);
+     }},
     {"CloudOutageAndLeaderCrash", FaultScenario::When::ReleaseRequested,
      [](Simulation& simulation, std::size_t leader) {
          simulation.cloud_outage(9000);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -31,12 +31,12 @@
         cluster_.set_types({type});
         for (std::size_t machine = 0; machine < machines; ++machine) heartbeat(machine, {});
         // An array job that fills the fleet.
-        JobDescription job = text(1, static_cast<std::uint32_t>(machines * 2));
+        JobDescription job = job_description(1, static_cast<std::uint32_t>(machines * 2));
         cluster_.add_job(job, 1, now_);
         place();
         heartbeat_all();
     }
-    static JobDescription text(std::size_t number, std::uint32_t count) {
+    static JobDescription job_description(std::size_t number, std::uint32_t count) {
         JobDescription job;
         job.id = "job-" + std::to_string(100000 + number);
         job.cls = "any";
@@ -102,7 +102,7 @@
     }
     std::uint64_t plan_steps_with_added_jobs(std::size_t jobs) {
         for (std::size_t k = 0; k < jobs; ++k) {
-            auto job = text(10 + k, 4);
+            auto job = job_description(10 + k, 4);
             job.gang = k % 2 == 0;
             job.one_zone = k % 4 == 0;
             cluster_.add_job(job, 1, now_);
@@ -198,7 +198,7 @@
             list[machine].state = ListedMachine::State::Running;
         }
         Millis now = 1000;
-        cluster.on_list(list, now);
+        cluster.on_machine_list_page(list, now);
         std::size_t requested = 0;
         std::deque<Cluster::DirectCommand> in_flight;
         for (;;) {
@@ -239,7 +239,7 @@
         settings.token = 2 * kFencingTokensPerTerm;
         Cluster cluster(settings, types, zones);
         cluster.await_records();
-        cluster.add_job(Fleet::text(1, static_cast<std::uint32_t>(machines)), 1, 1000);
+        cluster.add_job(Fleet::job_description(1, static_cast<std::uint32_t>(machines)), 1, 1000);
         for (std::uint32_t first = 0; first < machines; first += settings.tasks_per_record) {
             PlacementRecord record;
             const auto end = std::min<std::size_t>(first + settings.tasks_per_record, machines);
@@ -248,7 +248,7 @@
             }
             cluster.load_record("job-100001", first / settings.tasks_per_record, record, 5, 1000);
         }
-        cluster.records_loaded();
+        cluster.on_records_loaded();
         for (std::size_t machine = 0; machine < machines; ++machine) {
             Report report;
             report.machine = Fleet::name(machine);
@@ -307,15 +307,15 @@
 // The state service limits the writes of all controllers together, so the writes for each job are
 // bounded.
 TEST(Scale, WritesToTheStateServiceForEachJobAreBounded) {
-    auto options = simulation::calm(41);
+    auto options = simulation::fault_free_options(41);
     options.machines = 40;
     options.teams = {{"core", {}, {}}};
     simulation::Simulation simulation(options);
     simulation.set_capacity(40);
     for (std::size_t number = 0; number < 60; ++number) {
         const bool gang = number % 2 == 0;
-        auto job = simulation::plain(simulation::numbered(number), gang ? 2 : 12, 20,
-                                     static_cast<Millis>(number) * 700);
+        auto job = simulation::batch_job(simulation::numbered_job_id(number), gang ? 2 : 12, 20,
+                                         static_cast<Millis>(number) * 700);
         job.kind = gang ? "ensemble" : "sweep";
         simulation.jobs().push_back(job);
     }
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -13,7 +13,7 @@
   public:
     NodeRuntime(Simulation& simulation, std::size_t node) : simulation_(simulation), node_(node) {}
     Millis now() override {
-        // Steady clocks drift apart.
+        // The steady clocks of the controllers drift apart by 0.025% per node index.
         return simulation_.now_ + simulation_.now_ * static_cast<Millis>(node_) / 4000;
     }
     Millis read_clock() override { return now(); }
@@ -25,7 +25,7 @@
                           request.method + " " + request.target, request.body, deadline);
         simulation_.trace("bound", node_name(node_), "", "", request.not_after);
         simulation_.call(node_name(node_), address, std::move(request), deadline,
-                         guard(std::move(on_reply)));
+                         if_alive(std::move(on_reply)));
     }
     net::TimerId after(Millis delay, std::function<void()> fn) override {
         const auto id = ++next_;
@@ -35,7 +35,7 @@
         });
         return id;
     }
-    // Pauses until then, while its clock runs on and messages pile up.
+    // Pauses the process until then; its clock continues, and messages to it are queued.
     void freeze(Millis until) { frozen_until_ = std::max(frozen_until_, until); }
     [[nodiscard]] Millis frozen_until() const { return frozen_until_; }
     void cancel(net::TimerId id) override { timers_.erase(id); }
@@ -44,7 +44,7 @@
     }
     void plan(std::function<core::Snapshot()> take, std::function<void(core::Plan)> done) override {
         auto plan = core::make_plan(take());
-        // Planning takes its time, and the cluster state moves on meanwhile.
+        // Planning takes up to 40 ms, during which the cluster state changes.
         after(static_cast<Millis>(simulation_.random_below(40)),
               [plan = std::move(plan), done = std::move(done)] { done(plan); });
     }
@@ -59,7 +59,7 @@
                            fn();
                        });
     }
-    net::OnReply guard(net::OnReply fn) {
+    net::OnReply if_alive(net::OnReply fn) {
         return [this, fn = std::move(fn), alive = std::weak_ptr<bool>(alive_)](net::HttpReply got) {
             if (alive.expired()) return;
             simulation_.trace("reply", node_name(node_), got.sent ? "sent" : "unsent", got.body,
@@ -77,24 +77,24 @@
 };
 
 Simulation::Simulation(Options options) : options_(std::move(options)), rng_(options_.seed) {
-    // Controllers that are processes of their own run in real time.
+    // No trace with external controllers, because they run in real time.
     if (Trace::reporter() && !options_.external) trace_ = std::make_unique<Trace>();
     nodes_.resize(options_.nodes);
     for (auto& node : nodes_) node.current = !options_.old_version;
-    refused_until_.resize(options_.nodes);
+    state_refused_until_.resize(options_.nodes);
     if (options_.teams.empty()) {
         options_.teams = {{"core", {8000, 0, 0}, {40000, 0, 0}},
                           {"side", {8000, 0, 0}, {24000, 0, 0}}};
     }
     for (std::size_t i = 0; i < options_.machines; ++i) {
-        add_worker((options_.even_zones ? i % 2 == 0 : i == 0) ? "a" : "b", false);
+        add_worker((options_.alternate_zones ? i % 2 == 0 : i == 0) ? "a" : "b", false);
     }
     for (std::size_t n = 0; n < nodes_.size() && !options_.external; ++n) boot(n);
     for (std::size_t i = 0; i < options_.jobs; ++i) {
         jobs_.push_back(random_job(rng_, i, options_.busy_ms));
     }
     at(0, [this] { tick(); });
-    if (options_.faults) at(4000, [this] { fault(); });
+    if (options_.faults) at(4000, [this] { inject_fault(); });
 }
 
 Simulation::~Simulation() {
@@ -112,7 +112,7 @@
 }
 
 void Simulation::advance(Millis until) {
-    while (!events_.empty() && events_.top().at <= until && broken_.empty()) {
+    while (!events_.empty() && events_.top().at <= until && violation_.empty()) {
         auto event = events_.top();
         events_.pop();
         now_ = std::max(now_, event.at);
@@ -123,9 +123,9 @@
 
 std::string Simulation::run() {
     advance(options_.busy_ms + options_.settle_ms);
-    if (!broken_.empty()) return broken_;
+    if (!violation_.empty()) return violation_;
     for (auto& j : jobs_) {
-        if (j.accepted < 0 || j.always_fails) continue;
+        if (j.accepted_at < 0 || j.always_fails) continue;
         if (j.is_service()) continue;
         if (j.cancel_confirmed_at < 0 && !j.done_reported) {
             fail("unfinished", j.id + " has " + std::to_string(j.done_tasks.size()) + " of " +
@@ -135,7 +135,7 @@
     if (total_starts() == 0) fail("nothing_ran", "no task was started");
     check_served();
     check_duties_at_end();
-    return broken_;
+    return violation_;
 }
 
 std::uint64_t Simulation::total_starts() const {
@@ -144,10 +144,10 @@
     return n;
 }
 
-void Simulation::fail(const std::string& rule, const std::string& what) {
-    if (broken_.empty()) {
-        broken_ = rule + ": " + what + " at " + std::to_string(now_) + " ms, seed " +
-                  std::to_string(options_.seed);
+void Simulation::fail(const std::string& rule, const std::string& detail) {
+    if (violation_.empty()) {
+        violation_ = rule + ": " + detail + " at " + std::to_string(now_) + " ms, seed " +
+                     std::to_string(options_.seed);
     }
 }
 
@@ -175,11 +175,11 @@
     s.report_s = options_.report_s;
     s.lease_s = options_.lease_s;
     s.cancel_s = options_.cancel_s;
-    s.gang_peer_s = kPeer;
-    s.gang_wait_s = kGangWait;
+    s.gang_peer_s = kGangPeerTimeoutS;
+    s.gang_wait_s = kGangWaitS;
     s.state_rps = 150;
     s.state_write_rps = 60;
-    s.state_transaction_operations = kOps;
+    s.state_transaction_operations = kMaxTransactionOperations;
     s.cloud_rps = 6;
     s.guards = options_.guards;
     s.guards.current_version &= nodes_[n].current;
@@ -221,9 +221,9 @@
 
 // ---- network ----
 
-void Simulation::cut(const std::string& a, const std::string& b, Millis for_ms, bool delay,
-                     bool refuse) {
-    cuts_.push_back({a, b, now_ + for_ms, delay, refuse});
+void Simulation::partition(const std::string& a, const std::string& b, Millis for_ms, bool delay,
+                           bool refuse) {
+    partitions_.push_back({a, b, now_ + for_ms, delay, refuse});
     fault_until(now_ + for_ms);
 }
 
@@ -234,19 +234,19 @@
     fault_until(now_ + for_ms);
 }
 
-void Simulation::refuse_node(std::size_t node, Millis for_ms) {
-    refused_until_[node] = now_ + for_ms;
+void Simulation::refuse_state_requests(std::size_t node, Millis for_ms) {
+    state_refused_until_[node] = now_ + for_ms;
     fault_until(now_ + for_ms);
 }
 
-void Simulation::block_inbound(Worker& worker, Millis for_ms, bool held) {
+void Simulation::block_inbound(Worker& worker, Millis for_ms, bool delay) {
     worker.inbound_blocked_until = now_ + for_ms;
-    worker.inbound_held = held;
+    worker.inbound_delayed = delay;
     fault_until(now_ + for_ms);
 }
 
-void Simulation::cut_zone(const std::string& zone, const std::string& other, Millis for_ms,
-                          bool delay) {
+void Simulation::partition_zone(const std::string& zone, const std::string& other, Millis for_ms,
+                                bool delay) {
     std::vector<std::string> here;
     std::vector<std::string> there;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -255,17 +255,18 @@
     for (const auto& [name, w] : workers_) (w.zone == zone ? here : there).push_back(name);
     if (other.empty()) there.insert(there.end(), {"state", "cloud", "user"});
     for (const auto& a : here) {
-        for (const auto& b : there) cut(a, b, for_ms, delay);
+        for (const auto& b : there) partition(a, b, for_ms, delay);
     }
 }
 
 void Simulation::isolate(std::size_t node, Millis for_ms, bool delay, bool refuse) {
-    cut(node_name(node), "state", for_ms, delay, refuse);
-    cut(node_name(node), "n", for_ms, delay, refuse);
+    partition(node_name(node), "state", for_ms, delay, refuse);
+    partition(node_name(node), "n", for_ms, delay, refuse);
 }
 
-const Simulation::Cut* Simulation::cut_between(const std::string& a, const std::string& b) const {
-    for (const auto& c : cuts_) {
+const Simulation::Partition* Simulation::partition_between(const std::string& a,
+                                                           const std::string& b) const {
+    for (const auto& c : partitions_) {
         if (c.until <= now_) continue;
         if ((a.starts_with(c.a) && b.starts_with(c.b)) ||
             (a.starts_with(c.b) && b.starts_with(c.a))) {
@@ -277,7 +278,7 @@
 
 void Simulation::transmit(const std::string& from, const std::string& to, Millis extra,
                           std::function<void()> deliver, std::function<void()> reset) {
-    if (const auto* c = cut_between(from, to)) {
+    if (const auto* c = partition_between(from, to)) {
         if (c->delay) {
             at(c->until + 1 + static_cast<Millis>(random_below(5)), std::move(deliver));
         } else {
@@ -285,20 +286,20 @@
         }
         return;
     }
-    if (now_ < links_until_) {
-        extra += links_by_ / 2 +
-                 static_cast<Millis>(random_below(static_cast<std::uint64_t>(links_by_)));
+    if (now_ < link_delay_until_) {
+        extra += link_delay_ / 2 +
+                 static_cast<Millis>(random_below(static_cast<std::uint64_t>(link_delay_)));
     }
     at(now_ + 1 + static_cast<Millis>(random_below(4)) + extra, std::move(deliver));
 }
 
 void Simulation::call(const std::string& from, const std::string& to, net::HttpRequest request,
                       Millis deadline, net::OnReply on_reply) {
-    auto open = std::make_shared<net::OnReply>(std::move(on_reply));
-    const auto finish = [open](net::HttpReply reply) {
-        if (!*open) return;
-        auto fn = std::move(*open);
-        *open = nullptr;
+    auto pending_reply = std::make_shared<net::OnReply>(std::move(on_reply));
+    const auto finish = [pending_reply](net::HttpReply reply) {
+        if (!*pending_reply) return;
+        auto fn = std::move(*pending_reply);
+        *pending_reply = nullptr;
         fn(std::move(reply));
     };
     at(now_ + deadline, [finish] { finish({0, "", true}); });
@@ -309,7 +310,7 @@
     }
     if (from.size() == 2 && from[0] == 'n') {
         const auto node = static_cast<std::size_t>(from[1] - '0');
-        // The observer may replace itself.
+        // Calls a copy, because the observer may replace itself.
         if (const auto observer = observer_) observer(node, request);
     }
     const bool down = to_node && !options_.external &&
@@ -318,29 +319,30 @@
         if (random_chance(0.5)) at(now_ + 2, [finish] { finish({0, "", false}); });
         return;
     }
-    if (const auto* c = cut_between(from, host); c != nullptr && c->refuse) {
+    if (const auto* c = partition_between(from, host); c != nullptr && c->refuse) {
         at(now_ + 2, [finish] { finish({0, "", false}); });
         return;
     }
     Millis extra = 0;
-    if (messages_are_lossy() && random_chance(options_.late_request)) {
+    if (messages_are_lossy() && random_chance(options_.delayed_request_share)) {
         extra = 1000 + static_cast<Millis>(random_below(20000));
     }
-    if (messages_are_lossy() && random_chance(options_.repeats)) {
+    if (messages_are_lossy() && random_chance(options_.repeated_request_share)) {
         repeat(from, to, request, 1000 + static_cast<Millis>(random_below(90'000)));
     }
-    if (keep_direct_ && request.target == "/do") direct_kept_.emplace_back(to, request);
+    if (record_direct_commands_ && request.target == "/do")
+        recorded_direct_commands_.emplace_back(to, request);
     const auto reset = [finish] { finish({0, "", true}); };
     transmit(
         from, host, extra,
         [this, from, to, host, finish, reset, sent = now_, request = std::move(request)] {
             serve(host_of(from), to, request, sent,
                   [this, from, host, finish, reset](const net::HttpResponse& response) {
-                      if (messages_are_lossy() && random_chance(options_.lost_answer)) {
+                      if (messages_are_lossy() && random_chance(options_.lost_response_share)) {
                           return;
                       }
                       if (host == "cloud" && now_ < lost_cloud_answers_until_ &&
-                          random_chance(lost_cloud_answers_)) {
+                          random_chance(lost_cloud_answers_share_)) {
                           return;
                       }
                       transmit(
@@ -355,12 +357,12 @@
         reset);
 }
 
-// The request for a peer's version is repeated until it is answered, so neither delay nor loss
-// matters. It draws no random number, so that the days of older seeds stay as they were.
+// A peer's version and features are requested again until it answers, so delay and loss need not be
+// simulated. No random number is drawn, so that existing seeds keep producing the same runs.
 void Simulation::ask_version(const std::string& from, const std::string& host,
                              const net::HttpRequest& request,
                              const std::function<void(net::HttpReply)>& finish) {
-    if (cut_between(from, host) != nullptr) return;
+    if (partition_between(from, host) != nullptr) return;
     at(now_ + 2, [this, host, request, finish] {
         const auto& node = nodes_[static_cast<std::size_t>(host[1] - '0')];
         if (!node.controller || node.runtime->frozen_until() > now_) return;
@@ -373,15 +375,15 @@
 void Simulation::serve(const std::string& from, const std::string& to,
                        const net::HttpRequest& request, Millis sent, net::Respond respond) {
     const auto host = host_of(to);
-    if (host == "state" && now_ < slow_until_) {
-        at(now_ + slow_by_ / 2 +
-               static_cast<Millis>(random_below(static_cast<std::uint64_t>(slow_by_))),
+    if (host == "state" && now_ < state_delay_until_) {
+        at(now_ + state_delay_ / 2 +
+               static_cast<Millis>(random_below(static_cast<std::uint64_t>(state_delay_))),
            [this, from, request, respond] { serve_state(from, request, respond); });
         return;
     }
     if (host == "state" && request.target == "/txn" && now_ < late_writes_until_ &&
-        random_chance(late_writes_)) {
-        // No answer, and carried out after newer ones of the same controller.
+        random_chance(late_writes_share_)) {
+        // Executed without a response, after newer transactions of the same controller.
         at(now_ + 2000 + static_cast<Millis>(random_below(10'000)),
            [this, from, request] { serve_state(from, request, [](const net::HttpResponse&) {}); });
         return;
@@ -393,13 +395,13 @@
         auto& node = nodes_[number];
         if (options_.external) return options_.external(number, request, std::move(respond));
         if (!node.controller) return;
-        if (const auto thaw = node.runtime->frozen_until(); thaw > now_) {
-            at(thaw, [this, from, to, request, sent, respond] {
+        if (const auto resumes_at = node.runtime->frozen_until(); resumes_at > now_) {
+            at(resumes_at, [this, from, to, request, sent, respond] {
                 serve(from, to, request, sent, respond);
             });
             return;
         }
-        if (options_.old_peers && request.target.starts_with("/peer/cancel")) {
+        if (options_.peers_without_cancel_messages && request.target.starts_with("/peer/cancel")) {
             return respond({404, ""});
         }
         trace("served", from + ">" + to, request.method + " " + request.target, request.body);
@@ -416,13 +418,13 @@
     if (it == workers_.end() || it->second.gone || !it->second.up) return;
     Worker& worker = it->second;
     if (worker.inbound_blocked_until > now_) {
-        if (!worker.inbound_held) return;
+        if (!worker.inbound_delayed) return;
         at(worker.inbound_blocked_until + 1,
            [this, from, to, request, sent, respond] { serve(from, to, request, sent, respond); });
         return;
     }
     if (worker.hung_until > now_) {
-        worker.held.push_back([this, host, request, sent, respond] {
+        worker.deferred.push_back([this, host, request, sent, respond] {
             serve_worker(workers_.at(host), request, sent, respond);
         });
         return;
@@ -437,8 +439,8 @@
     });
 }
 
-void Simulation::repeat_direct() {
-    for (const auto& [to, request] : direct_kept_) repeat("n0", to, request, 1);
+void Simulation::replay_direct_commands() {
+    for (const auto& [to, request] : recorded_direct_commands_) repeat("n0", to, request, 1);
 }
 
 void Simulation::send_counted(std::size_t node, net::HttpRequest request) {
@@ -446,20 +448,21 @@
          [this](const net::HttpReply& reply) { counted_replies_ += reply.status != 0 ? 1 : 0; });
 }
 
-net::HttpReply Simulation::ask(std::size_t node, net::HttpRequest request, Millis wait_ms) {
+net::HttpReply Simulation::send_and_wait(std::size_t node, net::HttpRequest request,
+                                         Millis wait_ms) {
     std::optional<net::HttpReply> out;
     call("user", node_name(node) + ":1", std::move(request), wait_ms,
          [&](net::HttpReply reply) { out = std::move(reply); });
     const auto end = now_ + wait_ms + 10;
-    while (!out && now_ < end && broken_.empty()) advance(now_ + 1);
+    while (!out && now_ < end && violation_.empty()) advance(now_ + 1);
     return out.value_or(net::HttpReply{});
 }
 
 void Simulation::tick() {
     for (auto& [id, lease] : leases_) {
-        // Leases do not expire during an outage and have their full time again after it.
-        if (now_ < outage_until_)
-            lease.second = std::max(lease.second, outage_until_ + lease.first);
+        // Leases do not expire during an outage and get their full TTL again after it.
+        if (now_ < state_outage_until_)
+            lease.second = std::max(lease.second, state_outage_until_ + lease.first);
     }
     std::vector<std::uint64_t> ended;
     for (auto& [id, lease] : leases_) {
@@ -477,7 +480,7 @@
     wake_watches();
     for (auto& [name, worker] : workers_) worker_tick(worker);
     for (auto& j : jobs_) user_tick(j);
-    note_settled();
+    update_unsettled_time();
     check();
     measure_services();
     check_answers();
@@ -485,18 +488,19 @@
     at(now_ + 100, [this] { tick(); });
 }
 
-void Simulation::note_settled() {
+void Simulation::update_unsettled_time() {
     const auto leading = leader();
     const auto token = leading ? nodes_[*leading].controller->token() : 0;
-    const bool cut = leading && (cut_between(node_name(*leading), "state") != nullptr ||
-                                 cut_between(node_name(*leading), "cloud") != nullptr ||
-                                 refused_until_[*leading] > now_ ||
-                                 nodes_[*leading].runtime->frozen_until() > now_);
-    if (!leading || token != settled_token_ || cut || now_ < outage_until_ ||
+    const bool disconnected =
+        leading &&
+        (partition_between(node_name(*leading), "state") != nullptr ||
+         partition_between(node_name(*leading), "cloud") != nullptr ||
+         state_refused_until_[*leading] > now_ || nodes_[*leading].runtime->frozen_until() > now_);
+    if (!leading || token != last_leader_token_ || disconnected || now_ < state_outage_until_ ||
         now_ < cloud_outage_until_) {
-        unsettled_at_ = now_;
+        last_unsettled_at_ = now_;
     }
-    settled_token_ = token;
+    last_leader_token_ = token;
 }
 
 }  // namespace lichendrift::simulation
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,4 +1,4 @@
-// The users of the simulation: submissions, polls and cancellations.
+// The simulated users: submissions, polls and cancellations.
 #include "simulation/messages.h"
 #include "simulation/simulation.h"
 
@@ -50,18 +50,18 @@
     j.via.reset();
     call("user", node_name(node) + ":1", {"POST", "/v2/runs", description(j)}, 5000,
          [this, id](const net::HttpReply& reply) {
-             Job& me = *job(id);
+             Job& current = *job(id);
              if (reply.status == 201 || reply.status == 200) {
-                 if (me.accepted < 0) me.accepted = now_;
+                 if (current.accepted_at < 0) current.accepted_at = now_;
                  const std::string state = parsed(reply.body)["stato"].GetString();
-                 if (me.cancel_confirmed_at >= 0 && state != "aborted") fail("went_back", id);
+                 if (current.cancel_confirmed_at >= 0 && state != "aborted") fail("went_back", id);
                  return;
              }
              if (reply.status == 400 || reply.status == 422) {
-                 if (me.accepted >= 0) fail("forgotten", id + " refused after acceptance");
+                 if (current.accepted_at >= 0) fail("forgotten", id + " refused after acceptance");
                  return;
              }
-             if (now_ < me.give_up_submit) {
+             if (now_ < current.submit_deadline) {
                  at(now_ + 1000, [this, id] { submit(*job(id)); });
              }
          });
@@ -73,37 +73,38 @@
     const auto at_node = node ? *node : static_cast<std::size_t>(random_below(nodes_.size()));
     call("user", node_name(at_node) + ":1", {"POST", "/v2/runs/" + id + "/cancel", ""}, 5000,
          [this, id](const net::HttpReply& reply) {
-             Job& me = *job(id);
+             Job& current = *job(id);
              if (reply.status == 200) {
                  const std::string state = parsed(reply.body)["stato"].GetString();
                  if (state == "aborted") {
-                     if (me.done_reported) fail("went_back", id + " cancelled after done");
-                     if (me.cancel_confirmed_at < 0) me.cancel_confirmed_at = now_;
+                     if (current.done_reported) fail("went_back", id + " cancelled after done");
+                     if (current.cancel_confirmed_at < 0) current.cancel_confirmed_at = now_;
                  } else if (state == "done") {
-                     if (me.cancel_confirmed_at >= 0)
+                     if (current.cancel_confirmed_at >= 0)
                          fail("went_back", id + " done after cancelled");
-                     me.done_reported = true;
+                     current.done_reported = true;
                  } else {
                      fail("went_back", id + " answers a cancel with " + state);
                  }
                  return;
              }
-             if (reply.status == 404 && me.accepted >= 0) fail("forgotten", id + " at cancel");
+             if (reply.status == 404 && current.accepted_at >= 0)
+                 fail("forgotten", id + " at cancel");
              if (reply.status != 404) at(now_ + 1000, [this, id] { cancel(*job(id)); });
          });
 }
 
-void Simulation::cancel_now(std::size_t count, Millis hang_ms) {
+void Simulation::cancel_running_jobs(std::size_t count, Millis hang_ms) {
     std::size_t hung = 0;
     for (auto& j : jobs_) {
         if (count == 0) break;
-        if (j.accepted < 0 || j.cancel_requested_at >= 0 || j.done_reported) continue;
+        if (j.accepted_at < 0 || j.cancel_requested_at >= 0 || j.done_reported) continue;
         bool runs = false;
         for (auto& [name, w] : workers_) {
             for (const auto& t : w.tasks) {
                 if (t.job != j.id || t.state != "running") continue;
                 runs = true;
-                // Two in a row would hang for longer than any bound.
+                // Two hangs in a row would last longer than any bound that is checked.
                 if (hang_ms > 0 && w.hung_until + 3000 < now_ && ++hung <= 8) {
                     w.hung_until = now_ + hang_ms;
                     fault_until(w.hung_until);
@@ -116,31 +117,32 @@
     }
 }
 
-// One answer is right, to be refused for now or to get no answer is allowed as well.
+// Sends a request that must be answered with this status and state. A 503 and no response at all
+// are allowed as well.
 void Simulation::expect(std::size_t node, net::HttpRequest request, int status,
                         const std::string& state) {
-    const auto what = request.method + " " + request.target;
+    const auto request_line = request.method + " " + request.target;
     call("user", node_name(node) + ":1", std::move(request), 5000,
-         [this, what, status, state](const net::HttpReply& reply) {
+         [this, request_line, status, state](const net::HttpReply& reply) {
              if (reply.status == 0 || reply.status == 503) return;
              if (reply.status != status) {
-                 return fail("odd_answer", what + " gets " + std::to_string(reply.status));
+                 return fail("odd_answer", request_line + " gets " + std::to_string(reply.status));
              }
              if (!state.empty() && parsed(reply.body)["stato"].GetString() != state) {
-                 fail("odd_answer", what + " gets " + reply.body);
+                 fail("odd_answer", request_line + " gets " + reply.body);
              }
          });
 }
 
-void Simulation::odd_request() {
+void Simulation::send_unusual_request() {
     const auto node = static_cast<std::size_t>(random_below(nodes_.size()));
-    const auto unknown = numbered(900'000 + random_below(90'000));
-    Job bad = jobs_.empty() ? plain(unknown, 1, 5) : jobs_[random_below(jobs_.size())];
+    const auto unknown = numbered_job_id(900'000 + random_below(90'000));
+    Job bad = jobs_.empty() ? batch_job(unknown, 1, 5) : jobs_[random_below(jobs_.size())];
     Job* known = jobs_.empty() ? nullptr : &jobs_[random_below(jobs_.size())];
     bad.id = unknown;
     switch (random_below(6)) {
         case 0:
-            bad.cpus = kCpus + 1;
+            bad.cpus = kMachineCpus + 1;
             return expect(node, {"POST", "/v2/runs", description(bad)}, 422, "");
         case 1:
             bad.team = "nobody";
@@ -158,7 +160,7 @@
             if (known == nullptr || !known->done_reported) return;
             return expect(node, {"POST", "/v2/runs/" + known->id + "/cancel", ""}, 200, "done");
         default:
-            if (known == nullptr || known->accepted < 0) return;
+            if (known == nullptr || known->accepted_at < 0) return;
             return expect(node, {"POST", "/v2/runs", description(*known)}, 200,
                           known->cancel_confirmed_at >= 0 ? "aborted"
                           : known->done_reported          ? "done"
@@ -168,28 +170,30 @@
 
 void Simulation::poll(Job& j) {
     const auto id = j.id;
-    const bool accepted = j.accepted >= 0;
+    const bool accepted = j.accepted_at >= 0;
     const bool cancelled = j.cancel_confirmed_at >= 0;
     const bool done = j.done_reported;
     call("user", node_name(random_below(nodes_.size())) + ":1", {"GET", "/v2/runs/" + id, ""}, 2000,
          [this, id, accepted, cancelled, done](const net::HttpReply& reply) {
-             Job& me = *job(id);
+             Job& current = *job(id);
              if (reply.status == 404) {
                  if (accepted) fail("forgotten", id + " gets 404");
                  return;
              }
              if (reply.status != 200) return;
-             me.responded_at = now_;
-             if (!me.submitted) fail("invented", id);
+             current.last_answered_at = now_;
+             if (!current.submitted) fail("invented", id);
              const std::string state = parsed(reply.body)["stato"].GetString();
              if (state == "done") {
-                 if (me.is_service() || me.done_tasks.size() < me.count) fail("not_done", id);
+                 if (current.is_service() || current.done_tasks.size() < current.count)
+                     fail("not_done", id);
                  if (cancelled) fail("went_back", id + " done after cancelled");
-                 me.done_reported = true;
+                 current.done_reported = true;
              } else if (state == "aborted") {
-                 if (me.cancel_requested_at < 0) fail("went_back", id + " cancelled by nobody");
+                 if (current.cancel_requested_at < 0)
+                     fail("went_back", id + " cancelled by nobody");
                  if (done) fail("went_back", id + " cancelled after done");
-                 if (me.cancel_confirmed_at < 0) me.cancel_confirmed_at = now_;
+                 if (current.cancel_confirmed_at < 0) current.cancel_confirmed_at = now_;
              } else if (cancelled || done) {
                  fail("went_back", id + " is " + state + " again");
              }
@@ -198,10 +202,11 @@
 
 void Simulation::user_tick(Job& j) {
     if (!j.submitted && now_ >= j.submit_at) {
-        j.give_up_submit = now_ + 60000;
+        j.submit_deadline = now_ + 60000;
         submit(j);
     }
-    if (j.cancel_at >= 0 && j.cancel_requested_at < 0 && now_ >= j.cancel_at && j.accepted >= 0) {
+    if (j.cancel_at >= 0 && j.cancel_requested_at < 0 && now_ >= j.cancel_at &&
+        j.accepted_at >= 0) {
         cancel(j);
     }
     const auto phase = static_cast<Millis>(std::hash<std::string>{}(j.id) % 20) * 100;
